--- a/libs/control/geraniumweir/control/coordination.py
+++ b/libs/control/geraniumweir/control/coordination.py
@@ -39,7 +39,7 @@
 _EARLY_SECONDS = 1.0
 
 Index = typing.Callable[[], finding.Index | None]
-OnAsk = typing.Callable[[requests.Ask], None]
+OnAsk = typing.Callable[[requests.SlotRequest], None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/libs/control/geraniumweir/control/host.py
+++ b/libs/control/geraniumweir/control/host.py
@@ -300,7 +300,7 @@
     def _number_of_entry_hosts(self) -> int:
         return self.standing.entry_hosts.number(self._clock.now())
 
-    def _note_usage(self, ask: requests.Ask) -> None:
+    def _note_usage(self, ask: requests.SlotRequest) -> None:
         self.standing.entry_hosts.usage.note(
             ask.owner,
             max(ask.quota_cost, 1),
--- a/libs/control/geraniumweir/control/tests/test_retries_over_changes.py
+++ b/libs/control/geraniumweir/control/tests/test_retries_over_changes.py
@@ -28,7 +28,7 @@
 # Requests of each entry host in a step.
 _USUAL = 2
 _MOST = 6
-_ASK = requests.Ask(
+_ASK = requests.SlotRequest(
     request_id=ids.RequestId('request'),
     owner=ids.HostId('owner'),
     pool=_POOL,
--- a/libs/daemon/geraniumweir/daemon/admission.py
+++ b/libs/daemon/geraniumweir/daemon/admission.py
@@ -30,7 +30,7 @@
     :ivar claim: what a non-idempotent call is claimed by, else None.
     """
 
-    ask: requests.Ask
+    ask: requests.SlotRequest
     kind: str
     claim: claiming.ClaimKey | None
 
@@ -135,12 +135,12 @@
     facts: matching.Facts,
     content: _Content,
     decision: _Decision,
-) -> requests.Ask:
+) -> requests.SlotRequest:
     route = decision.route
     wait = read_wait(talk.req)
     if wait is None:
         wait = (route.deadline_ms or _DEFAULT_DEADLINE_MS) / _MS
-    return requests.Ask(
+    return requests.SlotRequest(
         request_id=talk.request_id,
         owner=host.cfg.host_id,
         pool=route.pool,
@@ -171,7 +171,7 @@
 
 def _claim_key(
     talk: exchange.Exchange,
-    ask: requests.Ask,
+    ask: requests.SlotRequest,
 ) -> claiming.ClaimKey | None:
     if ask.idempotent:
         return None
--- a/libs/daemon/geraniumweir/daemon/meters.py
+++ b/libs/daemon/geraniumweir/daemon/meters.py
@@ -41,7 +41,9 @@
         """Count a call whose caller went away."""
         self._meter.count(metricnames.REQUESTS, tier, 'cancelled')
 
-    def done(self, ask: requests.Ask, seconds: float, now: float) -> None:
+    def done(
+        self, ask: requests.SlotRequest, seconds: float, now: float
+    ) -> None:
         """Count a whole answer.
 
         :param seconds: from the call's arrival to the end.
@@ -55,7 +57,7 @@
             metricnames.REQUEST_SECONDS, seconds, ask.pool, tier
         )
 
-    def granted(self, ask: requests.Ask, seconds: float) -> None:
+    def granted(self, ask: requests.SlotRequest, seconds: float) -> None:
         """Count a dispatch.
 
         :param seconds: from ask to grant.
@@ -65,7 +67,7 @@
             metricnames.QUEUE_SECONDS, seconds, ask.pool, _tier(ask)
         )
 
-    def first_token(self, ask: requests.Ask, seconds: float) -> None:
+    def first_token(self, ask: requests.SlotRequest, seconds: float) -> None:
         """Record a first token.
 
         :param seconds: from the call's arrival.
@@ -74,7 +76,9 @@
             metricnames.FIRST_TOKEN_SECONDS, seconds, ask.pool, _tier(ask)
         )
 
-    def released(self, ask: requests.Ask, release: requests.Release) -> None:
+    def released(
+        self, ask: requests.SlotRequest, release: requests.Release
+    ) -> None:
         """Count tokens passed on, and prefill that gave no whole answer."""
         if release.output_tokens:
             self._meter.count(
@@ -90,5 +94,5 @@
             )
 
 
-def _tier(ask: requests.Ask) -> str:
+def _tier(ask: requests.SlotRequest) -> str:
     return str(int(ask.tier))
--- a/libs/daemon/geraniumweir/daemon/tests/test_gauges.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_gauges.py
@@ -148,8 +148,8 @@
     )
 
 
-def _ask(host: entry_host.EntryHost, tier: int) -> requests.Ask:
-    return requests.Ask(
+def _ask(host: entry_host.EntryHost, tier: int) -> requests.SlotRequest:
+    return requests.SlotRequest(
         request_id=ids.RequestId(f'r{tier}'),
         owner=host.cfg.host_id,
         pool=_POOL,
--- a/libs/fakes/geraniumweir/fakes/bench/leader_link.py
+++ b/libs/fakes/geraniumweir/fakes/bench/leader_link.py
@@ -47,7 +47,7 @@
 
     async def ask(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
         """Ask until some leader answers."""
         answer = None
@@ -82,7 +82,7 @@
     async def _ask_one(
         self,
         owner: leader.PoolLeader,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial | None:
         asking = asyncio.create_task(owner.ask(ask))
         losing = asyncio.create_task(self._lost.wait())
--- a/libs/fakes/geraniumweir/fakes/bench/leader_policy.py
+++ b/libs/fakes/geraniumweir/fakes/bench/leader_policy.py
@@ -40,7 +40,7 @@
 class _Open(typing.NamedTuple):
     """A dispatched call and since when."""
 
-    ask: requests.Ask
+    ask: requests.SlotRequest
     grant: requests.Grant
     job: engine_model.Job
     start: float
@@ -66,7 +66,7 @@
         self._loop = asyncio.get_running_loop()
         self._open: dict[ids.RequestId, _Open] = {}
         self._granted: dict[
-            ids.RequestId, tuple[requests.Ask, requests.Grant]
+            ids.RequestId, tuple[requests.SlotRequest, requests.Grant]
         ] = {}
         self._link = leader_link.LeaderLink(self._make, self._open_grants)
         self._reporter = asyncio.create_task(self._report_progress())
@@ -216,9 +216,9 @@
             )
 
 
-def _ask_for(call: traffic.Call) -> requests.Ask:
+def _ask_for(call: traffic.Call) -> requests.SlotRequest:
     intent = call.intent
-    return requests.Ask(
+    return requests.SlotRequest(
         call.request_id,
         ids.HostId(f'entry-{call.host}'),
         _POOL,
--- a/libs/fakes/geraniumweir/fakes/bench_decisions.py
+++ b/libs/fakes/geraniumweir/fakes/bench_decisions.py
@@ -72,7 +72,7 @@
 
 def _busy(
     leader: leaders.PoolLeader,
-    asks: typing.Iterator[requests.Ask],
+    asks: typing.Iterator[requests.SlotRequest],
     waiting: int,
     granted: list[ids.RequestId],
 ) -> tuple[list[float], list[float]]:
@@ -86,7 +86,7 @@
 
 def rounds(
     leader: leaders.PoolLeader,
-    coming: typing.Iterable[tuple[ids.RequestId, requests.Ask]],
+    coming: typing.Iterable[tuple[ids.RequestId, requests.SlotRequest]],
 ) -> tuple[list['_Began'], list[float]]:
     """Let one more wait, then end a grant, and so on.
 
@@ -117,7 +117,7 @@
 
 def fill_servers(
     leader: leaders.PoolLeader,
-    asks: typing.Iterator[requests.Ask],
+    asks: typing.Iterator[requests.SlotRequest],
     slots: int,
 ) -> tuple[list[float], list[ids.RequestId]]:
     free: list[float] = []
@@ -137,7 +137,7 @@
 ]
 
 
-def begin(leader: leaders.PoolLeader, ask: requests.Ask) -> _Began:
+def begin(leader: leaders.PoolLeader, ask: requests.SlotRequest) -> _Began:
     """Run an ask until it waits or is granted, and time that."""
     coro = leader.ask(ask)
     began = time.process_time()
@@ -162,10 +162,12 @@
     return time.process_time() - began
 
 
-def make_asks(dice: random.Random, now: float) -> typing.Iterator[requests.Ask]:
+def make_asks(
+    dice: random.Random, now: float
+) -> typing.Iterator[requests.SlotRequest]:
     for number in itertools.count():
         start = dice.randrange(_RULES)
-        yield requests.Ask(
+        yield requests.SlotRequest(
             request_id=ids.RequestId(f'request-{number}'),
             owner=ids.HostId('host'),
             pool=_POOL,
--- a/libs/fakes/geraniumweir/fakes/rollouts/playing.py
+++ b/libs/fakes/geraniumweir/fakes/rollouts/playing.py
@@ -194,7 +194,7 @@
     async def _caller(self) -> None:
         rare = self._chance.random() < _RARE_PART
         now = self._now()
-        ask = requests.Ask(
+        ask = requests.SlotRequest(
             request_id=ids.RequestId(f'{self._chance.getrandbits(_ID_BITS):x}'),
             owner=ids.HostId('entry'),
             pool=POOL,
@@ -215,7 +215,9 @@
             return
         await self._serve(ask, answer)
 
-    async def _serve(self, ask: requests.Ask, grant: requests.Grant) -> None:
+    async def _serve(
+        self, ask: requests.SlotRequest, grant: requests.Grant
+    ) -> None:
         age = self._age()
         bad = self._count(ask, grant, age)
         name = grant.server_id
@@ -247,7 +249,7 @@
 
     def _count(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
         grant: requests.Grant,
         age: float,
     ) -> bool:
@@ -275,7 +277,7 @@
 
     def _is_bad_of_new(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
         name: ids.ServerId,
         age: float,
     ) -> bool:
--- a/libs/fakes/geraniumweir/fakes/slopes/remote.py
+++ b/libs/fakes/geraniumweir/fakes/slopes/remote.py
@@ -133,8 +133,8 @@
 )
 
 
-def _ask(request_id: ids.RequestId, now: float) -> requests.Ask:
-    return requests.Ask(
+def _ask(request_id: ids.RequestId, now: float) -> requests.SlotRequest:
+    return requests.SlotRequest(
         request_id=request_id,
         owner=OWNER,
         pool=_POOL,
--- a/libs/fakes/geraniumweir/fakes/surge/playing.py
+++ b/libs/fakes/geraniumweir/fakes/surge/playing.py
@@ -45,7 +45,7 @@
 class _Open:
     """A grant in use."""
 
-    ask: requests.Ask
+    ask: requests.SlotRequest
     grant: requests.Grant
     job: engine_model.Job
     start: float
@@ -117,10 +117,10 @@
 
     def _ask(
         self, caller: callers.Caller, attempt: int, end: float
-    ) -> requests.Ask:
+    ) -> requests.SlotRequest:
         now = self._loop.time()
         kind = caller.kind
-        return requests.Ask(
+        return requests.SlotRequest(
             ids.RequestId(f'{caller.name}.{attempt}'),
             self._rng.choice(tuple(self._turned)),
             _POOL,
@@ -141,7 +141,7 @@
 
     async def _answer(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial | None:
         """Wait for an answer, at one coordinator after the other."""
         answer = None
@@ -155,7 +155,7 @@
 
     async def _answer_of_one(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial | None:
         await self._turned[ask.owner].wait()
         asked = asyncio.create_task(self._leader.ask(ask))
@@ -173,7 +173,7 @@
     async def _serve(
         self,
         caller: callers.Caller,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
         grant: requests.Grant,
     ) -> None:
         engine = self._by_id[grant.server_id]
--- a/libs/gateway/geraniumweir/gateway/admission.py
+++ b/libs/gateway/geraniumweir/gateway/admission.py
@@ -73,7 +73,7 @@
     pool = index.pool(finding.choose_pool(route.targets, chance))
     if pool is None:
         raise refusals.starting()
-    ask = requests.Ask(
+    ask = requests.SlotRequest(
         request_id=asker.request_id,
         owner=asker.host_id,
         pool=pool.name,
--- a/libs/gateway/geraniumweir/gateway/forwarding.py
+++ b/libs/gateway/geraniumweir/gateway/forwarding.py
@@ -70,7 +70,7 @@
     body: bytes
     route: tables.Route
     customer: tables.Customer | None
-    ask: requests.Ask
+    ask: requests.SlotRequest
     deadline: float
     event_tokens: int
 
@@ -191,7 +191,7 @@
             requests.Release(grant.request_id, given_up),
         )
 
-    def _next_ask(self) -> requests.Ask:
+    def _next_ask(self) -> requests.SlotRequest:
         """Give the ask; what was counted once takes no quota again."""
         ask = self._admitted.ask
         cost = 0 if self._course.runs else ask.quota_cost
--- a/libs/gateway/geraniumweir/gateway/tests/bed.py
+++ b/libs/gateway/geraniumweir/gateway/tests/bed.py
@@ -132,7 +132,7 @@
 
     async def ask(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
         self.asked.append(ask.sending)
         if ask.sending is requests.Sending.retry and not self.retries:
--- a/libs/scheduling/geraniumweir/scheduling/admitting.py
+++ b/libs/scheduling/geraniumweir/scheduling/admitting.py
@@ -25,7 +25,7 @@
 
 def admit(
     leader: state.LeaderState,
-    ask: requests.Ask,
+    ask: requests.SlotRequest,
 ) -> records.Waiting | requests.Denial:
     """Take an ask that is neither waiting nor granted.
 
@@ -65,7 +65,7 @@
 
 def _deny_at_once(
     leader: state.LeaderState,
-    ask: requests.Ask,
+    ask: requests.SlotRequest,
 ) -> requests.Denial | None:
     reason = _refuse_at_once(leader, ask)
     if reason is not None:
@@ -82,7 +82,7 @@
 
 def _refuse_at_once(
     leader: state.LeaderState,
-    ask: requests.Ask,
+    ask: requests.SlotRequest,
 ) -> requests.DenialReason | None:
     now = leader.now()
     verdict = leader.suspects.verdict(ask.fingerprint, now)
@@ -98,7 +98,7 @@
     return leader.settled and leader.served_at < before
 
 
-def _over_rate(ask: requests.Ask, seconds: float) -> requests.Denial:
+def _over_rate(ask: requests.SlotRequest, seconds: float) -> requests.Denial:
     """Deny an ask over its rule's rate, which is no sign of overload."""
     return requests.Denial(
         ask.request_id,
@@ -126,7 +126,7 @@
 
 def _over_waiting_limit(
     leader: state.LeaderState,
-    ask: requests.Ask,
+    ask: requests.SlotRequest,
 ) -> bool:
     if ask.max_waiting is None:
         return False
@@ -136,7 +136,7 @@
 
 def _waiting(
     leader: state.LeaderState,
-    ask: requests.Ask,
+    ask: requests.SlotRequest,
 ) -> records.Waiting:
     leader.sequence += 1
     waiting = records.Waiting(
--- a/libs/scheduling/geraniumweir/scheduling/asking.py
+++ b/libs/scheduling/geraniumweir/scheduling/asking.py
@@ -43,7 +43,7 @@
 
     async def ask_at(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
         host: ids.HostId,
         *,
         home: bool,
--- a/libs/scheduling/geraniumweir/scheduling/broker.py
+++ b/libs/scheduling/geraniumweir/scheduling/broker.py
@@ -55,7 +55,7 @@
     :ivar ask: as it may go on to other failure domains.
     """
 
-    ask: requests.Ask
+    ask: requests.SlotRequest
     answer: _Answer
 
 
@@ -98,7 +98,7 @@
         self._withdrawn: set[ids.RequestId] = set()
         link.handle(ttypes.Preempt, self._on_preempt)
 
-    async def ask(self, ask: requests.Ask) -> _Answer:
+    async def ask(self, ask: requests.SlotRequest) -> _Answer:
         """Wait for a grant, here or in another failure domain.
 
         Whoever gets a grant dispatches at most once and then releases it.
@@ -153,7 +153,7 @@
     def _holder(self, found: owned.InUse) -> ids.HostId:
         return self._home.leader(found.ask.pool) if found.home else found.host
 
-    async def _ask_everywhere(self, ask: requests.Ask) -> _Answer:
+    async def _ask_everywhere(self, ask: requests.SlotRequest) -> _Answer:
         tried = await self._ask_home(ask)
         first = tried.answer
         if not _may_spill(first):
@@ -170,7 +170,7 @@
                 return answer
         return first
 
-    async def _ask_home(self, ask: requests.Ask) -> _Tried:
+    async def _ask_home(self, ask: requests.SlotRequest) -> _Tried:
         until = self._clock.now() + _HOME_PATIENCE
         while ask.request_id not in self._withdrawn:
             host = self._home.leader(ask.pool)
@@ -211,7 +211,7 @@
 
     async def _ask_there(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
         host: ids.HostId,
     ) -> _Answer | None:
         place = await self._ask_at(ask, host, at_home=False)
@@ -225,7 +225,7 @@
 
     async def _ask_at(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
         host: ids.HostId,
         *,
         at_home: bool,
--- a/libs/scheduling/geraniumweir/scheduling/gating.py
+++ b/libs/scheduling/geraniumweir/scheduling/gating.py
@@ -28,7 +28,7 @@
         counted: quotas.Quotas,
         budgets: retrybudget.RetryBudgets,
         now: typing.Callable[[], float],
-        on_ask: typing.Callable[[requests.Ask], None] | None = None,
+        on_ask: typing.Callable[[requests.SlotRequest], None] | None = None,
     ) -> None:
         """Count in windows that all pools share.
 
@@ -40,7 +40,7 @@
         self._now = now
         self._on_ask = on_ask
 
-    def admit(self, ask: requests.Ask) -> requests.Denial | None:
+    def admit(self, ask: requests.SlotRequest) -> requests.Denial | None:
         """Charge an ask, or tell when it may come again."""
         if self._on_ask is not None:
             self._on_ask(ask)
@@ -67,14 +67,14 @@
             self._budgets.take(ask.pool, now)
         return None
 
-    def granted(self, ask: requests.Ask) -> None:
+    def granted(self, ask: requests.SlotRequest) -> None:
         """Take that an ask that was let through got a grant."""
         if ask.sending is requests.Sending.retry:
             self._budgets.granted(ask.pool, self._now())
 
     def undo(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
         charge: led.Charge,
         outcome: requests.Outcome,
     ) -> None:
@@ -91,7 +91,7 @@
 
 
 def _no_retry(
-    ask: requests.Ask,
+    ask: requests.SlotRequest,
     level: retrybudget.Level,
 ) -> requests.Denial:
     eventlog.emit(
--- a/libs/scheduling/geraniumweir/scheduling/joining.py
+++ b/libs/scheduling/geraniumweir/scheduling/joining.py
@@ -13,7 +13,7 @@
     :ivar joined: asks that wait for the same answer.
     """
 
-    ask: requests.Ask
+    ask: requests.SlotRequest
     fut: asyncio.Future[requests.Grant | requests.Denial]
     joined: int
 
--- a/libs/scheduling/geraniumweir/scheduling/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/leader.py
@@ -65,7 +65,7 @@
 
     async def ask(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
         """Wait for a backend server.
 
--- a/libs/scheduling/geraniumweir/scheduling/learning.py
+++ b/libs/scheduling/geraniumweir/scheduling/learning.py
@@ -307,6 +307,6 @@
     return otherwise if ratio is None else ratio
 
 
-def length_of(lengths: OutputLengths, ask: requests.Ask) -> Expected:
+def length_of(lengths: OutputLengths, ask: requests.SlotRequest) -> Expected:
     """Predict the output length of an ask."""
     return lengths.expect(ask.rule, ask.customer, ask.max_tokens)
--- a/libs/scheduling/geraniumweir/scheduling/led.py
+++ b/libs/scheduling/geraniumweir/scheduling/led.py
@@ -32,15 +32,15 @@
 class Gate(typing.Protocol):
     """What an ask must pass before the leader sees it."""
 
-    def admit(self, ask: requests.Ask) -> requests.Denial | None:
+    def admit(self, ask: requests.SlotRequest) -> requests.Denial | None:
         """Let an ask through, or deny it."""
 
-    def granted(self, ask: requests.Ask) -> None:
+    def granted(self, ask: requests.SlotRequest) -> None:
         """Take that an ask that was let through got a grant."""
 
     def undo(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
         charge: Charge,
         outcome: requests.Outcome,
     ) -> None:
@@ -62,7 +62,7 @@
     :ivar charge: what the gate charged here, None for nothing.
     """
 
-    ask: requests.Ask
+    ask: requests.SlotRequest
     attempt: int
     work: asyncio.Task[None] | None = None
     answer: Answer | None = None
@@ -101,7 +101,7 @@
         self._gate = gate
         self._heard: dict[ids.HostId, float] = {}
 
-    def join(self, ask: requests.Ask, attempt: int) -> Entry | None:
+    def join(self, ask: requests.SlotRequest, attempt: int) -> Entry | None:
         """Take an ask, or find it here already.
 
         :returns: None when the owner has asked anew since.
--- a/libs/scheduling/geraniumweir/scheduling/ontime/classes.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/classes.py
@@ -184,6 +184,6 @@
         return 1
 
 
-def class_of(ask: requests.Ask) -> Class:
+def class_of(ask: requests.SlotRequest) -> Class:
     """Give the class of a request."""
     return Class(ask.tier, ask.rank)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -83,7 +83,7 @@
 
     async def ask(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
         """Wait for a backend server.
 
@@ -183,7 +183,9 @@
         fleet.sync(self._state)
         return fleet.rollout_load(self._state)
 
-    def _deny_at_once(self, ask: requests.Ask) -> requests.Denial | None:
+    def _deny_at_once(
+        self, ask: requests.SlotRequest
+    ) -> requests.Denial | None:
         now = self._state.now()
         known = self._state.suspects
         verdict = known.verdict(ask.fingerprint, now)
@@ -196,7 +198,7 @@
             return state.denial(self._state, ask, too_late)
         return None
 
-    def _enqueue(self, ask: requests.Ask) -> records.Waiting:
+    def _enqueue(self, ask: requests.SlotRequest) -> records.Waiting:
         now = self._state.now()
         self._state.sequence += 1
         self._state.arriving.note(now)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
@@ -22,7 +22,9 @@
 _LENGTH_WEIGHT = 0.1
 
 
-def expected_tokens(leader: state.LeaderState, ask: requests.Ask) -> float:
+def expected_tokens(
+    leader: state.LeaderState, ask: requests.SlotRequest
+) -> float:
     """Give the output tokens to expect: as said, as usual, or half."""
     most = ask.max_tokens or float('inf')
     usual = leader.lengths.get(ask.rule, ask.max_tokens * _USUAL_PART)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
@@ -81,7 +81,7 @@
     reading: float
     longest_read: float
 
-    def first(self, ask: requests.Ask) -> float:
+    def first(self, ask: requests.SlotRequest) -> float:
         """Predict the seconds to a first token."""
         if not ask.streams:
             return self.fixed + self.each * ask.prompt_tokens
@@ -97,7 +97,7 @@
             return first
         return first + self.decode * waiting.tokens
 
-    def read(self, ask: requests.Ask) -> float:
+    def read(self, ask: requests.SlotRequest) -> float:
         """Give the prompt tokens to read before the first token."""
         if not ask.streams:
             return ask.prompt_tokens
@@ -266,7 +266,7 @@
 
 def _risk(
     server: records.Server,
-    ask: requests.Ask,
+    ask: requests.SlotRequest,
     learnt: Learnt,
 ) -> float:
     """Give how much dearer a server is for the answers that come to nothing."""
--- a/libs/scheduling/geraniumweir/scheduling/ontime/records.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/records.py
@@ -30,7 +30,7 @@
     :ivar joined: asks that wait for the same answer.
     """
 
-    ask: requests.Ask
+    ask: requests.SlotRequest
     sequence: int
     arrived: float
     waited: float
@@ -55,7 +55,7 @@
     :ivar tokens: output tokens expected.
     """
 
-    ask: requests.Ask
+    ask: requests.SlotRequest
     grant: requests.Grant
     granted: float
     read_tokens: float
--- a/libs/scheduling/geraniumweir/scheduling/ontime/state.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/state.py
@@ -131,7 +131,7 @@
 
 def denial(
     leader: LeaderState,
-    ask: requests.Ask,
+    ask: requests.SlotRequest,
     reason: requests.DenialReason,
 ) -> requests.Denial:
     """Make a denial, with the time in which a repeat may find a slot.
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/play.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/play.py
@@ -27,9 +27,9 @@
     )
 
 
-def ask(name: str, now: float, **changes: typing.Any) -> requests.Ask:
+def ask(name: str, now: float, **changes: typing.Any) -> requests.SlotRequest:
     """Make an ask whose first token is due within 0.4 s."""
-    made = requests.Ask(
+    made = requests.SlotRequest(
         ids.RequestId(name),
         ids.HostId('entry'),
         POOL,
@@ -179,7 +179,7 @@
 
 async def _patient(
     pool: leader.OnTimeLeader,
-    made: requests.Ask,
+    made: requests.SlotRequest,
 ) -> requests.Grant | requests.Denial | None:
     try:
         async with asyncio.timeout_at(made.patience):
--- a/libs/scheduling/geraniumweir/scheduling/owned.py
+++ b/libs/scheduling/geraniumweir/scheduling/owned.py
@@ -27,7 +27,7 @@
     :ivar delivery: sends the ask until the leader has it.
     """
 
-    ask: requests.Ask
+    ask: requests.SlotRequest
     host: ids.HostId
     home: bool
     attempt: int
@@ -55,7 +55,7 @@
     :ivar since: time of the grant in seconds.
     """
 
-    ask: requests.Ask
+    ask: requests.SlotRequest
     grant: requests.Grant
     host: ids.HostId
     home: bool
--- a/libs/scheduling/geraniumweir/scheduling/records.py
+++ b/libs/scheduling/geraniumweir/scheduling/records.py
@@ -28,7 +28,7 @@
     models: tuple[str, ...]
     max_context: int
 
-    def serves(self, ask: requests.Ask) -> bool:
+    def serves(self, ask: requests.SlotRequest) -> bool:
         """Tell whether a server of this class can run a request at all."""
         if ask.model is not None and self.models:
             if ask.model not in self.models:
@@ -54,7 +54,7 @@
     :ivar held: a suspect, or kept back by its rule's limit.
     """
 
-    ask: requests.Ask
+    ask: requests.SlotRequest
     sequence: int
     arrived: float
     fut: asyncio.Future[requests.Grant | requests.Denial]
@@ -95,7 +95,7 @@
     :ivar due: when the next sign of progress is late.
     """
 
-    ask: requests.Ask
+    ask: requests.SlotRequest
     grant: requests.Grant
     granted: float
     expected: learning.Expected
--- a/libs/scheduling/geraniumweir/scheduling/requests.py
+++ b/libs/scheduling/geraniumweir/scheduling/requests.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ask:
+class SlotRequest:
     """A request that waits for a backend server.
 
     :ivar deadline: the whole answer is due then; seconds on the clock of
@@ -228,7 +228,7 @@
     :ivar age: seconds since dispatch.
     """
 
-    ask: Ask
+    ask: SlotRequest
     grant: Grant
     age: float = 0
     first_token: float | None = None
--- a/libs/scheduling/geraniumweir/scheduling/retrycounts.py
+++ b/libs/scheduling/geraniumweir/scheduling/retrycounts.py
@@ -190,7 +190,7 @@
 
     def note(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
         answer: requests.Grant | requests.Denial,
         now: float,
     ) -> None:
--- a/libs/scheduling/geraniumweir/scheduling/shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/shedding.py
@@ -142,7 +142,7 @@
 
 def denial(
     leader: state.LeaderState,
-    ask: requests.Ask,
+    ask: requests.SlotRequest,
     reason: requests.DenialReason,
 ) -> requests.Denial:
     """Make a denial, with a time to come back, and remember it."""
@@ -172,7 +172,7 @@
     )
 
 
-def make_room(leader: state.LeaderState, ask: requests.Ask) -> bool:
+def make_room(leader: state.LeaderState, ask: requests.SlotRequest) -> bool:
     """Shed the lowest, latest request if it is lower than a newcomer."""
     for tier in reversed(ids.Tier):
         if tier <= ask.tier:
--- a/libs/scheduling/geraniumweir/scheduling/spending.py
+++ b/libs/scheduling/geraniumweir/scheduling/spending.py
@@ -60,7 +60,9 @@
         self._started = started
         self._retries = retries
         self._windows = windows.by_customer(seconds)
-        self._in_use: dict[ids.RequestId, tuple[requests.Ask, float]] = {}
+        self._in_use: dict[
+            ids.RequestId, tuple[requests.SlotRequest, float]
+        ] = {}
 
     def spent(self, host_id: ids.HostId) -> Spent:
         """Tell a host what was granted within the window that ends now."""
@@ -80,7 +82,7 @@
             self._retries.told_to(host_id, now),
         )
 
-    async def ask(self, ask: requests.Ask) -> _Answer:
+    async def ask(self, ask: requests.SlotRequest) -> _Answer:
         """Wait for a grant."""
         answer = await self._scheduler.ask(ask)
         now = self._clock.now()
--- a/libs/scheduling/geraniumweir/scheduling/spill.py
+++ b/libs/scheduling/geraniumweir/scheduling/spill.py
@@ -28,7 +28,7 @@
 
 
 def in_order(
-    ask: requests.Ask,
+    ask: requests.SlotRequest,
     pools: typing.Iterable[views.RemotePool],
 ) -> list[views.RemotePool]:
     """Sort pools, the best for an ask first.
@@ -49,7 +49,7 @@
     )
 
 
-def _free(ask: requests.Ask, summary: requests.PoolSummary) -> int:
+def _free(ask: requests.SlotRequest, summary: requests.PoolSummary) -> int:
     return sum(
         capacity.free
         for capacity in summary.capacity
@@ -57,7 +57,9 @@
     )
 
 
-def _serves_lower(ask: requests.Ask, summary: requests.PoolSummary) -> bool:
+def _serves_lower(
+    ask: requests.SlotRequest, summary: requests.PoolSummary
+) -> bool:
     lowest = summary.lowest_served
     return lowest is not None and lowest > ask.tier
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/scenes.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/scenes.py
@@ -57,7 +57,9 @@
         )
         self.numbers = itertools.count(1)
 
-    def make(self, wait: float = 60, **fields: typing.Any) -> requests.Ask:
+    def make(
+        self, wait: float = 60, **fields: typing.Any
+    ) -> requests.SlotRequest:
         """Make up an ask that is due in some seconds."""
         number = next(self.numbers)
         known: dict[str, typing.Any] = {
@@ -70,7 +72,7 @@
             'streams': False,
             'fingerprint': ids.Fingerprint(number),
         }
-        return requests.Ask(
+        return requests.SlotRequest(
             owner=HOST,
             pool=POOL,
             deadline=self.loop.time() + wait,
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_awaited_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_awaited_leader.py
@@ -74,7 +74,7 @@
     def ask(self) -> asyncio.Task[requests.Grant | requests.Denial]:
         """Ask for a grant."""
         now = asyncio.get_running_loop().time()
-        ask = requests.Ask(
+        ask = requests.SlotRequest(
             ids.RequestId('r'),
             _ENTRY,
             _POOL,
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_gating.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_gating.py
@@ -17,7 +17,7 @@
 _OWNER = ids.HostId('owner')
 _NOW = 100.0
 _LEADER = retrybudget.Scope(lambda: True, lambda: 1)
-_FIRST = requests.Ask(
+_FIRST = requests.SlotRequest(
     request_id=ids.RequestId('r'),
     owner=_OWNER,
     pool=_POOL,
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self.may_grant = asyncio.Event()
 
-    async def ask(self, _ask: requests.Ask) -> requests.Grant:
+    async def ask(self, _ask: requests.SlotRequest) -> requests.Grant:
         await self.may_grant.wait()
         return _GRANT
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
@@ -33,7 +33,7 @@
 class _Use:
     """A grant in use as its owner sees it."""
 
-    ask: requests.Ask
+    ask: requests.SlotRequest
     grant: requests.Grant
     since: float
 
@@ -46,10 +46,11 @@
         super().__init__()
         self.loop = virtual.VirtualTimeLoop()
         self.runner = asyncio.Runner(loop_factory=lambda: self.loop)
-        self.asked: dict[ids.RequestId, requests.Ask] = {}
+        self.asked: dict[ids.RequestId, requests.SlotRequest] = {}
         self.used: dict[ids.RequestId, _Use] = {}
         self.tasks: dict[
-            ids.RequestId, tuple[requests.Ask, asyncio.Task[scenes.Answer]]
+            ids.RequestId,
+            tuple[requests.SlotRequest, asyncio.Task[scenes.Answer]],
         ] = {}
         self.prompt = True
         self.incarnations: collections.Counter[str] = collections.Counter()
@@ -93,7 +94,7 @@
         )
         self._ask(ask)
 
-    def _ask(self, ask: requests.Ask) -> None:
+    def _ask(self, ask: requests.SlotRequest) -> None:
         self.asked[ask.request_id] = ask
         task = self.loop.create_task(self.scene.leader.ask(ask))
         self.tasks[ask.request_id] = (ask, task)
@@ -269,7 +270,9 @@
                 self.tasks.pop(ask.request_id)
                 self._answered(ask, task.result())
 
-    def _answered(self, ask: requests.Ask, answer: scenes.Answer) -> None:
+    def _answered(
+        self, ask: requests.SlotRequest, answer: scenes.Answer
+    ) -> None:
         match answer:
             case requests.Grant():
                 assert ask.request_id not in self.used
@@ -278,7 +281,7 @@
             case requests.Denial(reason=reason) if reason in _FOR_CAPACITY:
                 self._check_denial(ask)
 
-    def _check_denial(self, denied: requests.Ask) -> None:
+    def _check_denial(self, denied: requests.SlotRequest) -> None:
         """No lower tier runs where the denied request could have run."""
         if any(one.request_id in self.used for one in self.scene.preempts):
             # Owners are late with what should have made way.
@@ -334,14 +337,16 @@
         self.runner.close()
 
 
-def _could_have_made_way(uses: list[_Use], denied: requests.Ask) -> bool:
+def _could_have_made_way(
+    uses: list[_Use], denied: requests.SlotRequest
+) -> bool:
     """Tell whether lower streams of a server held the room for a request."""
     staying = [use.ask for use in uses if not _spared(use, denied)]
     tokens = sum(ask.prompt_tokens + _MOST_OUTPUT for ask in (*staying, denied))
     return len(staying) < len(uses) and tokens <= _KV_TOKENS
 
 
-def _spared(use: _Use, denied: requests.Ask) -> bool:
+def _spared(use: _Use, denied: requests.SlotRequest) -> bool:
     return use.ask.idempotent and use.ask.tier > denied.tier
 
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_led.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_led.py
@@ -29,8 +29,8 @@
 _PACKED = ttypes.Grant('server', 1, '127.0.0.1:1')
 
 
-def _ask() -> requests.Ask:
-    return requests.Ask(
+def _ask() -> requests.SlotRequest:
+    return requests.SlotRequest(
         _REQUEST,
         _OWNER,
         _POOL,
@@ -48,7 +48,7 @@
         self.asked: list[asyncio.Future[led.Answer]] = []
         self.log: list[typing.Any] = []
 
-    async def ask(self, _ask: requests.Ask) -> led.Answer:
+    async def ask(self, _ask: requests.SlotRequest) -> led.Answer:
         self.asked.append(asyncio.get_running_loop().create_future())
         return await self.asked[-1]
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_spending.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_spending.py
@@ -22,7 +22,7 @@
 
     async def ask(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
         """Answer at once."""
         if not self.grants:
@@ -60,7 +60,7 @@
     async def ask(self, name: str, cost: float) -> None:
         """Ask for a request of the customer."""
         await self.spending.ask(
-            requests.Ask(
+            requests.SlotRequest(
                 request_id=ids.RequestId(name),
                 owner=ids.HostId('here'),
                 pool=ids.PoolName('pool'),
--- a/libs/scheduling/geraniumweir/scheduling/tests/world.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/world.py
@@ -209,7 +209,7 @@
     async def _serve(
         self,
         host: Host,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
         seconds: float,
     ) -> None:
         answer = await host.broker.ask(ask)
@@ -272,9 +272,9 @@
     name: str,
     deadline: float,
     tier: ids.Tier = ids.Tier.normal,
-) -> requests.Ask:
+) -> requests.SlotRequest:
     """Give an ask; its block hash needs all of its 64 bits."""
-    return requests.Ask(
+    return requests.SlotRequest(
         request_id=ids.RequestId(name),
         owner=owner,
         pool=POOL,
--- a/libs/scheduling/geraniumweir/scheduling/translation.py
+++ b/libs/scheduling/geraniumweir/scheduling/translation.py
@@ -16,7 +16,7 @@
 _SIGN_BIT = _RANGE >> 1
 
 
-def pack_ask(ask: requests.Ask, attempt: int, now: float) -> ttypes.Ask:
+def pack_ask(ask: requests.SlotRequest, attempt: int, now: float) -> ttypes.Ask:
     """Give the message of an ask."""
     return ttypes.Ask(
         request_id=ask.request_id,
@@ -49,12 +49,12 @@
     )
 
 
-def unpack_ask(message: ttypes.Ask, now: float) -> requests.Ask:
+def unpack_ask(message: ttypes.Ask, now: float) -> requests.SlotRequest:
     """Read the message of an ask.
 
     :raises ValueError: when there is no such tier or sending.
     """
-    return requests.Ask(
+    return requests.SlotRequest(
         request_id=ids.RequestId(message.request_id),
         owner=ids.HostId(message.owner),
         pool=ids.PoolName(message.pool),
--- a/libs/scheduling/geraniumweir/scheduling/views.py
+++ b/libs/scheduling/geraniumweir/scheduling/views.py
@@ -50,7 +50,7 @@
 
     async def ask(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
         """Wait for a backend server; a repeated id joins the first."""
 
--- a/libs/scheduling/geraniumweir/scheduling/waitlist.py
+++ b/libs/scheduling/geraniumweir/scheduling/waitlist.py
@@ -123,7 +123,7 @@
     )
 
 
-def is_suspect(leader: state.LeaderState, ask: requests.Ask) -> bool:
+def is_suspect(leader: state.LeaderState, ask: requests.SlotRequest) -> bool:
     """Tell whether a request may crash the server that runs it."""
     verdict = leader.suspects.verdict(ask.fingerprint, leader.now())
     return verdict is not suspects.Verdict.clear
@@ -131,7 +131,7 @@
 
 def over_running_limit(
     leader: state.LeaderState,
-    ask: requests.Ask,
+    ask: requests.SlotRequest,
 ) -> bool:
     """Tell whether a request's rule runs as many as it may."""
     if ask.max_running is None:
