--- a/libs/daemon/geraniumweir/daemon/dispatching.py
+++ b/libs/daemon/geraniumweir/daemon/dispatching.py
@@ -170,7 +170,7 @@
     asked = asyncio.get_running_loop().time()
     try:
         with tracer.span(job.request_id, traces.Hop.queue):
-            answer = await scheduler.ask(job.admitted.ask)
+            answer = await scheduler.request_slot(job.admitted.ask)
     except asyncio.CancelledError:
         scheduler.withdraw(job.request_id)
         # The grant may have been on its way already.
--- a/libs/daemon/geraniumweir/daemon/tests/test_gauges.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_gauges.py
@@ -95,7 +95,9 @@
             mine.host.put_in_force(rules)
             mine.host.announce(_server())
             calls = [
-                asyncio.create_task(mine.host.scheduler(_POOL).ask(ask))
+                asyncio.create_task(
+                    mine.host.scheduler(_POOL).request_slot(ask)
+                )
                 for ask in (_ask(mine.host, 1), _ask(mine.host, 2))
             ]
             pool = f'pool="{_POOL}"'
--- a/libs/fakes/geraniumweir/fakes/bench/leader_link.py
+++ b/libs/fakes/geraniumweir/fakes/bench/leader_link.py
@@ -84,7 +84,7 @@
         owner: leader.PoolLeader,
         ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial | None:
-        asking = asyncio.create_task(owner.ask(ask))
+        asking = asyncio.create_task(owner.request_slot(ask))
         losing = asyncio.create_task(self._lost.wait())
         try:
             await asyncio.wait(
--- a/libs/fakes/geraniumweir/fakes/bench_decisions.py
+++ b/libs/fakes/geraniumweir/fakes/bench_decisions.py
@@ -139,7 +139,7 @@
 
 def begin(leader: leaders.PoolLeader, ask: requests.SlotRequest) -> _Began:
     """Run an ask until it waits or is granted, and time that."""
-    coro = leader.ask(ask)
+    coro = leader.request_slot(ask)
     began = time.process_time()
     grant = None
     try:
--- a/libs/fakes/geraniumweir/fakes/rollouts/playing.py
+++ b/libs/fakes/geraniumweir/fakes/rollouts/playing.py
@@ -209,7 +209,7 @@
             target=now + 1,
             patience=now + 5,
         )
-        answer = await self._leader.ask(ask)
+        answer = await self._leader.request_slot(ask)
         if isinstance(answer, requests.Denial):
             self._result.refused += 1
             return
--- a/libs/fakes/geraniumweir/fakes/slopes/remote.py
+++ b/libs/fakes/geraniumweir/fakes/slopes/remote.py
@@ -91,7 +91,9 @@
             await self._cycle(ids.RequestId(f'{number:032x}'))
 
     async def _cycle(self, request_id: ids.RequestId) -> None:
-        answer = await self.broker.ask(_ask(request_id, self._clock.now()))
+        answer = await self.broker.request_slot(
+            _ask(request_id, self._clock.now())
+        )
         if isinstance(answer, requests.Denial):
             raise RuntimeError(f'denied: {answer.reason}')
         self.broker.progress(requests.Progress(request_id, _FIRST_TOKEN, 10))
--- a/libs/fakes/geraniumweir/fakes/surge/playing.py
+++ b/libs/fakes/geraniumweir/fakes/surge/playing.py
@@ -158,7 +158,7 @@
         ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial | None:
         await self._turned[ask.owner].wait()
-        asked = asyncio.create_task(self._leader.ask(ask))
+        asked = asyncio.create_task(self._leader.request_slot(ask))
         lost = asyncio.create_task(self._lost.wait())
         try:
             await asyncio.wait(
--- a/libs/gateway/geraniumweir/gateway/forwarding.py
+++ b/libs/gateway/geraniumweir/gateway/forwarding.py
@@ -167,7 +167,7 @@
         while True:
             ask = self._next_ask()
             self._course.asked = True
-            answer = await self._means.scheduler.ask(ask)
+            answer = await self._means.scheduler.request_slot(ask)
             cause = None
             if isinstance(answer, requests.Grant):
                 cause = self._means.check.stops(answer)
--- a/libs/gateway/geraniumweir/gateway/tests/bed.py
+++ b/libs/gateway/geraniumweir/gateway/tests/bed.py
@@ -130,7 +130,7 @@
         self._servers = servers
         self.turn = 0
 
-    async def ask(
+    async def request_slot(
         self,
         ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
--- a/libs/scheduling/geraniumweir/scheduling/broker.py
+++ b/libs/scheduling/geraniumweir/scheduling/broker.py
@@ -98,7 +98,7 @@
         self._withdrawn: set[ids.RequestId] = set()
         link.handle(ttypes.Preempt, self._on_preempt)
 
-    async def ask(self, ask: requests.SlotRequest) -> _Answer:
+    async def request_slot(self, ask: requests.SlotRequest) -> _Answer:
         """Wait for a grant, here or in another failure domain.
 
         Whoever gets a grant dispatches at most once and then releases it.
--- a/libs/scheduling/geraniumweir/scheduling/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/leader.py
@@ -63,7 +63,7 @@
             suspects=suspects.Suspects(cfg.quarantine_seconds, cfg.origin),
         )
 
-    async def ask(
+    async def request_slot(
         self,
         ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
--- a/libs/scheduling/geraniumweir/scheduling/led.py
+++ b/libs/scheduling/geraniumweir/scheduling/led.py
@@ -225,7 +225,7 @@
             if denial is not None:
                 return denial
             entry.charge = Charge(self._now())
-        answer = await self.leader.ask(entry.ask)
+        answer = await self.leader.request_slot(entry.ask)
         if isinstance(answer, requests.Grant):
             self._granted(entry)
         return answer
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -81,7 +81,7 @@
         """Give what is known of requests that crash servers."""
         return self._state.suspects
 
-    async def ask(
+    async def request_slot(
         self,
         ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/play.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/play.py
@@ -183,7 +183,7 @@
 ) -> requests.Grant | requests.Denial | None:
     try:
         async with asyncio.timeout_at(made.patience):
-            return await pool.ask(made)
+            return await pool.request_slot(made)
     except TimeoutError:
         return None
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_crashes.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_crashes.py
@@ -37,7 +37,7 @@
         """
         self._number += 1
         ask = play.ask(str(self._number), self._now(), fingerprint=content)
-        answer = await self.leader.ask(ask)
+        answer = await self.leader.request_slot(ask)
         if isinstance(answer, requests.Denial):
             assert answer.reason is requests.DenialReason.quarantined
             return None
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_leader.py
@@ -90,7 +90,7 @@
     **changes: object,
 ) -> requests.Grant:
     now = asyncio.get_running_loop().time()
-    answer = await pool.ask(play.ask(name, now, **changes))
+    answer = await pool.request_slot(play.ask(name, now, **changes))
     assert isinstance(answer, requests.Grant)
     return answer
 
@@ -159,16 +159,16 @@
         loop = asyncio.get_running_loop()
         pool = play.make(play.server('a', 1), now=loop.time)
         await _granted(pool, 'running')
-        first = await pool.ask(
+        first = await pool.request_slot(
             play.ask('x.1', 0, fingerprint=ids.Fingerprint(7), patience=0.1),
         )
         assert isinstance(first, requests.Denial)
         await asyncio.sleep(0.35)
         now = loop.time()
         again = play.ask('x.2', now, fingerprint=ids.Fingerprint(7))
-        repeat = asyncio.create_task(pool.ask(again))
+        repeat = asyncio.create_task(pool.request_slot(again))
         await asyncio.sleep(0)
-        newcomer = asyncio.create_task(pool.ask(play.ask('y', now)))
+        newcomer = asyncio.create_task(pool.request_slot(play.ask('y', now)))
         await asyncio.sleep(0)
         done = requests.Outcome.done
         pool.release(
@@ -210,7 +210,7 @@
         await _granted(pool, 'stream', gap=0.25)
         made = play.ask('long', loop.time(), prompt_tokens=reading)
         made = dataclasses.replace(made, target=loop.time() + 30)
-        long = asyncio.create_task(pool.ask(made))
+        long = asyncio.create_task(pool.request_slot(made))
         await asyncio.sleep(0.01)
         assert not long.done()
         long.cancel()
@@ -281,7 +281,9 @@
             play.ask(str(number), now, deadline=now + 3, target=now + 0.1)
             for number in range(200)
         ]
-        waiting = [asyncio.create_task(pool.ask(made)) for made in asks]
+        waiting = [
+            asyncio.create_task(pool.request_slot(made)) for made in asks
+        ]
         await asyncio.sleep(1)
         told = [task.result() for task in waiting if task.done()]
         denials = [one for one in told if isinstance(one, requests.Denial)]
@@ -302,7 +304,7 @@
         await _taught(pool, 0.1)
         now = loop.time()
         made = play.ask('endless', now, likely_tokens=20000, max_tokens=20000)
-        found = await pool.ask(made)
+        found = await pool.request_slot(made)
         assert isinstance(found, requests.Denial)
         assert loop.time() < now + _AT_ONCE
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_pauses.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_pauses.py
@@ -76,7 +76,7 @@
         started = asyncio.get_running_loop().time()
         while True:
             ask = play.ask(name, started, owner=host, **changes)
-            answer = await led.ask(ask)
+            answer = await led.request_slot(ask)
             if isinstance(answer, requests.Denial):
                 self.denied.append(answer)
                 return answer
@@ -190,7 +190,7 @@
         now = asyncio.get_running_loop().time()
         waiting = [
             asyncio.create_task(
-                led.ask(
+                led.request_slot(
                     play.ask(
                         f'w{number}',
                         now,
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_plain_overload.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_plain_overload.py
@@ -73,7 +73,7 @@
         streams=False,
         fingerprint=ids.Fingerprint(found.asked),
     )
-    answer = await pool.ask(ask)
+    answer = await pool.request_slot(ask)
     if isinstance(answer, requests.Denial):
         return
     median = math.log(_WORK_SECONDS) - _SPREAD**2 / 2
--- a/libs/scheduling/geraniumweir/scheduling/spending.py
+++ b/libs/scheduling/geraniumweir/scheduling/spending.py
@@ -82,9 +82,9 @@
             self._retries.told_to(host_id, now),
         )
 
-    async def ask(self, ask: requests.SlotRequest) -> _Answer:
+    async def request_slot(self, ask: requests.SlotRequest) -> _Answer:
         """Wait for a grant."""
-        answer = await self._scheduler.ask(ask)
+        answer = await self._scheduler.request_slot(ask)
         now = self._clock.now()
         self._retries.note(ask, answer, now)
         if isinstance(answer, requests.Grant) and ask.quota_cost:
--- a/libs/scheduling/geraniumweir/scheduling/tests/scenes.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/scenes.py
@@ -85,7 +85,9 @@
         **fields: typing.Any,
     ) -> asyncio.Task[Answer]:
         """Ask, and let the leader look at it."""
-        task = asyncio.create_task(self.leader.ask(self.make(wait, **fields)))
+        task = asyncio.create_task(
+            self.leader.request_slot(self.make(wait, **fields))
+        )
         await asyncio.sleep(0)
         return task
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_awaited_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_awaited_leader.py
@@ -83,7 +83,7 @@
             ids.Tier.normal,
             now + 10,
         )
-        return asyncio.create_task(self.broker.ask(ask))
+        return asyncio.create_task(self.broker.request_slot(ask))
 
     def elect(self) -> None:
         """Let the other host coordinate."""
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_faults.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_faults.py
@@ -94,10 +94,10 @@
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'), scenes.engine('two'))
         ask = scene.make()
-        first = await scene.leader.ask(ask)
+        first = await scene.leader.request_slot(ask)
         assert isinstance(first, requests.Grant)
         scene.end(first, requests.Outcome.not_sent)
-        second = await scene.leader.ask(ask)
+        second = await scene.leader.request_slot(ask)
         assert isinstance(second, requests.Grant)
         assert second.server_id != first.server_id
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_gating.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_gating.py
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self.may_grant = asyncio.Event()
 
-    async def ask(self, _ask: requests.SlotRequest) -> requests.Grant:
+    async def request_slot(self, _ask: requests.SlotRequest) -> requests.Grant:
         await self.may_grant.wait()
         return _GRANT
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
@@ -96,7 +96,7 @@
 
     def _ask(self, ask: requests.SlotRequest) -> None:
         self.asked[ask.request_id] = ask
-        task = self.loop.create_task(self.scene.leader.ask(ask))
+        task = self.loop.create_task(self.scene.leader.request_slot(ask))
         self.tasks[ask.request_id] = (ask, task)
         self._pass(0.001)
 
@@ -120,7 +120,7 @@
     def ask_again(self, pick: object) -> None:
         """An owner repeats an ask that waits."""
         ask, _ = pick.choice(list(self.tasks.values()))  # type: ignore
-        again = self.loop.create_task(self.scene.leader.ask(ask))
+        again = self.loop.create_task(self.scene.leader.request_slot(ask))
         self._pass(0.001)
         again.cancel()
 
@@ -249,7 +249,7 @@
         )
         self.scene.leader.settled()
         for waiting in asks:
-            coro = self.scene.leader.ask(waiting)
+            coro = self.scene.leader.request_slot(waiting)
             again = self.loop.create_task(coro)
             self.tasks[waiting.request_id] = (waiting, again)
         await asyncio.sleep(0.001)
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_leader.py
@@ -16,12 +16,15 @@
         scene = scenes.Scene(scenes.engine('one'))
         first = await scene.grant()
         ask = scene.make()
-        tasks = [asyncio.create_task(scene.leader.ask(ask)) for _ in range(2)]
+        tasks = [
+            asyncio.create_task(scene.leader.request_slot(ask))
+            for _ in range(2)
+        ]
         await asyncio.sleep(1)
         scene.end(first)
         grants = await asyncio.gather(*tasks)
         assert grants[0] is grants[1]
-        assert await scene.leader.ask(ask) is grants[0]
+        assert await scene.leader.request_slot(ask) is grants[0]
         assert scene.leader.summary().capacity[0].free == 0
 
     virtual.run(scenario())
@@ -96,7 +99,7 @@
         scene.leader.settled()
         await asyncio.sleep(0.5)
         assert not waiting.done()
-        assert await scene.leader.ask(ask) == grant
+        assert await scene.leader.request_slot(ask) == grant
         scene.end(grant)
         await scenes.granted(waiting)
 
@@ -148,7 +151,7 @@
         scene = scenes.Scene(scenes.engine('one'))
         await scene.grant()
         ask = scene.make()
-        waiting = asyncio.create_task(scene.leader.ask(ask))
+        waiting = asyncio.create_task(scene.leader.request_slot(ask))
         await asyncio.sleep(0)
         scene.leader.owner_gone(scenes.HOST)
         reason = await scenes.denied(waiting)
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_led.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_led.py
@@ -48,7 +48,7 @@
         self.asked: list[asyncio.Future[led.Answer]] = []
         self.log: list[typing.Any] = []
 
-    async def ask(self, _ask: requests.SlotRequest) -> led.Answer:
+    async def request_slot(self, _ask: requests.SlotRequest) -> led.Answer:
         self.asked.append(asyncio.get_running_loop().create_future())
         return await self.asked[-1]
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_over_tcp.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_over_tcp.py
@@ -54,7 +54,7 @@
         """Ask, hold the grant until told, release."""
         deadline = self.clock.now() + 30
         request = worlds.ask(self.peers.host_id, name, deadline)
-        grant = await self.broker.ask(request)
+        grant = await self.broker.request_slot(request)
         assert isinstance(grant, requests.Grant)
         await go_on.wait()
         done = requests.Outcome.done
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_rule_limits.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_rule_limits.py
@@ -18,7 +18,7 @@
     deadline = asyncio.get_running_loop().time() + 30
     ask = worlds.ask(host.host_id, name, deadline)
     limited = dataclasses.replace(ask, **limits)
-    return asyncio.create_task(host.broker.ask(limited))
+    return asyncio.create_task(host.broker.request_slot(limited))
 
 
 async def _from_each(
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_spending.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_spending.py
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self.grants = True
 
-    async def ask(
+    async def request_slot(
         self,
         ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
@@ -59,7 +59,7 @@
 
     async def ask(self, name: str, cost: float) -> None:
         """Ask for a request of the customer."""
-        await self.spending.ask(
+        await self.spending.request_slot(
             requests.SlotRequest(
                 request_id=ids.RequestId(name),
                 owner=ids.HostId('here'),
--- a/libs/scheduling/geraniumweir/scheduling/tests/world.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/world.py
@@ -212,7 +212,7 @@
         ask: requests.SlotRequest,
         seconds: float,
     ) -> None:
-        answer = await host.broker.ask(ask)
+        answer = await host.broker.request_slot(ask)
         self.answers[ask.request_id] = answer
         if isinstance(answer, requests.Denial):
             return
--- a/libs/scheduling/geraniumweir/scheduling/views.py
+++ b/libs/scheduling/geraniumweir/scheduling/views.py
@@ -48,7 +48,7 @@
 class Scheduler(typing.Protocol):
     """Grants capacity: a pool leader, or the broker that finds it."""
 
-    async def ask(
+    async def request_slot(
         self,
         ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
