--- a/libs/scheduling/geraniumweir/scheduling/admitting.py
+++ b/libs/scheduling/geraniumweir/scheduling/admitting.py
@@ -25,35 +25,37 @@
 
 def admit(
     leader: state.LeaderState,
-    ask: requests.SlotRequest,
+    slot_request: requests.SlotRequest,
 ) -> records.Waiting | requests.Denial:
     """Take an ask that is neither waiting nor granted.
 
     :returns: it as it waits, perhaps decided already, or a denial.
     """
     within_budget = leader.budgets.within_budget(
-        ask.customer,
-        ask.fingerprint,
+        slot_request.customer,
+        slot_request.fingerprint,
         leader.now(),
     )
-    denied = _deny_at_once(leader, ask)
+    denied = _deny_at_once(leader, slot_request)
     if denied is not None:
         return denied
-    waiting = _waiting(leader, ask)
+    waiting = _waiting(leader, slot_request)
     if _too_late(leader, waiting):
-        return shedding.denial(leader, ask, requests.DenialReason.too_late)
+        return shedding.denial(
+            leader, slot_request, requests.DenialReason.too_late
+        )
     if granting.try_now(leader, waiting):
         return waiting
     reason = _refuse_to_wait(leader, waiting, within_budget)
     if reason is not None:
-        return shedding.denial(leader, ask, reason)
+        return shedding.denial(leader, slot_request, reason)
     _wait(leader, waiting)
     return waiting
 
 
 def _wait(leader: state.LeaderState, waiting: records.Waiting) -> None:
     full = len(leader.waiting) >= leader.cfg.queue_limit
-    room = not full or shedding.make_room(leader, waiting.ask)
+    room = not full or shedding.make_room(leader, waiting.slot_request)
     waitlist.enqueue(leader, waiting)
     if room or shedding.preempt(leader, waiting):
         if not waiting.fut.done():
@@ -65,30 +67,32 @@
 
 def _deny_at_once(
     leader: state.LeaderState,
-    ask: requests.SlotRequest,
+    slot_request: requests.SlotRequest,
 ) -> requests.Denial | None:
-    reason = _refuse_at_once(leader, ask)
+    reason = _refuse_at_once(leader, slot_request)
     if reason is not None:
-        return shedding.denial(leader, ask, reason)
-    seconds = leader.rates.take(ask.rule, ask.rate_per_s, leader.now())
+        return shedding.denial(leader, slot_request, reason)
+    seconds = leader.rates.take(
+        slot_request.rule, slot_request.rate_per_s, leader.now()
+    )
     if seconds:
-        return _over_rate(ask, seconds)
+        return _over_rate(slot_request, seconds)
     if _serves_nothing(leader):
         # Counted above: another failure domain may serve the call.
         reason = requests.DenialReason.no_server
-        return shedding.denial(leader, ask, reason)
+        return shedding.denial(leader, slot_request, reason)
     return None
 
 
 def _refuse_at_once(
     leader: state.LeaderState,
-    ask: requests.SlotRequest,
+    slot_request: requests.SlotRequest,
 ) -> requests.DenialReason | None:
     now = leader.now()
-    verdict = leader.suspects.verdict(ask.fingerprint, now)
+    verdict = leader.suspects.verdict(slot_request.fingerprint, now)
     if verdict is suspects.Verdict.quarantined:
         return requests.DenialReason.quarantined
-    if ask.deadline <= now:
+    if slot_request.deadline <= now:
         return requests.DenialReason.too_late
     return None
 
@@ -98,10 +102,12 @@
     return leader.settled and leader.served_at < before
 
 
-def _over_rate(ask: requests.SlotRequest, seconds: float) -> requests.Denial:
+def _over_rate(
+    slot_request: requests.SlotRequest, seconds: float
+) -> requests.Denial:
     """Deny an ask over its rule's rate, which is no sign of overload."""
     return requests.Denial(
-        ask.request_id,
+        slot_request.request_id,
         requests.DenialReason.rule_limit,
         math.ceil(seconds * _MS),
     )
@@ -112,10 +118,10 @@
     waiting: records.Waiting,
     within_budget: bool,
 ) -> requests.DenialReason | None:
-    ask = waiting.ask
-    if _over_waiting_limit(leader, ask):
+    slot_request = waiting.slot_request
+    if _over_waiting_limit(leader, slot_request):
         return requests.DenialReason.rule_limit
-    if shedding.lower_is_served(leader, ask.tier):
+    if shedding.lower_is_served(leader, slot_request.tier):
         return None
     if not within_budget:
         return requests.DenialReason.shed
@@ -126,25 +132,25 @@
 
 def _over_waiting_limit(
     leader: state.LeaderState,
-    ask: requests.SlotRequest,
+    slot_request: requests.SlotRequest,
 ) -> bool:
-    if ask.max_waiting is None:
+    if slot_request.max_waiting is None:
         return False
-    rule = leader.rules.get(ask.rule, records.RuleCount())
-    return rule.waiting >= ask.max_waiting
+    rule = leader.rules.get(slot_request.rule, records.RuleCount())
+    return rule.waiting >= slot_request.max_waiting
 
 
 def _waiting(
     leader: state.LeaderState,
-    ask: requests.SlotRequest,
+    slot_request: requests.SlotRequest,
 ) -> records.Waiting:
     leader.sequence += 1
     waiting = records.Waiting(
-        ask,
+        slot_request,
         leader.sequence,
         leader.now(),
         asyncio.get_running_loop().create_future(),
-        learning.length_of(leader.lengths, ask),
+        learning.length_of(leader.lengths, slot_request),
     )
     _set_starts(leader, waiting)
     return waiting
@@ -160,7 +166,7 @@
     waiting.best_start = max(waiting.latest.values())
     if not waiting.expected.sure and waiting.best_start < leader.now():
         _doubt(leader, waiting)
-    seconds = waiting.ask.deadline - waiting.best_start
+    seconds = waiting.slot_request.deadline - waiting.best_start
     waiting.cost = seconds / leader.cfg.safety
 
 
@@ -182,7 +188,7 @@
     """
     if not waiting.latest or waiting.best_start >= leader.now():
         return False
-    if shedding.lower_is_served(leader, waiting.ask.tier):
+    if shedding.lower_is_served(leader, waiting.slot_request.tier):
         waiting.hope = _HOPE
         _set_starts(leader, waiting)
         if waiting.best_start >= leader.now():
@@ -207,13 +213,15 @@
     """
     if not waiting.latest:
         return False
-    ask = waiting.ask
+    slot_request = waiting.slot_request
     fair = leader.cost_by_flow[waiting.flow]
-    fair *= leader.queue.backlogged(ask.tier) / max(leader.slots, 1)
-    higher = shedding.work_above(leader, ask.tier) / max(leader.slots, 1)
+    fair *= leader.queue.backlogged(slot_request.tier) / max(leader.slots, 1)
+    higher = shedding.work_above(leader, slot_request.tier) / max(
+        leader.slots, 1
+    )
     seconds = min(
         higher + fair,
-        shedding.expected_wait(leader, ask.tier),
+        shedding.expected_wait(leader, slot_request.tier),
     )
     slack = waiting.best_start - leader.now()
     return seconds > _WAIT_FACTOR * slack + _WAIT_MARGIN
--- a/libs/scheduling/geraniumweir/scheduling/adoption.py
+++ b/libs/scheduling/geraniumweir/scheduling/adoption.py
@@ -19,7 +19,7 @@
 
 def adopt(leader: state.LeaderState, taken: requests.OpenGrant) -> None:
     """Count a grant in use that another leader gave."""
-    request_id = taken.ask.request_id
+    request_id = taken.slot_request.request_id
     if request_id in leader.running:
         return
     waiting = leader.waiting.get(request_id)
@@ -36,7 +36,7 @@
         orphans[request_id] = running
     else:
         fleet.attach(leader, server, running)
-        leader.prefixes.granted(server_id, taken.ask.blocks)
+        leader.prefixes.granted(server_id, taken.slot_request.blocks)
 
 
 def owner_gone(leader: state.LeaderState, owner: ids.HostId) -> None:
@@ -47,7 +47,7 @@
         progressing.release(
             leader,
             requests.Release(
-                running.ask.request_id,
+                running.slot_request.request_id,
                 requests.Outcome.cancelled,
             ),
         )
@@ -60,22 +60,22 @@
     owned: typing.Iterable[_Owned],
     owner: ids.HostId,
 ) -> list[_Owned]:
-    return [one for one in owned if one.ask.owner == owner]
+    return [one for one in owned if one.slot_request.owner == owner]
 
 
 def _running(
     leader: state.LeaderState,
     taken: requests.OpenGrant,
 ) -> records.Running:
-    expected = learning.length_of(leader.lengths, taken.ask)
+    expected = learning.length_of(leader.lengths, taken.slot_request)
     # How it went on until now is not known, so it is given its whole time.
-    left = max(taken.ask.deadline - leader.now(), 0)
+    left = max(taken.slot_request.deadline - leader.now(), 0)
     return records.Running(
-        ask=taken.ask,
+        slot_request=taken.slot_request,
         grant=taken.grant,
         granted=leader.now() - taken.age,
         expected=expected,
-        uncached=taken.ask.prompt_tokens,
+        uncached=taken.slot_request.prompt_tokens,
         ahead=0,
         prefill=0,
         beside=1,
--- a/libs/scheduling/geraniumweir/scheduling/affinity.py
+++ b/libs/scheduling/geraniumweir/scheduling/affinity.py
@@ -18,12 +18,12 @@
     waiting: records.Waiting,
 ) -> float:
     """Give the seconds of prefill that a server's cache saves a request."""
-    ask = waiting.ask
-    share = leader.prefixes.cached_share(server.server_id, ask.blocks)
+    slot_request = waiting.slot_request
+    share = leader.prefixes.cached_share(server.server_id, slot_request.blocks)
     if not share:
         return 0
-    return predicting.rates_of(leader, server, ask.model).prefill * (
-        share * ask.prompt_tokens
+    return predicting.rates_of(leader, server, slot_request.model).prefill * (
+        share * slot_request.prompt_tokens
     )
 
 
@@ -42,9 +42,9 @@
     running: records.Running,
 ) -> None:
     """Take that a server begins to compute a prompt that others may share."""
-    if not running.ask.blocks or running.prefill < _LEAST_SAVED:
+    if not running.slot_request.blocks or running.prefill < _LEAST_SAVED:
         return
-    first = running.ask.blocks[0]
+    first = running.slot_request.blocks[0]
     if len(server.warming) >= _MOST_WARMING:
         server.warming.clear()
     server.warming[first] = leader.now() + running.ahead + running.prefill
@@ -52,8 +52,8 @@
 
 def warmed(server: records.Server, running: records.Running) -> None:
     """Take that a prompt is computed."""
-    if running.ask.blocks:
-        server.warming.pop(running.ask.blocks[0], None)
+    if running.slot_request.blocks:
+        server.warming.pop(running.slot_request.blocks[0], None)
 
 
 def is_warming(
@@ -66,14 +66,17 @@
     An engine looks a prompt up when it takes it in: what another request
     still computes then, it computes again.
     """
-    blocks = waiting.ask.blocks
+    blocks = waiting.slot_request.blocks
     if not blocks or waiting.probe:
         return False
     left = server.warming.get(blocks[0], 0) - leader.now()
     if left <= 0 or not holds(leader, server, waiting):
         return False
     seconds = predicting.finish(leader, server, waiting) * leader.cfg.safety
-    return leader.now() + left + seconds + _WAIT_MARGIN < waiting.ask.deadline
+    return (
+        leader.now() + left + seconds + _WAIT_MARGIN
+        < waiting.slot_request.deadline
+    )
 
 
 def waits_for_holder(
@@ -86,13 +89,13 @@
     It waits a few times as long as the prefill takes that is saved, and only
     while the open server could still end it in time.
     """
-    ask = waiting.ask
-    if waiting.probe or not ask.blocks:
+    slot_request = waiting.slot_request
+    if waiting.probe or not slot_request.blocks:
         return False
     waited = leader.now() - waiting.arrived
     needed = max(waited / _WAIT_FACTOR, _LEAST_SAVED)
-    rates = predicting.rates_of(leader, server, ask.model)
-    whole = rates.prefill * ask.prompt_tokens
+    rates = predicting.rates_of(leader, server, slot_request.model)
+    whole = rates.prefill * slot_request.prompt_tokens
     if whole < needed:
         return False
     saved = whole * _best_share(leader, server, waiting)
@@ -100,7 +103,7 @@
     if saved < needed:
         return False
     seconds = predicting.finish(leader, server, waiting) * leader.cfg.safety
-    return leader.now() + seconds + _WAIT_MARGIN < ask.deadline
+    return leader.now() + seconds + _WAIT_MARGIN < slot_request.deadline
 
 
 def _best_share(
@@ -110,7 +113,9 @@
 ) -> float:
     """Give the largest share of a prompt that another fit server holds."""
     best: float = 0
-    for server_id, share in leader.prefixes.warmest(waiting.ask.blocks).items():
+    for server_id, share in leader.prefixes.warmest(
+        waiting.slot_request.blocks
+    ).items():
         holder = leader.servers.get(server_id)
         if holder is None or holder is server or not holder.most():
             continue
--- a/libs/scheduling/geraniumweir/scheduling/asking.py
+++ b/libs/scheduling/geraniumweir/scheduling/asking.py
@@ -43,7 +43,7 @@
 
     async def ask_at(
         self,
-        ask: requests.SlotRequest,
+        slot_request: requests.SlotRequest,
         host: ids.HostId,
         *,
         home: bool,
@@ -56,13 +56,13 @@
         """
         fut = asyncio.get_running_loop().create_future()
         attempt = self._mine.next_attempt()
-        place = owned.Place(ask, host, home, attempt, fut)
-        self._mine.places[ask.request_id] = place
+        place = owned.Place(slot_request, host, home, attempt, fut)
+        self._mine.places[slot_request.request_id] = place
         self.deliver(place)
         try:
             await self._answered(place)
         finally:
-            self._mine.places.pop(ask.request_id, None)
+            self._mine.places.pop(slot_request.request_id, None)
             self._leave(place)
         return place
 
@@ -87,7 +87,7 @@
     ) -> None:
         """Give a grant back to whoever leads the pool now."""
         message = translation.pack_release(
-            found.ask.pool,
+            found.slot_request.pool,
             release,
             found.attempt,
         )
@@ -95,11 +95,11 @@
 
     async def _answered(self, place: owned.Place) -> None:
         try:
-            async with asyncio.timeout_at(place.ask.deadline):
+            async with asyncio.timeout_at(place.slot_request.deadline):
                 await asyncio.shield(place.fut)
         except TimeoutError:
             reason = requests.DenialReason.too_late
-            place.settle(requests.Denial(place.ask.request_id, reason))
+            place.settle(requests.Denial(place.slot_request.request_id, reason))
 
     def _leave(self, place: owned.Place) -> None:
         if place.delivery is not None:
@@ -114,8 +114,8 @@
 
     def _withdraw(self, place: owned.Place) -> None:
         message = ttypes.Withdraw(
-            place.ask.pool,
-            place.ask.request_id,
+            place.slot_request.pool,
+            place.slot_request.request_id,
             place.attempt,
         )
         self._link.send(place.host, message)
@@ -123,7 +123,7 @@
     async def _deliver(self, place: owned.Place) -> None:
         for _ in range(_ASK_TRIES):
             message = translation.pack_ask(
-                place.ask,
+                place.slot_request,
                 place.attempt,
                 self._clock.now(),
             )
@@ -171,13 +171,13 @@
         place: owned.Place,
         message: ttypes.AskReply | ttypes.Answer,
     ) -> None:
-        request_id = place.ask.request_id
+        request_id = place.slot_request.request_id
         answer = translation.unpack_answer(request_id, message)
         if answer is None or place.fut.done():
             return
         if isinstance(answer, requests.Grant):
             self._mine.in_use[request_id] = owned.InUse(
-                place.ask,
+                place.slot_request,
                 answer,
                 place.host,
                 place.home,
@@ -205,8 +205,10 @@
     not_leader = requests.DenialReason.not_leader.value
     if reply.denial is not None and reply.denial.reason == not_leader:
         return
-    if place.ask.rate_per_s is not None:
-        place.ask = dataclasses.replace(place.ask, rate_per_s=None)
+    if place.slot_request.rate_per_s is not None:
+        place.slot_request = dataclasses.replace(
+            place.slot_request, rate_per_s=None
+        )
 
 
 def _is_from(
--- a/libs/scheduling/geraniumweir/scheduling/broker.py
+++ b/libs/scheduling/geraniumweir/scheduling/broker.py
@@ -52,10 +52,10 @@
 class _Tried:
     """What came of asking at home.
 
-    :ivar ask: as it may go on to other failure domains.
+    :ivar slot_request: as it may go on to other failure domains.
     """
 
-    ask: requests.SlotRequest
+    slot_request: requests.SlotRequest
     answer: _Answer
 
 
@@ -98,23 +98,23 @@
         self._withdrawn: set[ids.RequestId] = set()
         link.handle(ttypes.Preempt, self._on_preempt)
 
-    async def request_slot(self, ask: requests.SlotRequest) -> _Answer:
+    async def request_slot(self, slot_request: requests.SlotRequest) -> _Answer:
         """Wait for a grant, here or in another failure domain.
 
         Whoever gets a grant dispatches at most once and then releases it.
         One that is cancelled while it waits leaves nothing behind.
 
-        :param ask: its deadline is on the loop's clock; no request of the
+        :param slot_request: its deadline is on the loop's clock; no request of the
             same id may be waiting or in use.
         """
         try:
-            return await self._ask_everywhere(ask)
+            return await self._ask_everywhere(slot_request)
         except asyncio.CancelledError:
             given_up = requests.Outcome.given_up
-            self.release(requests.Release(ask.request_id, given_up))
+            self.release(requests.Release(slot_request.request_id, given_up))
             raise
         finally:
-            self._withdrawn.discard(ask.request_id)
+            self._withdrawn.discard(slot_request.request_id)
 
     def withdraw(self, request_id: ids.RequestId) -> None:
         """End the waiting of a request whose caller went away."""
@@ -131,7 +131,7 @@
         found.first_token = progress.first_token
         found.output_tokens = progress.output_tokens
         message = ttypes.Progress(
-            found.ask.pool,
+            found.slot_request.pool,
             progress.request_id,
             progress.first_token,
             progress.output_tokens,
@@ -143,7 +143,7 @@
         found = self._mine.in_use.pop(release.request_id, None)
         if found is not None:
             host = self._holder(found)
-            self._upkeep.touch(host, found.ask.pool)
+            self._upkeep.touch(host, found.slot_request.pool)
             self._asker.release(found, host, release)
 
     def close(self) -> None:
@@ -151,43 +151,49 @@
         self._upkeep.close()
 
     def _holder(self, found: owned.InUse) -> ids.HostId:
-        return self._home.leader(found.ask.pool) if found.home else found.host
+        return (
+            self._home.leader(found.slot_request.pool)
+            if found.home
+            else found.host
+        )
 
-    async def _ask_everywhere(self, ask: requests.SlotRequest) -> _Answer:
-        tried = await self._ask_home(ask)
+    async def _ask_everywhere(
+        self, slot_request: requests.SlotRequest
+    ) -> _Answer:
+        tried = await self._ask_home(slot_request)
         first = tried.answer
         if not _may_spill(first):
             return first
-        ask = tried.ask
-        others = self._directory.others(ask.pool)
-        for pool in spill.in_order(ask, others):
-            if self._clock.now() >= ask.deadline:
+        slot_request = tried.slot_request
+        others = self._directory.others(slot_request.pool)
+        for pool in spill.in_order(slot_request, others):
+            if self._clock.now() >= slot_request.deadline:
                 break
-            if ask.request_id in self._withdrawn:
-                return _withdrawn(ask.request_id)
-            answer = await self._ask_there(ask, pool.leader)
+            if slot_request.request_id in self._withdrawn:
+                return _withdrawn(slot_request.request_id)
+            answer = await self._ask_there(slot_request, pool.leader)
             if answer is not None and not _may_spill(answer):
                 return answer
         return first
 
-    async def _ask_home(self, ask: requests.SlotRequest) -> _Tried:
+    async def _ask_home(self, slot_request: requests.SlotRequest) -> _Tried:
         until = self._clock.now() + _HOME_PATIENCE
-        while ask.request_id not in self._withdrawn:
-            host = self._home.leader(ask.pool)
-            place = await self._ask_at(ask, host, at_home=True)
-            ask = place.ask
+        while slot_request.request_id not in self._withdrawn:
+            host = self._home.leader(slot_request.pool)
+            place = await self._ask_at(slot_request, host, at_home=True)
+            slot_request = place.slot_request
             answer = place.fut.result()
             if answer is not None and not _is_elsewhere(answer):
                 if not self._may_be_granted_soon(place, answer):
-                    return _Tried(ask, answer)
-            self._home.wrong(ask.pool, place.host, place.hint)
+                    return _Tried(slot_request, answer)
+            self._home.wrong(slot_request.pool, place.host, place.hint)
             until = max(until, self._heard_at(place) + _HOME_PATIENCE)
             if self._clock.now() >= until:
                 no_server = requests.DenialReason.no_server
-                denial = requests.Denial(ask.request_id, no_server)
-                return _Tried(ask, denial)
+                denial = requests.Denial(slot_request.request_id, no_server)
+                return _Tried(slot_request, denial)
             await asyncio.sleep(_PAUSE)
-        return _Tried(ask, _withdrawn(ask.request_id))
+        return _Tried(slot_request, _withdrawn(slot_request.request_id))
 
     def _may_be_granted_soon(self, place: owned.Place, answer: _Answer) -> bool:
         """Tell whether a denial of this host itself is worth a wait."""
@@ -211,27 +217,27 @@
 
     async def _ask_there(
         self,
-        ask: requests.SlotRequest,
+        slot_request: requests.SlotRequest,
         host: ids.HostId,
     ) -> _Answer | None:
-        place = await self._ask_at(ask, host, at_home=False)
+        place = await self._ask_at(slot_request, host, at_home=False)
         answer = place.fut.result()
         if answer is None or not _is_elsewhere(answer):
             return answer
         if place.hint is None or place.hint == host:
             return None
-        place = await self._ask_at(ask, place.hint, at_home=False)
+        place = await self._ask_at(slot_request, place.hint, at_home=False)
         return place.fut.result()
 
     async def _ask_at(
         self,
-        ask: requests.SlotRequest,
+        slot_request: requests.SlotRequest,
         host: ids.HostId,
         *,
         at_home: bool,
     ) -> owned.Place:
-        self._upkeep.touch(host, ask.pool)
-        return await self._asker.ask_at(ask, host, home=at_home)
+        self._upkeep.touch(host, slot_request.pool)
+        return await self._asker.ask_at(slot_request, host, home=at_home)
 
     async def _on_preempt(
         self,
@@ -244,7 +250,7 @@
         if self.on_preempt is not None:
             self.on_preempt(
                 requests.Preempt(
-                    found.ask.request_id,
+                    found.slot_request.request_id,
                     self._link.host_id,
                     found.grant.server_id,
                 ),
--- a/libs/scheduling/geraniumweir/scheduling/crashes.py
+++ b/libs/scheduling/geraniumweir/scheduling/crashes.py
@@ -36,7 +36,7 @@
         for running in server.running.values()
         if running.grant.incarnation <= incarnation
     ]
-    together = [running.ask.fingerprint for running in lost]
+    together = [running.slot_request.fingerprint for running in lost]
     recent = max(
         leader.now() - _RECENT_SECONDS,
         server.last_good - _SAME_MOMENT,
@@ -49,7 +49,7 @@
     placement.refresh(leader, server)
     _refuse_condemned(leader, set(condemned))
     for running in lost:
-        granting.unpark(leader, running.ask.rule)
+        granting.unpark(leader, running.slot_request.rule)
 
 
 def synced(leader: state.LeaderState) -> None:
@@ -67,7 +67,7 @@
     if not condemned:
         return
     for waiting in list(leader.waiting.values()):
-        if waiting.ask.fingerprint in condemned:
+        if waiting.slot_request.fingerprint in condemned:
             shedding.refuse(
                 leader,
                 waiting,
--- a/libs/scheduling/geraniumweir/scheduling/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/fleet.py
@@ -64,7 +64,7 @@
     orphans = leader.orphans.pop(announcement.server_id, {})
     for running in orphans.values():
         attach(leader, server, running)
-        leader.prefixes.granted(server.server_id, running.ask.blocks)
+        leader.prefixes.granted(server.server_id, running.slot_request.blocks)
     placement.refresh(leader, server)
 
 
@@ -103,7 +103,7 @@
     kind = records.ServerClass(*key)
     leader.classes[key] = kind
     for waiting in leader.waiting.values():
-        if kind.serves(waiting.ask):
+        if kind.serves(waiting.slot_request):
             _widen(leader, waiting, kind)
     return kind
 
@@ -139,13 +139,13 @@
     if running.first_token is None:
         begins = max(server.prefilled_at, leader.now())
         server.prefilled_at = begins + running.prefill
-        if running.ask.streams:
+        if running.slot_request.streams:
             server.unborn[request_id] = running
             server.unborn_prefill += running.prefill
-    if server.announcement.can_cancel and running.ask.idempotent:
+    if server.announcement.can_cancel and running.slot_request.idempotent:
         leader.preemptible.add(
             server.kind,
-            running.ask.tier,
+            running.slot_request.tier,
             running.uncached,
             request_id,
         )
@@ -177,7 +177,7 @@
     running: records.Running,
 ) -> None:
     """Take that a prompt is computed, or will not be."""
-    if server.unborn.pop(running.ask.request_id, None) is None:
+    if server.unborn.pop(running.slot_request.request_id, None) is None:
         return
     server.born_at = leader.now()
     server.unborn_prefill -= running.prefill
--- a/libs/scheduling/geraniumweir/scheduling/gating.py
+++ b/libs/scheduling/geraniumweir/scheduling/gating.py
@@ -40,68 +40,70 @@
         self._now = now
         self._on_ask = on_ask
 
-    def admit(self, ask: requests.SlotRequest) -> requests.Denial | None:
+    def admit(
+        self, slot_request: requests.SlotRequest
+    ) -> requests.Denial | None:
         """Charge an ask, or tell when it may come again."""
         if self._on_ask is not None:
-            self._on_ask(ask)
+            self._on_ask(slot_request)
         now = self._now()
-        if ask.sending is requests.Sending.first:
-            self._budgets.note_request(ask.pool, now)
-        if ask.sending is requests.Sending.retry:
-            level = self._budgets.level(ask.pool, now)
+        if slot_request.sending is requests.Sending.first:
+            self._budgets.note_request(slot_request.pool, now)
+        if slot_request.sending is requests.Sending.retry:
+            level = self._budgets.level(slot_request.pool, now)
             if level.is_full:
-                return _no_retry(ask, level)
+                return _no_retry(slot_request, level)
         seconds = self._quotas.take(
-            ask.customer,
-            ask.quota_cost,
+            slot_request.customer,
+            slot_request.quota_cost,
             now,
-            ask.rank if ask.streams else 0,
+            slot_request.rank if slot_request.streams else 0,
         )
         if seconds:
             return requests.Denial(
-                ask.request_id,
+                slot_request.request_id,
                 requests.DenialReason.over_quota,
                 math.ceil(max(seconds, _LEAST_WAIT_SECONDS) * _MS),
             )
-        if ask.sending is requests.Sending.retry:
-            self._budgets.take(ask.pool, now)
+        if slot_request.sending is requests.Sending.retry:
+            self._budgets.take(slot_request.pool, now)
         return None
 
-    def granted(self, ask: requests.SlotRequest) -> None:
+    def granted(self, slot_request: requests.SlotRequest) -> None:
         """Take that an ask that was let through got a grant."""
-        if ask.sending is requests.Sending.retry:
-            self._budgets.granted(ask.pool, self._now())
+        if slot_request.sending is requests.Sending.retry:
+            self._budgets.granted(slot_request.pool, self._now())
 
     def undo(
         self,
-        ask: requests.SlotRequest,
+        slot_request: requests.SlotRequest,
         charge: led.Charge,
         outcome: requests.Outcome,
     ) -> None:
         """Give back what an ask was charged that wasn't served."""
         self._quotas.give_back(
-            ask.customer,
-            ask.quota_cost,
+            slot_request.customer,
+            slot_request.quota_cost,
             charge.admitted_at,
         )
-        if ask.sending is not requests.Sending.retry:
+        if slot_request.sending is not requests.Sending.retry:
             return
         if charge.granted_at is None or outcome in retrycounts.NOT_SENT:
-            self._budgets.give_back(ask.pool, charge.granted_at)
+            self._budgets.give_back(slot_request.pool, charge.granted_at)
 
 
 def _no_retry(
-    ask: requests.SlotRequest,
+    slot_request: requests.SlotRequest,
     level: retrybudget.Level,
 ) -> requests.Denial:
     eventlog.emit(
         logevents.RETRY_DENIED,
-        request=ask.request_id,
-        pool=ask.pool,
+        request=slot_request.request_id,
+        pool=slot_request.pool,
         used=level.used,
         allowed=round(level.allowed, 1),
     )
     return requests.Denial(
-        ask.request_id,
+        slot_request.request_id,
         requests.DenialReason.retry_budget,
     )
--- a/libs/scheduling/geraniumweir/scheduling/granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/granting.py
@@ -33,14 +33,14 @@
 
 def try_now(leader: state.LeaderState, waiting: records.Waiting) -> bool:
     """Grant a request if a server can end it in time from now."""
-    ask = waiting.ask
-    if not leader.settled or waitlist.over_running_limit(leader, ask):
+    slot_request = waiting.slot_request
+    if not leader.settled or waitlist.over_running_limit(leader, slot_request):
         return False
-    if waitlist.is_suspect(leader, ask):
+    if waitlist.is_suspect(leader, slot_request):
         server = _server_for_suspect(leader, waiting)
     else:
         server = placement.choose(leader, waiting)
-    if server is None or _higher_first(leader, server, ask.tier):
+    if server is None or _higher_first(leader, server, slot_request.tier):
         return False
     grant(leader, waiting, server)
     return True
@@ -88,19 +88,19 @@
     server: records.Server,
 ) -> None:
     """Grant a request a server's slot."""
-    ask = waiting.ask
+    slot_request = waiting.slot_request
     waitlist.leave(leader, waiting)
     kept = waitlist.unpromise(leader, waiting)
     running = _running(leader, waiting, server)
-    leader.queue.charge(waiting.flow, running.cost / ask.share)
+    leader.queue.charge(waiting.flow, running.cost / slot_request.share)
     expected = running.cost
-    if ask.streams and ask.model is not None:
+    if slot_request.streams and slot_request.model is not None:
         expected = running.ahead + running.prefill
     running.due = leader.now() + stragglers.patience(expected)
     count_running(leader, running)
     fleet.attach(leader, server, running)
     affinity.warms(leader, server, running)
-    leader.prefixes.granted(server.server_id, ask.blocks)
+    leader.prefixes.granted(server.server_id, slot_request.blocks)
     waiting.fut.set_result(running.grant)
     if kept is not None and kept is not server:
         fill(leader, kept)
@@ -111,11 +111,11 @@
     running: records.Running,
 ) -> None:
     """Count a grant in use, whoever gave it."""
-    ask = running.ask
-    leader.running[ask.request_id] = running
-    leader.running_by_tier[ask.tier] += 1
-    leader.running_prints[ask.fingerprint] += 1
-    leader.rules.setdefault(ask.rule, records.RuleCount()).running += 1
+    slot_request = running.slot_request
+    leader.running[slot_request.request_id] = running
+    leader.running_by_tier[slot_request.tier] += 1
+    leader.running_prints[slot_request.fingerprint] += 1
+    leader.rules.setdefault(slot_request.rule, records.RuleCount()).running += 1
     watch_progress(leader, running)
 
 
@@ -127,7 +127,7 @@
     leader.sequence += 1
     heapq.heappush(
         leader.due,
-        (running.due, leader.sequence, running.ask.request_id),
+        (running.due, leader.sequence, running.slot_request.request_id),
     )
 
 
@@ -138,10 +138,10 @@
         return
     waiting = min(
         rule.parked.values(),
-        key=lambda parked: (parked.ask.tier, parked.best_start),
+        key=lambda parked: (parked.slot_request.tier, parked.best_start),
     )
-    if not waitlist.over_running_limit(leader, waiting.ask):
-        rule.parked.pop(waiting.ask.request_id)
+    if not waitlist.over_running_limit(leader, waiting.slot_request):
+        rule.parked.pop(waiting.slot_request.request_id)
         waitlist.to_queue(leader, waiting)
         try_now(leader, waiting)
 
@@ -152,15 +152,15 @@
     server: records.Server,
 ) -> records.Running:
     grant_given = requests.Grant(
-        waiting.ask.request_id,
+        waiting.slot_request.request_id,
         server.server_id,
         server.announcement.incarnation,
         server.announcement.address,
     )
     uncached = predicting.uncached_tokens(leader, server, waiting)
-    rates = predicting.rates_of(leader, server, waiting.ask.model)
+    rates = predicting.rates_of(leader, server, waiting.slot_request.model)
     return records.Running(
-        ask=waiting.ask,
+        slot_request=waiting.slot_request,
         grant=grant_given,
         granted=leader.now(),
         expected=waiting.expected,
@@ -169,7 +169,7 @@
         prefill=rates.seconds(uncached, 0),
         beside=len(server.running) + 1,
         cost=predicting.finish(leader, server, waiting),
-        suspect=waitlist.is_suspect(leader, waiting.ask),
+        suspect=waitlist.is_suspect(leader, waiting.slot_request),
     )
 
 
@@ -279,7 +279,7 @@
     tier: ids.Tier,
 ) -> typing.Iterator[records.Waiting]:
     for promised in list(server.promised.values()):
-        if promised.ask.tier == tier and not promised.held:
+        if promised.slot_request.tier == tier and not promised.held:
             yield promised
     window = leader.cfg.fair_seconds * max(leader.slots, 1)
     ahead = predicting.prefill_ahead(leader, server) * leader.cfg.safety
@@ -332,10 +332,10 @@
         return
     order = sorted(
         leader.held.values(),
-        key=lambda held: (held.ask.tier, held.best_start),
+        key=lambda held: (held.slot_request.tier, held.best_start),
     )
     for waiting in order[:_HELD_LOOK]:
-        if _higher_waits(leader, waiting.ask.tier):
+        if _higher_waits(leader, waiting.slot_request.tier):
             return
         if waiting.fut.done():
             continue
@@ -354,7 +354,7 @@
     leader: state.LeaderState,
     waiting: records.Waiting,
 ) -> records.Server | None:
-    mark = waiting.ask.fingerprint
+    mark = waiting.slot_request.fingerprint
     if mark in leader.running_prints:
         return None
     if leader.suspects.waits(mark, leader.now()):
--- a/libs/scheduling/geraniumweir/scheduling/joining.py
+++ b/libs/scheduling/geraniumweir/scheduling/joining.py
@@ -13,7 +13,7 @@
     :ivar joined: asks that wait for the same answer.
     """
 
-    ask: requests.SlotRequest
+    slot_request: requests.SlotRequest
     fut: asyncio.Future[requests.Grant | requests.Denial]
     joined: int
 
@@ -39,7 +39,7 @@
     except asyncio.CancelledError:
         waiting.joined -= 1
         if not waiting.joined:
-            granted = running.get(waiting.ask.request_id)
+            granted = running.get(waiting.slot_request.request_id)
             _abandon(leader, waiting, granted)
         raise
 
@@ -49,7 +49,7 @@
     waiting: Waiting,
     granted: Running | None,
 ) -> None:
-    request_id = waiting.ask.request_id
+    request_id = waiting.slot_request.request_id
     leader.withdraw(request_id)
     if granted is not None and granted.grant is waiting.fut.result():
         given_up = requests.Outcome.given_up
--- a/libs/scheduling/geraniumweir/scheduling/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/leader.py
@@ -65,24 +65,24 @@
 
     async def request_slot(
         self,
-        ask: requests.SlotRequest,
+        slot_request: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
         """Wait for a backend server.
 
         A repeated ask of a waiting id joins it; of a granted id it gets the
         same grant again.
 
-        :param ask: what waits; its deadline is on the leader's clock.
+        :param slot_request: what waits; its deadline is on the leader's clock.
         :returns: a grant, or a denial once there can be none in time.
         """
         ticking.arm(self._state)
         ticking.look_first(self._state)
-        running = self._state.running.get(ask.request_id)
+        running = self._state.running.get(slot_request.request_id)
         if running is not None:
             return running.grant
-        waiting = self._state.waiting.get(ask.request_id)
+        waiting = self._state.waiting.get(slot_request.request_id)
         if waiting is None:
-            admitted = admitting.admit(self._state, ask)
+            admitted = admitting.admit(self._state, slot_request)
             if isinstance(admitted, requests.Denial):
                 return admitted
             waiting = admitted
--- a/libs/scheduling/geraniumweir/scheduling/learning.py
+++ b/libs/scheduling/geraniumweir/scheduling/learning.py
@@ -307,6 +307,10 @@
     return otherwise if ratio is None else ratio
 
 
-def length_of(lengths: OutputLengths, ask: requests.SlotRequest) -> Expected:
+def length_of(
+    lengths: OutputLengths, slot_request: requests.SlotRequest
+) -> Expected:
     """Predict the output length of an ask."""
-    return lengths.expect(ask.rule, ask.customer, ask.max_tokens)
+    return lengths.expect(
+        slot_request.rule, slot_request.customer, slot_request.max_tokens
+    )
--- a/libs/scheduling/geraniumweir/scheduling/led.py
+++ b/libs/scheduling/geraniumweir/scheduling/led.py
@@ -32,15 +32,17 @@
 class Gate(typing.Protocol):
     """What an ask must pass before the leader sees it."""
 
-    def admit(self, ask: requests.SlotRequest) -> requests.Denial | None:
+    def admit(
+        self, slot_request: requests.SlotRequest
+    ) -> requests.Denial | None:
         """Let an ask through, or deny it."""
 
-    def granted(self, ask: requests.SlotRequest) -> None:
+    def granted(self, slot_request: requests.SlotRequest) -> None:
         """Take that an ask that was let through got a grant."""
 
     def undo(
         self,
-        ask: requests.SlotRequest,
+        slot_request: requests.SlotRequest,
         charge: Charge,
         outcome: requests.Outcome,
     ) -> None:
@@ -62,7 +64,7 @@
     :ivar charge: what the gate charged here, None for nothing.
     """
 
-    ask: requests.SlotRequest
+    slot_request: requests.SlotRequest
     attempt: int
     work: asyncio.Task[None] | None = None
     answer: Answer | None = None
@@ -101,19 +103,21 @@
         self._gate = gate
         self._heard: dict[ids.HostId, float] = {}
 
-    def join(self, ask: requests.SlotRequest, attempt: int) -> Entry | None:
+    def join(
+        self, slot_request: requests.SlotRequest, attempt: int
+    ) -> Entry | None:
         """Take an ask, or find it here already.
 
         :returns: None when the owner has asked anew since.
         """
-        self._heard[ask.owner] = self._now()
-        known = self.entries.get(ask.request_id)
+        self._heard[slot_request.owner] = self._now()
+        known = self.entries.get(slot_request.request_id)
         if known is not None and known.attempt >= attempt:
             return known if known.attempt == attempt else None
         if known is not None:
             self._drop(known, requests.Outcome.given_up)
-        entry = Entry(ask, attempt)
-        self.entries[ask.request_id] = entry
+        entry = Entry(slot_request, attempt)
+        self.entries[slot_request.request_id] = entry
         entry.work = asyncio.create_task(self._decide(entry))
         return entry
 
@@ -131,8 +135,8 @@
 
     def adopt(self, grant: requests.OpenGrant, attempt: int) -> None:
         """Take over a grant in use that another leader gave."""
-        request_id = grant.ask.request_id
-        self._heard[grant.ask.owner] = self._now()
+        request_id = grant.slot_request.request_id
+        self._heard[grant.slot_request.owner] = self._now()
         known = self.entries.get(request_id)
         if known is not None and known.attempt > attempt:
             return
@@ -140,7 +144,7 @@
             return
         if known is not None:
             self._drop(known, requests.Outcome.given_up)
-        entry = Entry(grant.ask, attempt, answer=grant.grant)
+        entry = Entry(grant.slot_request, attempt, answer=grant.grant)
         self.entries[request_id] = entry
         self.leader.adopt([grant])
 
@@ -162,7 +166,7 @@
         """
         self._heard[owner] = self._now()
         for entry in self._of(owner):
-            request_id = entry.ask.request_id
+            request_id = entry.slot_request.request_id
             if entry.attempt > attempt or request_id in in_use:
                 continue
             if request_id not in waiting:
@@ -205,11 +209,11 @@
     def done_with(self, entry: Entry) -> None:
         """Forget an ask whose denial the owner has got."""
         if isinstance(entry.answer, requests.Denial) and self.has(entry):
-            self.entries.pop(entry.ask.request_id)
+            self.entries.pop(entry.slot_request.request_id)
 
     def has(self, entry: Entry) -> bool:
         """Tell whether an ask is still this one."""
-        return self.entries.get(entry.ask.request_id) is entry
+        return self.entries.get(entry.slot_request.request_id) is entry
 
     async def _decide(self, entry: Entry) -> None:
         answer = await self._admitted(entry)
@@ -221,18 +225,18 @@
 
     async def _admitted(self, entry: Entry) -> Answer:
         if self._gate is not None:
-            denial = self._gate.admit(entry.ask)
+            denial = self._gate.admit(entry.slot_request)
             if denial is not None:
                 return denial
             entry.charge = Charge(self._now())
-        answer = await self.leader.request_slot(entry.ask)
+        answer = await self.leader.request_slot(entry.slot_request)
         if isinstance(answer, requests.Grant):
             self._granted(entry)
         return answer
 
     def _granted(self, entry: Entry) -> None:
         if entry.charge is not None and self._gate is not None:
-            self._gate.granted(entry.ask)
+            self._gate.granted(entry.slot_request)
             entry.charge = dataclasses.replace(
                 entry.charge,
                 granted_at=self._now(),
@@ -240,7 +244,7 @@
 
     def _undo(self, entry: Entry, outcome: requests.Outcome) -> None:
         if entry.charge is not None and self._gate is not None:
-            self._gate.undo(entry.ask, entry.charge, outcome)
+            self._gate.undo(entry.slot_request, entry.charge, outcome)
             entry.charge = None
 
     def _drop(
@@ -249,7 +253,7 @@
         outcome: requests.Outcome,
         release: requests.Release | None = None,
     ) -> None:
-        request_id = entry.ask.request_id
+        request_id = entry.slot_request.request_id
         self.entries.pop(request_id, None)
         if outcome in spending.NOT_SERVED or entry.answer is None:
             self._undo(entry, outcome)
@@ -261,7 +265,9 @@
 
     def _of(self, owner: ids.HostId) -> list[Entry]:
         return [
-            entry for entry in self.entries.values() if entry.ask.owner == owner
+            entry
+            for entry in self.entries.values()
+            if entry.slot_request.owner == owner
         ]
 
     def _is_granted(self, request_id: ids.RequestId) -> bool:
--- a/libs/scheduling/geraniumweir/scheduling/ontime/classes.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/classes.py
@@ -184,6 +184,6 @@
         return 1
 
 
-def class_of(ask: requests.SlotRequest) -> Class:
+def class_of(slot_request: requests.SlotRequest) -> Class:
     """Give the class of a request."""
-    return Class(ask.tier, ask.rank)
+    return Class(slot_request.tier, slot_request.rank)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
@@ -164,7 +164,7 @@
 ) -> bool:
     """Tell whether the path to a server lately held answers up."""
     trouble = leader.path_quality.trouble(
-        running.ask.failure_domain,
+        running.slot_request.failure_domain,
         server.announcement.failure_domain,
         leader.now(),
     )
@@ -199,7 +199,7 @@
     _blame(
         leader,
         server,
-        [one.ask.fingerprint for one in server.running.values()],
+        [one.slot_request.fingerprint for one in server.running.values()],
     )
 
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
@@ -197,7 +197,7 @@
     if leader.quickest is None:
         return lambda _: 0
     fixed, each = leader.learnt.line(leader.quickest.speed).fit()
-    return lambda waiting: fixed + each * waiting.ask.prompt_tokens
+    return lambda waiting: fixed + each * waiting.slot_request.prompt_tokens
 
 
 def _try(
@@ -206,7 +206,7 @@
     turn: ordering.Turn,
 ) -> None:
     """Grant a request one of the servers that have a free slot."""
-    offers = look.allowed(look.able, turn.waiting.ask.owner)
+    offers = look.allowed(look.able, turn.waiting.slot_request.owner)
     if not offers:
         return
     place = _choose(look, turn, offers)
@@ -224,9 +224,11 @@
     turn: ordering.Turn,
 ) -> bool:
     """Grant a request a server of a new version, where it may get one."""
-    if not look.canaries or not leader.guide.may_try(turn.waiting.ask.rule):
+    if not look.canaries or not leader.guide.may_try(
+        turn.waiting.slot_request.rule
+    ):
         return False
-    offers = look.allowed(look.canaries, turn.waiting.ask.owner)
+    offers = look.allowed(look.canaries, turn.waiting.slot_request.owner)
     place = trying.choose(offers, turn.waiting, look.learnt)
     if place is None:
         return False
@@ -244,7 +246,7 @@
     """Grant a request a place and count what its class got."""
     _grant(leader, turn.waiting, place, look.now)
     leader.shares.granted(
-        classes.class_of(turn.waiting.ask),
+        classes.class_of(turn.waiting.slot_request),
         place.held,
         late=turn.late,
         now=look.now,
@@ -306,18 +308,20 @@
 
 def _refuse_paused(leader: state.LeaderState, now: float) -> None:
     """Refuse what no server takes from its host before its caller leaves."""
-    owners = {waiting.ask.owner for waiting in leader.waiting.values()}
+    owners = {waiting.slot_request.owner for waiting in leader.waiting.values()}
     paused = {owner: leader.pauses(owner) for owner in owners}
     if not any(paused.values()):
         return
     serving = {one.start for one in leader.servers.values() if one.serves}
     lead = _lead(leader)
     for waiting in list(leader.waiting.values()):
-        pauses = paused[waiting.ask.owner]
+        pauses = paused[waiting.slot_request.owner]
         if not serving or not serving <= pauses.keys():
             continue
         until = min(pauses[start] for start in serving)
-        left = min(waiting.ask.patience, waiting.ask.deadline) - lead(waiting)
+        left = min(
+            waiting.slot_request.patience, waiting.slot_request.deadline
+        ) - lead(waiting)
         if until > left:
             shed = requests.DenialReason.shed
             state.refuse(leader, waiting, shed, until - now)
@@ -342,25 +346,27 @@
     place: placing.Place,
     now: float,
 ) -> None:
-    ask = waiting.ask
+    slot_request = waiting.slot_request
     server = place.offer.server
     grant = requests.Grant(
-        ask.request_id,
+        slot_request.request_id,
         server.server_id,
         server.announcement.incarnation,
         server.announcement.address,
         server.version,
     )
-    leader.guide.granted(ask.rule, new=server.version == leader.guide.to)
+    leader.guide.granted(
+        slot_request.rule, new=server.version == leader.guide.to
+    )
     running = records.Running(
-        ask=ask,
+        slot_request=slot_request,
         grant=grant,
         granted=now,
         read_tokens=place.read,
         predicted=place.first,
         tokens=waiting.tokens,
     )
-    leader.waiting.pop(ask.request_id)
+    leader.waiting.pop(slot_request.request_id)
     if server.throttle is not None:
         server.throttle.take()
     state.run(leader, server, running)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -83,24 +83,24 @@
 
     async def request_slot(
         self,
-        ask: requests.SlotRequest,
+        slot_request: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
         """Wait for a backend server.
 
         A repeated ask of a waiting id joins it; of a granted id it gets the
         same grant again.
 
-        :param ask: what waits; its times are on the leader's clock.
+        :param slot_request: what waits; its times are on the leader's clock.
         """
-        running = self._state.running.get(ask.request_id)
+        running = self._state.running.get(slot_request.request_id)
         if running is not None:
             return running.grant
-        waiting = self._state.waiting.get(ask.request_id)
+        waiting = self._state.waiting.get(slot_request.request_id)
         if waiting is None:
-            denied = self._deny_at_once(ask)
+            denied = self._deny_at_once(slot_request)
             if denied is not None:
                 return denied
-            waiting = self._enqueue(ask)
+            waiting = self._enqueue(slot_request)
             granting.fill(self._state)
         return await joining.answer(
             self,
@@ -144,26 +144,28 @@
         """Take that a server crashed; its requests are suspected."""
         server = self._state.servers.pop(server_id, None)
         if server is not None:
-            lost = [one.ask.fingerprint for one in server.running.values()]
+            lost = [
+                one.slot_request.fingerprint for one in server.running.values()
+            ]
             self._state.suspects.crashed(lost, self._state.now())
             granting.fill(self._state)
 
     def owner_gone(self, owner: ids.HostId) -> None:
         """End the grants and the waiting requests of a lost entry host."""
         for waiting in list(self._state.waiting.values()):
-            if waiting.ask.owner == owner:
-                self.withdraw(waiting.ask.request_id)
+            if waiting.slot_request.owner == owner:
+                self.withdraw(waiting.slot_request.request_id)
         cancelled = requests.Outcome.cancelled
         for running in list(self._state.running.values()):
-            if running.ask.owner == owner:
-                request_id = running.ask.request_id
+            if running.slot_request.owner == owner:
+                request_id = running.slot_request.request_id
                 self.release(requests.Release(request_id, cancelled))
 
     def adopt(self, grants: typing.Sequence[requests.OpenGrant]) -> None:
         """Take over grants in use that another leader gave."""
         fleet.sync(self._state)
         for taken in grants:
-            if taken.ask.request_id not in self._state.running:
+            if taken.slot_request.request_id not in self._state.running:
                 self._adopt(taken)
 
     def settled(self) -> None:
@@ -184,49 +186,51 @@
         return fleet.rollout_load(self._state)
 
     def _deny_at_once(
-        self, ask: requests.SlotRequest
+        self, slot_request: requests.SlotRequest
     ) -> requests.Denial | None:
         now = self._state.now()
         known = self._state.suspects
-        verdict = known.verdict(ask.fingerprint, now)
+        verdict = known.verdict(slot_request.fingerprint, now)
         if verdict is suspects.Verdict.quarantined:
             reason = requests.DenialReason.quarantined
-            wait = known.remaining(ask.fingerprint, now)
-            return requests.Denial(ask.request_id, reason, int(wait * _MS))
-        if ask.deadline <= now:
+            wait = known.remaining(slot_request.fingerprint, now)
+            return requests.Denial(
+                slot_request.request_id, reason, int(wait * _MS)
+            )
+        if slot_request.deadline <= now:
             too_late = requests.DenialReason.too_late
-            return state.denial(self._state, ask, too_late)
+            return state.denial(self._state, slot_request, too_late)
         return None
 
-    def _enqueue(self, ask: requests.SlotRequest) -> records.Waiting:
+    def _enqueue(self, slot_request: requests.SlotRequest) -> records.Waiting:
         now = self._state.now()
         self._state.sequence += 1
         self._state.arriving.note(now)
-        waited = self._state.repeated.waited(ask.fingerprint, now)
+        waited = self._state.repeated.waited(slot_request.fingerprint, now)
         if not waited:
-            self._state.shares.asked(classes.class_of(ask), now)
+            self._state.shares.asked(classes.class_of(slot_request), now)
         waiting = records.Waiting(
-            ask,
+            slot_request,
             self._state.sequence,
             now,
             waited,
-            lessons.expected_tokens(self._state, ask),
+            lessons.expected_tokens(self._state, slot_request),
             asyncio.get_running_loop().create_future(),
         )
-        self._state.waiting[ask.request_id] = waiting
+        self._state.waiting[slot_request.request_id] = waiting
         return waiting
 
     def _adopt(self, taken: requests.OpenGrant) -> None:
-        waiting = self._state.waiting.pop(taken.ask.request_id, None)
+        waiting = self._state.waiting.pop(taken.slot_request.request_id, None)
         if waiting is not None:
             waiting.fut.set_result(taken.grant)
         running = records.Running(
-            ask=taken.ask,
+            slot_request=taken.slot_request,
             grant=taken.grant,
             granted=self._state.now() - taken.age,
-            read_tokens=taken.ask.prompt_tokens,
+            read_tokens=taken.slot_request.prompt_tokens,
             predicted=taken.age,
-            tokens=lessons.expected_tokens(self._state, taken.ask),
+            tokens=lessons.expected_tokens(self._state, taken.slot_request),
             first_token=taken.first_token,
         )
         server = fleet.server_of(self._state, running)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
@@ -23,12 +23,14 @@
 
 
 def expected_tokens(
-    leader: state.LeaderState, ask: requests.SlotRequest
+    leader: state.LeaderState, slot_request: requests.SlotRequest
 ) -> float:
     """Give the output tokens to expect: as said, as usual, or half."""
-    most = ask.max_tokens or float('inf')
-    usual = leader.lengths.get(ask.rule, ask.max_tokens * _USUAL_PART)
-    return min(ask.likely_tokens or usual, most)
+    most = slot_request.max_tokens or float('inf')
+    usual = leader.lengths.get(
+        slot_request.rule, slot_request.max_tokens * _USUAL_PART
+    )
+    return min(slot_request.likely_tokens or usual, most)
 
 
 def first_token(
@@ -44,7 +46,7 @@
     if server is None:
         return
     trying.first_came(leader, server, running)
-    server.unborn.pop(running.ask.request_id, None)
+    server.unborn.pop(running.slot_request.request_id, None)
     server.last_sign = leader.now()
     server.last_good = server.last_sign
     leader.learnt.learn_first(server.speed, running.read_tokens, seconds)
@@ -68,7 +70,7 @@
             _whole(leader, server, running, release)
             server.condition.answered(well=True)
             server.last_good = now
-            leader.suspects.ended_well(running.ask.fingerprint)
+            leader.suspects.ended_well(running.slot_request.fingerprint)
         case requests.Outcome.answered_failure:
             server.condition.answered(well=False)
         case requests.Outcome.not_sent:
@@ -97,9 +99,9 @@
     now = leader.now()
     _note_path(leader, running, server, held_up=True)
     rests.note(server, rests.Cause.broke_off, now, running)
-    server.broken.append((now, running.ask.fingerprint))
+    server.broken.append((now, running.slot_request.fingerprint))
     leader.suspects.broke_off(
-        running.ask.fingerprint,
+        running.slot_request.fingerprint,
         server.server_id,
         now,
     )
@@ -112,7 +114,7 @@
     held_up: bool,
 ) -> None:
     leader.path_quality.note(
-        running.ask.failure_domain,
+        running.slot_request.failure_domain,
         server.announcement.failure_domain,
         held_up=held_up,
         now=leader.now(),
@@ -150,7 +152,7 @@
         server,
     ):
         server.speed.learn_gaps(release.usual_gap, release.longest_gap)
-    rule = running.ask.rule
+    rule = running.slot_request.rule
     usual = leader.lengths.get(rule, release.output_tokens)
     change = (release.output_tokens - usual) * _LENGTH_WEIGHT
     leader.lengths[rule] = usual + change
--- a/libs/scheduling/geraniumweir/scheduling/ontime/ordering.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/ordering.py
@@ -155,7 +155,7 @@
             one,
             one.target - leads[one.sequence],
             late=False,
-            served=owed.get(classes.class_of(one.ask), 1),
+            served=owed.get(classes.class_of(one.slot_request), 1),
         )
         for one in waiting
     ]
@@ -181,7 +181,7 @@
     waiting: records.Waiting,
     leads: typing.Mapping[int, float],
 ) -> Turn:
-    until = min(waiting.ask.patience, waiting.ask.deadline)
+    until = min(waiting.slot_request.patience, waiting.slot_request.deadline)
     return Turn(waiting, until - leads[waiting.sequence], late=True)
 
 
@@ -211,19 +211,24 @@
 
 
 def _by_importance(turn: Turn) -> tuple[int, float, int, float]:
-    ask = turn.waiting.ask
-    return int(ask.tier), turn.served, ask.rank, turn.latest
+    slot_request = turn.waiting.slot_request
+    return int(slot_request.tier), turn.served, slot_request.rank, turn.latest
 
 
 def _newest_first(turn: Turn) -> tuple[int, float, int, float]:
     """Give the importance, among equal plain answers the newest first."""
-    if turn.waiting.ask.streams:
+    if turn.waiting.slot_request.streams:
         return _by_importance(turn)
-    ask = turn.waiting.ask
-    return int(ask.tier), turn.served, ask.rank, -turn.latest
+    slot_request = turn.waiting.slot_request
+    return int(slot_request.tier), turn.served, slot_request.rank, -turn.latest
 
 
 def _worth(turn: Turn) -> _Worth:
     """Give the lesser value, the sooner a turn gives way."""
-    ask = turn.waiting.ask
-    return -int(ask.tier), -turn.served, -ask.rank, -turn.waiting.sequence
+    slot_request = turn.waiting.slot_request
+    return (
+        -int(slot_request.tier),
+        -turn.served,
+        -slot_request.rank,
+        -turn.waiting.sequence,
+    )
--- a/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
@@ -81,11 +81,11 @@
     reading: float
     longest_read: float
 
-    def first(self, ask: requests.SlotRequest) -> float:
+    def first(self, slot_request: requests.SlotRequest) -> float:
         """Predict the seconds to a first token."""
-        if not ask.streams:
-            return self.fixed + self.each * ask.prompt_tokens
-        read = ask.prompt_tokens + self.unread
+        if not slot_request.streams:
+            return self.fixed + self.each * slot_request.prompt_tokens
+        read = slot_request.prompt_tokens + self.unread
         return self.fixed + self.each * read + self.overdue
 
     def held(self, waiting: records.Waiting, first: float) -> float:
@@ -93,31 +93,31 @@
 
         :param first: to its first token.
         """
-        if not waiting.ask.streams:
+        if not waiting.slot_request.streams:
             return first
         return first + self.decode * waiting.tokens
 
-    def read(self, ask: requests.SlotRequest) -> float:
+    def read(self, slot_request: requests.SlotRequest) -> float:
         """Give the prompt tokens to read before the first token."""
-        if not ask.streams:
-            return ask.prompt_tokens
-        return ask.prompt_tokens + self.unread
+        if not slot_request.streams:
+            return slot_request.prompt_tokens
+        return slot_request.prompt_tokens + self.unread
 
     def is_on_time(self, waiting: records.Waiting, now: float) -> bool:
         """Tell whether the first token is predicted before its target.
 
         And no stream that runs there is held up.
         """
-        ask = waiting.ask
-        if self.read(ask) > self.longest_read:
+        slot_request = waiting.slot_request
+        if self.read(slot_request) > self.longest_read:
             return False
-        return self.first(ask) <= (waiting.target - now) * _USED
+        return self.first(slot_request) <= (waiting.target - now) * _USED
 
     def ends(self, waiting: records.Waiting, now: float) -> bool:
         """Tell whether the answer is predicted well before its time is over."""
-        ask = waiting.ask
-        held = self.held(waiting, self.first(ask))
-        return held <= (ask.deadline - now) * _USED_OF_DEADLINE
+        slot_request = waiting.slot_request
+        held = self.held(waiting, self.first(slot_request))
+        return held <= (slot_request.deadline - now) * _USED_OF_DEADLINE
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -232,15 +232,15 @@
 
     :param held: seconds predicted on the quickest server.
     """
-    left = waiting.ask.deadline - now
+    left = waiting.slot_request.deadline - now
     return held > left * _LONGEST_OF_DEADLINE
 
 
 def place(found: Offer, waiting: records.Waiting) -> Place:
     """Predict how a request does on a server."""
-    ask = waiting.ask
-    first = found.first(ask)
-    read = found.read(ask)
+    slot_request = waiting.slot_request
+    first = found.first(slot_request)
+    read = found.read(slot_request)
     return Place(
         found,
         read,
@@ -256,22 +256,26 @@
     learnt: Learnt,
 ) -> tuple[float, str]:
     """Tell how dear a server is for a request; the least is the best."""
-    ask = waiting.ask
-    held = found.held(waiting, found.first(ask))
+    slot_request = waiting.slot_request
+    held = found.held(waiting, found.first(slot_request))
     # All that runs there stands still while a prompt is read.
-    held += found.reading * ask.prompt_tokens * len(found.server.running)
+    held += (
+        found.reading * slot_request.prompt_tokens * len(found.server.running)
+    )
     scarcity = 1 / (found.free / found.server.slots + _LEAST_FREE)
-    return held * scarcity * _risk(found.server, ask, learnt), _name(found)
+    return held * scarcity * _risk(found.server, slot_request, learnt), _name(
+        found
+    )
 
 
 def _risk(
     server: records.Server,
-    ask: requests.SlotRequest,
+    slot_request: requests.SlotRequest,
     learnt: Learnt,
 ) -> float:
     """Give how much dearer a server is for the answers that come to nothing."""
     trouble = learnt.path_quality.trouble(
-        ask.failure_domain,
+        slot_request.failure_domain,
         server.announcement.failure_domain,
         learnt.now,
     )
@@ -286,7 +290,7 @@
     them. On a fast engine that is never long; on a slow one it is what makes
     streams late.
     """
-    limits = [one.ask.gap for one in server.running.values()]
+    limits = [one.slot_request.gap for one in server.running.values()]
     limit = min(limits, default=math.inf) * _USED_OF_GAP
     if server.speed.worst_gap <= limit:
         return math.inf
@@ -302,8 +306,8 @@
 
 
 def _by_held(found: Offer, waiting: records.Waiting) -> tuple[float, str]:
-    return found.held(waiting, found.first(waiting.ask)), _name(found)
+    return found.held(waiting, found.first(waiting.slot_request)), _name(found)
 
 
 def _by_first(found: Offer, waiting: records.Waiting) -> tuple[float, str]:
-    return found.first(waiting.ask), _name(found)
+    return found.first(waiting.slot_request), _name(found)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/records.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/records.py
@@ -30,7 +30,7 @@
     :ivar joined: asks that wait for the same answer.
     """
 
-    ask: requests.SlotRequest
+    slot_request: requests.SlotRequest
     sequence: int
     arrived: float
     waited: float
@@ -41,7 +41,7 @@
     @property
     def target(self) -> float:
         """Give when its first token is due, counted from the first request."""
-        return self.ask.target - self.waited
+        return self.slot_request.target - self.waited
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -55,7 +55,7 @@
     :ivar tokens: output tokens expected.
     """
 
-    ask: requests.SlotRequest
+    slot_request: requests.SlotRequest
     grant: requests.Grant
     granted: float
     read_tokens: float
@@ -134,7 +134,7 @@
 
     def begin(self, running: Running, now: float) -> None:
         """Take that a request runs here from now on."""
-        request_id = running.ask.request_id
+        request_id = running.slot_request.request_id
         self.occupied.passed(len(self.running), now)
         self.running[request_id] = running
         if running.first_token is None:
@@ -200,7 +200,9 @@
 
     def unread_tokens(self) -> float:
         """Give the prompt tokens granted and not known to be read."""
-        return sum(one.ask.prompt_tokens for one in self.unborn.values())
+        return sum(
+            one.slot_request.prompt_tokens for one in self.unborn.values()
+        )
 
     def overdue(self, now: float) -> float:
         """Give the seconds by which the next first token is late.
--- a/libs/scheduling/geraniumweir/scheduling/ontime/rests.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/rests.py
@@ -36,7 +36,7 @@
             server=server.server_id,
             seconds=round(server.condition.until - now, _SECONDS_DIGITS),
             cause=cause.value,
-            owner=running.ask.owner if running else ids.HostId(''),
+            owner=running.slot_request.owner if running else ids.HostId(''),
         )
 
 
@@ -53,7 +53,9 @@
         case Cause.broke_off:
             return found.broke_off(now)
         case Cause.turned_away if running is not None:
-            others = len(server.running.keys() - {running.ask.request_id})
+            others = len(
+                server.running.keys() - {running.slot_request.request_id}
+            )
             return found.turned_away(others, running.granted, now)
         case _:
             return found.hung(now)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/state.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/state.py
@@ -131,7 +131,7 @@
 
 def denial(
     leader: LeaderState,
-    ask: requests.SlotRequest,
+    slot_request: requests.SlotRequest,
     reason: requests.DenialReason,
 ) -> requests.Denial:
     """Make a denial, with the time in which a repeat may find a slot.
@@ -140,9 +140,9 @@
     """
     seconds = _LATER if pace(leader).load > _FULL else _SOON
     seconds *= leader.dice.uniform(1, 1 + _SPREAD)
-    left = max(ask.deadline - leader.now(), 0)
+    left = max(slot_request.deadline - leader.now(), 0)
     seconds = min(seconds, left * _LATEST_RETURN)
-    return requests.Denial(ask.request_id, reason, int(seconds * _MS))
+    return requests.Denial(slot_request.request_id, reason, int(seconds * _MS))
 
 
 def refuse(
@@ -155,14 +155,14 @@
 
     :param seconds: after which a repeat may find a slot, where that is known.
     """
-    leader.waiting.pop(waiting.ask.request_id, None)
+    leader.waiting.pop(waiting.slot_request.request_id, None)
     if reason is not requests.DenialReason.withdrawn:
         first = waiting.arrived - waiting.waited
-        leader.repeated.refused(waiting.ask.fingerprint, first)
+        leader.repeated.refused(waiting.slot_request.fingerprint, first)
     if seconds is None:
-        answer = denial(leader, waiting.ask, reason)
+        answer = denial(leader, waiting.slot_request, reason)
     else:
-        request_id = waiting.ask.request_id
+        request_id = waiting.slot_request.request_id
         answer = requests.Denial(request_id, reason, int(seconds * _MS))
     waiting.fut.set_result(answer)
 
@@ -173,6 +173,6 @@
     running: records.Running,
 ) -> None:
     """Count a grant in use; its server may not be known yet."""
-    leader.running[running.ask.request_id] = running
+    leader.running[running.slot_request.request_id] = running
     if server is not None:
         server.begin(running, leader.now())
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_look_cost.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_look_cost.py
@@ -50,7 +50,7 @@
     now = asyncio.get_running_loop().time
     grants = []
     for number in range(_SERVERS * 3):
-        made = play.ask(f'running {number}', now(), target=now() + 1e6)
+        made = play.slot_request(f'running {number}', now(), target=now() + 1e6)
         found = await pool.request_slot(made)
         assert isinstance(found, requests.Grant)
         pool.progress(requests.Progress(found.request_id, 0.5, 1))
@@ -68,7 +68,7 @@
         await _slow_servers(pool)
         tasks = [
             asyncio.create_task(
-                pool.request_slot(play.ask(str(number), loop.time()))
+                pool.request_slot(play.slot_request(str(number), loop.time()))
             )
             for number in range(_WAITING)
         ]
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_occupancy.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_occupancy.py
@@ -54,7 +54,7 @@
     found = records.Server(play.server('a', 8))
     grant = requests.Grant(ids.RequestId('r'), *found.start, _ADDRESS)
     for number in range(40):
-        made = play.ask('r', number)
+        made = play.slot_request('r', number)
         running = records.Running(made, grant, number, 100, 0.06, 100)
         found.begin(running, number)
         found.end(made.request_id, number, answered=False)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_paths.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_paths.py
@@ -37,7 +37,7 @@
     loop = asyncio.get_running_loop()
     await asyncio.sleep(chance.uniform(0, _SECONDS))
     domain = chance.choice(_DOMAINS)
-    made = play.ask(name, loop.time(), failure_domain=domain, gap=0.2)
+    made = play.slot_request(name, loop.time(), failure_domain=domain, gap=0.2)
     grant = await pool.request_slot(made)
     assert isinstance(grant, requests.Grant)
     crosses = grant.server_id != f'of-{domain}'
@@ -100,7 +100,7 @@
     """Take a slot, so that the other domain has more of them free."""
     now = asyncio.get_running_loop().time()
     busy = await pool.request_slot(
-        play.ask('busy', now, failure_domain=_DOMAINS[0])
+        play.slot_request('busy', now, failure_domain=_DOMAINS[0])
     )
     assert isinstance(busy, requests.Grant)
     assert busy.server_id == near.server_id
@@ -109,7 +109,7 @@
 
 async def _sent_to(pool: leader.OnTimeLeader, name: str) -> ids.ServerId:
     now = asyncio.get_running_loop().time()
-    made = play.ask(name, now, failure_domain=_DOMAINS[0])
+    made = play.slot_request(name, now, failure_domain=_DOMAINS[0])
     grant = await pool.request_slot(made)
     assert isinstance(grant, requests.Grant)
     cancelled = requests.Outcome.cancelled
@@ -121,7 +121,7 @@
     """Play a stream that the path holds up if it crosses."""
     now = asyncio.get_running_loop().time()
     grant = await pool.request_slot(
-        play.ask(name, now, failure_domain=_DOMAINS[0])
+        play.slot_request(name, now, failure_domain=_DOMAINS[0])
     )
     assert isinstance(grant, requests.Grant)
     crosses = grant.server_id != f'of-{_DOMAINS[0]}'
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rests.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rests.py
@@ -35,11 +35,11 @@
         entries = []
         for _ in range(number):
             self._attempt += 1
-            ask = play.ask(str(self._attempt), now)
-            entries.append(self.led.join(ask, self._attempt))
+            slot_request = play.slot_request(str(self._attempt), now)
+            entries.append(self.led.join(slot_request, self._attempt))
         await asyncio.sleep(_AT_ONCE)
         return [
-            entry.ask.request_id
+            entry.slot_request.request_id
             for entry in entries
             if entry and isinstance(entry.answer, requests.Grant)
         ]
@@ -72,7 +72,7 @@
         granted = await bed.granted(_SLOTS)
         now = asyncio.get_running_loop().time()
         again = [
-            bed.led.join(play.ask(request_id, now), 1000)
+            bed.led.join(play.slot_request(request_id, now), 1000)
             for request_id in granted
         ]
         await asyncio.sleep(_AT_ONCE)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/trying.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/trying.py
@@ -128,7 +128,7 @@
     leader.guide.answered(
         server.version,
         server.server_id,
-        running.ask.rule,
+        running.slot_request.rule,
         failed=failed,
         ratio=ratio,
     )
--- a/libs/scheduling/geraniumweir/scheduling/owned.py
+++ b/libs/scheduling/geraniumweir/scheduling/owned.py
@@ -27,7 +27,7 @@
     :ivar delivery: sends the ask until the leader has it.
     """
 
-    ask: requests.SlotRequest
+    slot_request: requests.SlotRequest
     host: ids.HostId
     home: bool
     attempt: int
@@ -55,7 +55,7 @@
     :ivar since: time of the grant in seconds.
     """
 
-    ask: requests.SlotRequest
+    slot_request: requests.SlotRequest
     grant: requests.Grant
     host: ids.HostId
     home: bool
@@ -67,7 +67,7 @@
     def for_handover(self, now: float) -> requests.OpenGrant:
         """Give what another leader needs to take the grant over."""
         return requests.OpenGrant(
-            self.ask,
+            self.slot_request,
             self.grant,
             now - self.since,
             self.first_token,
@@ -99,7 +99,9 @@
         return [
             place
             for place in self.places.values()
-            if place.home and place.ask.pool == pool and not place.fut.done()
+            if place.home
+            and place.slot_request.pool == pool
+            and not place.fut.done()
         ]
 
     def home_grants(self, pool: ids.PoolName) -> list[InUse]:
@@ -107,7 +109,7 @@
         return [
             found
             for found in self.in_use.values()
-            if found.home and found.ask.pool == pool
+            if found.home and found.slot_request.pool == pool
         ]
 
     def pools(self) -> set[ids.PoolName]:
@@ -116,4 +118,4 @@
             self.places.values(),
             self.in_use.values(),
         )
-        return {found.ask.pool for found in everything if found.home}
+        return {found.slot_request.pool for found in everything if found.home}
--- a/libs/scheduling/geraniumweir/scheduling/placement.py
+++ b/libs/scheduling/geraniumweir/scheduling/placement.py
@@ -66,12 +66,13 @@
     return [
         other
         for other in server.promised.values()
-        if other is not waiting and other.ask.tier <= waiting.ask.tier
+        if other is not waiting
+        and other.slot_request.tier <= waiting.slot_request.tier
     ]
 
 
 def _urgency(waiting: records.Waiting) -> tuple[int, float, int]:
-    return waiting.ask.tier, waiting.best_start, waiting.sequence
+    return waiting.slot_request.tier, waiting.best_start, waiting.sequence
 
 
 def kept_for_another(server: records.Server, waiting: records.Waiting) -> bool:
@@ -131,14 +132,16 @@
 
     Prefill ahead takes longer than predicted where much else runs.
     """
-    ask = waiting.ask
+    slot_request = waiting.slot_request
     now = leader.now()
     if now >= waiting.best_start - leader.cfg.preempt_slack:
         return False
-    if predicting.prefill_ahead(leader, server) < _RISK * (ask.deadline - now):
+    if predicting.prefill_ahead(leader, server) < _RISK * (
+        slot_request.deadline - now
+    ):
         return False
     return any(
-        count and tier > ask.tier
+        count and tier > slot_request.tier
         for tier, count in leader.running_by_tier.items()
     )
 
@@ -153,7 +156,7 @@
     Prefill holds up all that runs beside it and pushes others' prefixes out.
     """
     seconds = predicting.finish(leader, server, waiting) * _slowdown(server)
-    rates = predicting.rates_of(leader, server, waiting.ask.model)
+    rates = predicting.rates_of(leader, server, waiting.slot_request.model)
     uncached = predicting.uncached_tokens(leader, server, waiting)
     return seconds + _REPEAT_WEIGHT * rates.prefill * uncached
 
@@ -211,7 +214,7 @@
     """List the few open servers worth a closer look."""
     found = [
         server_id
-        for server_id in leader.prefixes.warmest(waiting.ask.blocks)
+        for server_id in leader.prefixes.warmest(waiting.slot_request.blocks)
         if leader.open_servers.has(server_id)
     ]
     for kind in waiting.latest:
--- a/libs/scheduling/geraniumweir/scheduling/predicting.py
+++ b/libs/scheduling/geraniumweir/scheduling/predicting.py
@@ -26,7 +26,7 @@
     return {
         kind: latest_start(leader, waiting, kind, cached.get(kind, 0))
         for kind in leader.classes.values()
-        if kind.serves(waiting.ask)
+        if kind.serves(waiting.slot_request)
     }
 
 
@@ -41,12 +41,12 @@
     :param cached: share of its prompt that such a server has cached.
     """
     if waiting.probe:
-        return waiting.ask.deadline
-    rates = leader.speeds.of_kind(kind.hardware, waiting.ask.model)
-    prompt = waiting.ask.prompt_tokens * (1 - cached)
+        return waiting.slot_request.deadline
+    rates = leader.speeds.of_kind(kind.hardware, waiting.slot_request.model)
+    prompt = waiting.slot_request.prompt_tokens * (1 - cached)
     seconds = rates.seconds(prompt, waiting.expected.mean)
     seconds *= waiting.hope
-    return waiting.ask.deadline - seconds * leader.cfg.safety
+    return waiting.slot_request.deadline - seconds * leader.cfg.safety
 
 
 def uncached_tokens(
@@ -55,9 +55,9 @@
     waiting: records.Waiting,
 ) -> float:
     """Give the prompt tokens that a server would have to prefill."""
-    ask = waiting.ask
-    share = leader.prefixes.cached_share(server.server_id, ask.blocks)
-    return ask.prompt_tokens * (1 - share)
+    slot_request = waiting.slot_request
+    share = leader.prefixes.cached_share(server.server_id, slot_request.blocks)
+    return slot_request.prompt_tokens * (1 - share)
 
 
 def finish(
@@ -66,7 +66,7 @@
     waiting: records.Waiting,
 ) -> float:
     """Predict the seconds until a request started now on a server ends."""
-    rates = rates_of(leader, server, waiting.ask.model)
+    rates = rates_of(leader, server, waiting.slot_request.model)
     seconds = rates.seconds(
         uncached_tokens(leader, server, waiting),
         waiting.expected.mean,
@@ -112,11 +112,11 @@
     freed = sum(
         running.prefill
         for running in gone
-        if running.ask.request_id in server.unborn
+        if running.slot_request.request_id in server.unborn
     )
     freed = min(freed, prefill_ahead(leader, server))
     seconds = (finish(leader, server, waiting) - freed) * leader.cfg.safety
-    return leader.now() + seconds <= waiting.ask.deadline
+    return leader.now() + seconds <= waiting.slot_request.deadline
 
 
 def _cached_by_class(
@@ -125,7 +125,7 @@
 ) -> dict[records.ServerClass, float]:
     """Give the share of a prompt cached where most of it is, by class."""
     shares: dict[records.ServerClass, float] = {}
-    warmest = leader.prefixes.warmest(waiting.ask.blocks)
+    warmest = leader.prefixes.warmest(waiting.slot_request.blocks)
     for server_id, share in warmest.items():
         server = leader.servers.get(server_id)
         if server is not None and server.live:
--- a/libs/scheduling/geraniumweir/scheduling/progressing.py
+++ b/libs/scheduling/geraniumweir/scheduling/progressing.py
@@ -43,7 +43,7 @@
     server = leader.servers.get(running.grant.server_id)
     drop(leader, running)
     if server is None:
-        granting.unpark(leader, running.ask.rule)
+        granting.unpark(leader, running.slot_request.rule)
         return
     _correct_charge(leader, running, ended.outcome)
     match ended.outcome:
@@ -64,7 +64,7 @@
         ):
             pass
     placement.refresh(leader, server)
-    granting.unpark(leader, running.ask.rule)
+    granting.unpark(leader, running.slot_request.rule)
     granting.fill(leader, server)
 
 
@@ -75,7 +75,7 @@
 ) -> None:
     """Take that a server answered with an error or broke off."""
     now = leader.now()
-    mark = running.ask.fingerprint
+    mark = running.slot_request.fingerprint
     server.failures.append((now, mark))
     server.health.failed(now)
     leader.suspects.broke_off(mark, server.server_id, now)
@@ -83,16 +83,16 @@
 
 def drop(leader: state.LeaderState, running: records.Running) -> None:
     """Take a grant out of all counts."""
-    ask = running.ask
-    leader.running.pop(ask.request_id)
-    leader.running_by_tier[ask.tier] -= 1
-    leader.running_prints[ask.fingerprint] -= 1
-    if not leader.running_prints[ask.fingerprint]:
-        leader.running_prints.pop(ask.fingerprint)
-    leader.rules[ask.rule].running -= 1
-    waitlist.forget_idle_rule(leader, ask.rule)
+    slot_request = running.slot_request
+    leader.running.pop(slot_request.request_id)
+    leader.running_by_tier[slot_request.tier] -= 1
+    leader.running_prints[slot_request.fingerprint] -= 1
+    if not leader.running_prints[slot_request.fingerprint]:
+        leader.running_prints.pop(slot_request.fingerprint)
+    leader.rules[slot_request.rule].running -= 1
+    waitlist.forget_idle_rule(leader, slot_request.rule)
     orphans = leader.orphans.get(running.grant.server_id, {})
-    orphans.pop(ask.request_id, None)
+    orphans.pop(slot_request.request_id, None)
     server = leader.servers.get(running.grant.server_id)
     if server is not None:
         fleet.detach(leader, server, running)
@@ -112,10 +112,12 @@
     leader.speeds.learn_prefill(
         server.server_id,
         server.kind.hardware,
-        running.ask.model,
+        running.slot_request.model,
         (seconds, tokens),
     )
-    usual = leader.speeds.of_kind(server.kind.hardware, running.ask.model)
+    usual = leader.speeds.of_kind(
+        server.kind.hardware, running.slot_request.model
+    )
     server.limit.observe(seconds, usual.prefill * tokens, leader.now())
     server.health.compare(seconds, rate * tokens, leader.now())
     placement.refresh(leader, server)
@@ -155,10 +157,12 @@
         running.first_token = first_token
         _learn_late_first_token(leader, server, running)
     if ended.output_tokens:
-        ask = running.ask
-        leader.lengths.learn(ask.rule, ask.customer, ended.output_tokens)
+        slot_request = running.slot_request
+        leader.lengths.learn(
+            slot_request.rule, slot_request.customer, ended.output_tokens
+        )
         _learn_decode(leader, server, running, ended)
-    leader.suspects.ended_well(running.ask.fingerprint)
+    leader.suspects.ended_well(running.slot_request.fingerprint)
     server.last_good = leader.now()
     server.health.good()
 
@@ -174,7 +178,7 @@
     leader.speeds.learn_prefill(
         server.server_id,
         server.kind.hardware,
-        running.ask.model,
+        running.slot_request.model,
         (running.first_token or 0, tokens),
     )
 
@@ -193,10 +197,12 @@
     leader.speeds.learn_decode(
         server.server_id,
         server.kind.hardware,
-        running.ask.model,
+        running.slot_request.model,
         (seconds, steps),
     )
-    usual = leader.speeds.of_kind(server.kind.hardware, running.ask.model)
+    usual = leader.speeds.of_kind(
+        server.kind.hardware, running.slot_request.model
+    )
     server.limit.observe(seconds, usual.decode * steps, leader.now())
     server.health.compare(seconds, expected, leader.now())
 
@@ -210,9 +216,9 @@
     used = leader.now() - running.granted
     if outcome in spending.NOT_SERVED:
         used = 0
-    ask = running.ask
-    flow = (ask.tier, ask.customer)
-    leader.queue.charge(flow, (used - running.cost) / ask.share)
+    slot_request = running.slot_request
+    flow = (slot_request.tier, slot_request.customer)
+    leader.queue.charge(flow, (used - running.cost) / slot_request.share)
 
 
 def _rates(
@@ -223,5 +229,5 @@
     return leader.speeds.of_server(
         server.server_id,
         server.kind.hardware,
-        running.ask.model,
+        running.slot_request.model,
     )
--- a/libs/scheduling/geraniumweir/scheduling/records.py
+++ b/libs/scheduling/geraniumweir/scheduling/records.py
@@ -28,14 +28,17 @@
     models: tuple[str, ...]
     max_context: int
 
-    def serves(self, ask: requests.SlotRequest) -> bool:
+    def serves(self, slot_request: requests.SlotRequest) -> bool:
         """Tell whether a server of this class can run a request at all."""
-        if ask.model is not None and self.models:
-            if ask.model not in self.models:
+        if slot_request.model is not None and self.models:
+            if slot_request.model not in self.models:
                 return False
         if not self.max_context:
             return True
-        return ask.prompt_tokens + max(ask.max_tokens, 1) <= self.max_context
+        return (
+            slot_request.prompt_tokens + max(slot_request.max_tokens, 1)
+            <= self.max_context
+        )
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -54,7 +57,7 @@
     :ivar held: a suspect, or kept back by its rule's limit.
     """
 
-    ask: requests.SlotRequest
+    slot_request: requests.SlotRequest
     sequence: int
     arrived: float
     fut: asyncio.Future[requests.Grant | requests.Denial]
@@ -75,12 +78,12 @@
     @property
     def kv_need(self) -> int:
         """Give the KV tokens that it may come to hold."""
-        return self.ask.prompt_tokens + int(self.expected.high)
+        return self.slot_request.prompt_tokens + int(self.expected.high)
 
     @property
     def flow(self) -> fairqueue.Flow:
         """Give its tier and customer."""
-        return (self.ask.tier, self.ask.customer)
+        return (self.slot_request.tier, self.slot_request.customer)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -95,7 +98,7 @@
     :ivar due: when the next sign of progress is late.
     """
 
-    ask: requests.SlotRequest
+    slot_request: requests.SlotRequest
     grant: requests.Grant
     granted: float
     expected: learning.Expected
@@ -114,7 +117,7 @@
     @property
     def kv_need(self) -> int:
         """Give the KV tokens that it may come to hold."""
-        return self.ask.prompt_tokens + int(self.expected.high)
+        return self.slot_request.prompt_tokens + int(self.expected.high)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
--- a/libs/scheduling/geraniumweir/scheduling/remote.py
+++ b/libs/scheduling/geraniumweir/scheduling/remote.py
@@ -126,8 +126,8 @@
                 requests.DenialReason.not_leader,
                 self._leader_of(message.pool),
             )
-        ask = translation.unpack_ask(message, self._clock.now())
-        entry = found.join(ask, message.attempt)
+        slot_request = translation.unpack_ask(message, self._clock.now())
+        entry = found.join(slot_request, message.attempt)
         if entry is None:
             return _refuse(requests.DenialReason.withdrawn)
         await _hold(entry)
@@ -206,8 +206,10 @@
         eventlog.emit(logevents.LEADS_NO_MORE, pool=pool)
         for entry in self._pools.pop(pool).close():
             reason = requests.DenialReason.not_leader
-            entry.answer = requests.Denial(entry.ask.request_id, reason)
-            self._link.send(entry.ask.owner, telling.message(entry))
+            entry.answer = requests.Denial(
+                entry.slot_request.request_id, reason
+            )
+            self._link.send(entry.slot_request.owner, telling.message(entry))
 
     def _check(self) -> None:
         since = self._clock.now() - _SILENCE
--- a/libs/scheduling/geraniumweir/scheduling/requests.py
+++ b/libs/scheduling/geraniumweir/scheduling/requests.py
@@ -228,7 +228,7 @@
     :ivar age: seconds since dispatch.
     """
 
-    ask: SlotRequest
+    slot_request: SlotRequest
     grant: Grant
     age: float = 0
     first_token: float | None = None
--- a/libs/scheduling/geraniumweir/scheduling/retrycounts.py
+++ b/libs/scheduling/geraniumweir/scheduling/retrycounts.py
@@ -190,18 +190,18 @@
 
     def note(
         self,
-        ask: requests.SlotRequest,
+        slot_request: requests.SlotRequest,
         answer: requests.Grant | requests.Denial,
         now: float,
     ) -> None:
         """Take the answer to an ask."""
-        key = (ask.pool, self._granter())
-        match ask.sending:
+        key = (slot_request.pool, self._granter())
+        match slot_request.sending:
             case requests.Sending.first:
                 self._requests[key].add(1, now)
             case requests.Sending.retry if isinstance(answer, requests.Grant):
                 self._retries[key].add(1, now)
-                self._granted[ask.request_id] = (key, now)
+                self._granted[slot_request.request_id] = (key, now)
 
     def release(self, release: requests.Release) -> None:
         """Take the end of a grant; what wasn't sent doesn't count."""
--- a/libs/scheduling/geraniumweir/scheduling/shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/shedding.py
@@ -38,7 +38,9 @@
 def watch(leader: state.LeaderState, waiting: records.Waiting) -> None:
     """See to it that a request is decided when its latest start comes."""
     if not waiting.latest:
-        by = min(waiting.ask.deadline, waiting.arrived + NO_SERVER_SECONDS)
+        by = min(
+            waiting.slot_request.deadline, waiting.arrived + NO_SERVER_SECONDS
+        )
         _arm(leader, waiting, by, expire)
         return
     at = waiting.best_start - leader.cfg.preempt_slack - _MOST_AHEAD
@@ -74,7 +76,7 @@
         leader.preemptible.least(kind, tier)
         for kind in waiting.latest
         for tier in ids.Tier
-        if tier > waiting.ask.tier
+        if tier > waiting.slot_request.tier
     )
     places = (leader.running[one].grant.server_id for one in streams)
     near = (leader.servers[place] for place in dict.fromkeys(places))
@@ -120,9 +122,12 @@
     """Tell what kept a request from being served until its latest start."""
     if not waiting.latest:
         return requests.DenialReason.no_server
-    if waitlist.over_running_limit(leader, waiting.ask):
+    if waitlist.over_running_limit(leader, waiting.slot_request):
         return requests.DenialReason.rule_limit
-    if waiting.held and waiting.ask.fingerprint in leader.running_prints:
+    if (
+        waiting.held
+        and waiting.slot_request.fingerprint in leader.running_prints
+    ):
         return requests.DenialReason.quarantined
     return requests.DenialReason.too_late
 
@@ -135,28 +140,32 @@
     """End a request that waits."""
     waitlist.leave(leader, waiting)
     kept = waitlist.unpromise(leader, waiting)
-    waiting.fut.set_result(denial(leader, waiting.ask, reason))
+    waiting.fut.set_result(denial(leader, waiting.slot_request, reason))
     if kept is not None:
         granting.fill(leader, kept)
 
 
 def denial(
     leader: state.LeaderState,
-    ask: requests.SlotRequest,
+    slot_request: requests.SlotRequest,
     reason: requests.DenialReason,
 ) -> requests.Denial:
     """Make a denial, with a time to come back, and remember it."""
     now = leader.now()
     if reason is not requests.DenialReason.withdrawn:
-        leader.budgets.refused(ask.customer, ask.fingerprint, now)
-    seconds = expected_wait(leader, ask.tier)
+        leader.budgets.refused(
+            slot_request.customer, slot_request.fingerprint, now
+        )
+    seconds = expected_wait(leader, slot_request.tier)
     if reason is requests.DenialReason.quarantined:
-        seconds = leader.suspects.remaining(ask.fingerprint, now)
+        seconds = leader.suspects.remaining(slot_request.fingerprint, now)
     else:
         seconds = min(max(seconds, _LEAST_RETRY), _LONGEST_RETRY)
     # Spread out, so that those refused together don't come back together.
     spread = leader.dice.uniform(1, 1 + 2 * _SPREAD)
-    return requests.Denial(ask.request_id, reason, int(seconds * spread * _MS))
+    return requests.Denial(
+        slot_request.request_id, reason, int(seconds * spread * _MS)
+    )
 
 
 def expected_wait(leader: state.LeaderState, tier: ids.Tier) -> float:
@@ -172,10 +181,12 @@
     )
 
 
-def make_room(leader: state.LeaderState, ask: requests.SlotRequest) -> bool:
+def make_room(
+    leader: state.LeaderState, slot_request: requests.SlotRequest
+) -> bool:
     """Shed the lowest, latest request if it is lower than a newcomer."""
     for tier in reversed(ids.Tier):
-        if tier <= ask.tier:
+        if tier <= slot_request.tier:
             return False
         latest = next(reversed(leader.by_tier[tier].values()), None)
         if latest is not None:
@@ -200,9 +211,12 @@
     """
     if not leader.cfg.preempts or not leader.settled:
         return False
-    if waitlist.over_running_limit(leader, waiting.ask):
+    if waitlist.over_running_limit(leader, waiting.slot_request):
         return False
-    if waiting.held and waiting.ask.fingerprint in leader.running_prints:
+    if (
+        waiting.held
+        and waiting.slot_request.fingerprint in leader.running_prints
+    ):
         return False
     if waiting.preempting & leader.running.keys():
         return True
@@ -213,13 +227,13 @@
     waitlist.promise(leader, leader.servers[server_id], waiting)
     for running in chosen:
         running.preempted = True
-        leader.preemptible.remove(running.ask.request_id)
-        waiting.preempting.add(running.ask.request_id)
+        leader.preemptible.remove(running.slot_request.request_id)
+        waiting.preempting.add(running.slot_request.request_id)
     for running in chosen:
         leader.on_preempt(
             requests.Preempt(
-                running.ask.request_id,
-                running.ask.owner,
+                running.slot_request.request_id,
+                running.slot_request.owner,
                 server_id,
             ),
         )
@@ -231,7 +245,7 @@
     waiting: records.Waiting,
 ) -> list[records.Running]:
     for tier in reversed(ids.Tier):
-        if tier <= waiting.ask.tier:
+        if tier <= waiting.slot_request.tier:
             return []
         options = _options(leader, waiting, tier)
         if options:
@@ -321,12 +335,12 @@
         running
         for request_id, running in server.running.items()
         if running is not first
-        and running.ask.tier > waiting.ask.tier
+        and running.slot_request.tier > waiting.slot_request.tier
         and leader.preemptible.waste(request_id) is not None
     ]
     return sorted(
         others,
-        key=lambda running: (-running.ask.tier, running.uncached),
+        key=lambda running: (-running.slot_request.tier, running.uncached),
     )
 
 
--- a/libs/scheduling/geraniumweir/scheduling/spending.py
+++ b/libs/scheduling/geraniumweir/scheduling/spending.py
@@ -82,14 +82,16 @@
             self._retries.told_to(host_id, now),
         )
 
-    async def request_slot(self, ask: requests.SlotRequest) -> _Answer:
+    async def request_slot(self, slot_request: requests.SlotRequest) -> _Answer:
         """Wait for a grant."""
-        answer = await self._scheduler.request_slot(ask)
+        answer = await self._scheduler.request_slot(slot_request)
         now = self._clock.now()
-        self._retries.note(ask, answer, now)
-        if isinstance(answer, requests.Grant) and ask.quota_cost:
-            self._windows[ask.customer].add(ask.quota_cost, now)
-            self._in_use[ask.request_id] = (ask, now)
+        self._retries.note(slot_request, answer, now)
+        if isinstance(answer, requests.Grant) and slot_request.quota_cost:
+            self._windows[slot_request.customer].add(
+                slot_request.quota_cost, now
+            )
+            self._in_use[slot_request.request_id] = (slot_request, now)
         return answer
 
     def withdraw(self, request_id: ids.RequestId) -> None:
@@ -105,8 +107,10 @@
         self._retries.release(release)
         found = self._in_use.pop(release.request_id, None)
         if found is not None and release.outcome in NOT_SERVED:
-            ask, at = found
-            self._windows[ask.customer].give_back(ask.quota_cost, at)
+            slot_request, at = found
+            self._windows[slot_request.customer].give_back(
+                slot_request.quota_cost, at
+            )
         self._scheduler.release(release)
 
     def _forget_old(self, now: float) -> None:
--- a/libs/scheduling/geraniumweir/scheduling/spill.py
+++ b/libs/scheduling/geraniumweir/scheduling/spill.py
@@ -28,7 +28,7 @@
 
 
 def in_order(
-    ask: requests.SlotRequest,
+    slot_request: requests.SlotRequest,
     pools: typing.Iterable[views.RemotePool],
 ) -> list[views.RemotePool]:
     """Sort pools, the best for an ask first.
@@ -41,27 +41,30 @@
     return sorted(
         pools,
         key=lambda pool: (
-            -_free(ask, pool.summary),
-            not _serves_lower(ask, pool.summary),
-            _expected_wait(ask.tier, pool.summary),
+            -_free(slot_request, pool.summary),
+            not _serves_lower(slot_request, pool.summary),
+            _expected_wait(slot_request.tier, pool.summary),
             pool.domain,
         ),
     )
 
 
-def _free(ask: requests.SlotRequest, summary: requests.PoolSummary) -> int:
+def _free(
+    slot_request: requests.SlotRequest, summary: requests.PoolSummary
+) -> int:
     return sum(
         capacity.free
         for capacity in summary.capacity
-        if ask.model is None or capacity.model in ('', ask.model)
+        if slot_request.model is None
+        or capacity.model in ('', slot_request.model)
     )
 
 
 def _serves_lower(
-    ask: requests.SlotRequest, summary: requests.PoolSummary
+    slot_request: requests.SlotRequest, summary: requests.PoolSummary
 ) -> bool:
     lowest = summary.lowest_served
-    return lowest is not None and lowest > ask.tier
+    return lowest is not None and lowest > slot_request.tier
 
 
 def _expected_wait(tier: ids.Tier, summary: requests.PoolSummary) -> float:
--- a/libs/scheduling/geraniumweir/scheduling/takeover.py
+++ b/libs/scheduling/geraniumweir/scheduling/takeover.py
@@ -44,8 +44,10 @@
     for grant in handover.open:
         in_use = translation.unpack_open(grant, now)
         found.adopt(in_use, grant.ask.attempt)
-    for ask in handover.waiting:
-        found.join(translation.unpack_ask(ask, now), ask.attempt)
+    for slot_request in handover.waiting:
+        found.join(
+            translation.unpack_ask(slot_request, now), slot_request.attempt
+        )
 
 
 async def _pull(
--- a/libs/scheduling/geraniumweir/scheduling/telling.py
+++ b/libs/scheduling/geraniumweir/scheduling/telling.py
@@ -19,12 +19,14 @@
     """Tell until the owner has it; take back a grant that it can't use."""
     while found.has(entry):
         try:
-            reply = await link.call(entry.ask.owner, message(entry), _TIMEOUT)
+            reply = await link.call(
+                entry.slot_request.owner, message(entry), _TIMEOUT
+            )
         except errors.PeerError:
             await asyncio.sleep(_PAUSE)
             continue
         if not reply.taken and found.has(entry):
-            found.withdraw(entry.ask.request_id, entry.attempt)
+            found.withdraw(entry.slot_request.request_id, entry.attempt)
         break
     entry.telling = False
     found.done_with(entry)
@@ -33,7 +35,7 @@
 def message(entry: led.Entry) -> ttypes.Answer:
     """Give the message of an answer."""
     return ttypes.Answer(
-        entry.ask.request_id,
+        entry.slot_request.request_id,
         entry.attempt,
         **packed(entry.answer),
     )
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_awaited_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_awaited_leader.py
@@ -71,10 +71,10 @@
         link.handle(ttypes.Ask, self._deny)
         other.handle(ttypes.Ask, self._grant)
 
-    def ask(self) -> asyncio.Task[requests.Grant | requests.Denial]:
+    def request_slot(self) -> asyncio.Task[requests.Grant | requests.Denial]:
         """Ask for a grant."""
         now = asyncio.get_running_loop().time()
-        ask = requests.SlotRequest(
+        slot_request = requests.SlotRequest(
             ids.RequestId('r'),
             _ENTRY,
             _POOL,
@@ -83,7 +83,7 @@
             ids.Tier.normal,
             now + 10,
         )
-        return asyncio.create_task(self.broker.request_slot(ask))
+        return asyncio.create_task(self.broker.request_slot(slot_request))
 
     def elect(self) -> None:
         """Let the other host coordinate."""
@@ -113,7 +113,7 @@
 
     async def work() -> None:
         bed = _Bed(reason)
-        asked = bed.ask()
+        asked = bed.request_slot()
         await asyncio.sleep(0.5)
         assert not asked.done()
         assert bed.asked < 15
@@ -130,7 +130,7 @@
 
     async def work() -> None:
         bed = _Bed(_REASONS.quarantined)
-        answer = await bed.ask()
+        answer = await bed.request_slot()
         assert isinstance(answer, requests.Denial)
         bed.broker.close()
 
@@ -142,7 +142,7 @@
 
     async def work() -> None:
         bed = _Bed(_REASONS.over_quota)
-        waiting = bed.ask()
+        waiting = bed.request_slot()
         await asyncio.sleep(0.3)
         bed.is_due = False
         await asyncio.sleep(0.2)
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_faults.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_faults.py
@@ -93,11 +93,11 @@
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'), scenes.engine('two'))
-        ask = scene.make()
-        first = await scene.leader.request_slot(ask)
+        slot_request = scene.make()
+        first = await scene.leader.request_slot(slot_request)
         assert isinstance(first, requests.Grant)
         scene.end(first, requests.Outcome.not_sent)
-        second = await scene.leader.request_slot(ask)
+        second = await scene.leader.request_slot(slot_request)
         assert isinstance(second, requests.Grant)
         assert second.server_id != first.server_id
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
@@ -33,7 +33,7 @@
 class _Use:
     """A grant in use as its owner sees it."""
 
-    ask: requests.SlotRequest
+    slot_request: requests.SlotRequest
     grant: requests.Grant
     since: float
 
@@ -76,7 +76,7 @@
         prompt_tokens=st.sampled_from([10, 50, 400, 600]),
         idempotent=st.booleans(),
     )
-    def ask(
+    def request_slot(
         self,
         tier: ids.Tier,
         customer: str,
@@ -85,19 +85,21 @@
         idempotent: bool,
     ) -> None:
         """A request arrives."""
-        ask = self.scene.make(
+        slot_request = self.scene.make(
             wait,
             tier=tier,
             customer=ids.CustomerName(customer),
             prompt_tokens=prompt_tokens,
             idempotent=idempotent,
         )
-        self._ask(ask)
+        self._ask(slot_request)
 
-    def _ask(self, ask: requests.SlotRequest) -> None:
-        self.asked[ask.request_id] = ask
-        task = self.loop.create_task(self.scene.leader.request_slot(ask))
-        self.tasks[ask.request_id] = (ask, task)
+    def _ask(self, slot_request: requests.SlotRequest) -> None:
+        self.asked[slot_request.request_id] = slot_request
+        task = self.loop.create_task(
+            self.scene.leader.request_slot(slot_request)
+        )
+        self.tasks[slot_request.request_id] = (slot_request, task)
         self._pass(0.001)
 
     @stateful.rule(tier=st.sampled_from(list(ids.Tier)[:3]))
@@ -119,8 +121,10 @@
     @stateful.rule(pick=st.randoms(use_true_random=False))
     def ask_again(self, pick: object) -> None:
         """An owner repeats an ask that waits."""
-        ask, _ = pick.choice(list(self.tasks.values()))  # type: ignore
-        again = self.loop.create_task(self.scene.leader.request_slot(ask))
+        slot_request, _ = pick.choice(list(self.tasks.values()))  # type: ignore
+        again = self.loop.create_task(
+            self.scene.leader.request_slot(slot_request)
+        )
         self._pass(0.001)
         again.cancel()
 
@@ -170,8 +174,10 @@
         self._pass(0.001)
         if use and outcome is requests.Outcome.not_sent:
             # Past its deadline it would be refused whoever runs.
-            due = max(use.ask.deadline, self.loop.time() + _FRESH_SECONDS)
-            self._ask(dataclasses.replace(use.ask, deadline=due))
+            due = max(
+                use.slot_request.deadline, self.loop.time() + _FRESH_SECONDS
+            )
+            self._ask(dataclasses.replace(use.slot_request, deadline=due))
 
     @stateful.rule(prompt=st.booleans())
     def owners_are(self, prompt: bool) -> None:
@@ -234,7 +240,7 @@
 
     async def _change_leader(self) -> None:
         before = self.scene
-        asks = [ask for ask, _ in self.tasks.values()]
+        asks = [slot_request for slot_request, _ in self.tasks.values()]
         for _, task in self.tasks.values():
             task.cancel()
         self.tasks.clear()
@@ -243,7 +249,7 @@
         self.scene.numbers = before.numbers
         self.scene.leader.adopt(
             [
-                requests.OpenGrant(use.ask, use.grant, 0.1)
+                requests.OpenGrant(use.slot_request, use.grant, 0.1)
                 for use in self.used.values()
             ],
         )
@@ -265,21 +271,23 @@
                 self._cancel_wanted()
 
     def _collect(self) -> None:
-        for ask, task in list(self.tasks.values()):
+        for slot_request, task in list(self.tasks.values()):
             if task.done():
-                self.tasks.pop(ask.request_id)
-                self._answered(ask, task.result())
+                self.tasks.pop(slot_request.request_id)
+                self._answered(slot_request, task.result())
 
     def _answered(
-        self, ask: requests.SlotRequest, answer: scenes.Answer
+        self, slot_request: requests.SlotRequest, answer: scenes.Answer
     ) -> None:
         match answer:
             case requests.Grant():
-                assert ask.request_id not in self.used
+                assert slot_request.request_id not in self.used
                 now = self.loop.time()
-                self.used[ask.request_id] = _Use(ask, answer, now)
+                self.used[slot_request.request_id] = _Use(
+                    slot_request, answer, now
+                )
             case requests.Denial(reason=reason) if reason in _FOR_CAPACITY:
-                self._check_denial(ask)
+                self._check_denial(slot_request)
 
     def _check_denial(self, denied: requests.SlotRequest) -> None:
         """No lower tier runs where the denied request could have run."""
@@ -311,10 +319,10 @@
         """Slots and KV room hold what was granted."""
         by_server = collections.defaultdict(list)
         for use in self.used.values():
-            by_server[use.grant.server_id].append(use.ask)
+            by_server[use.grant.server_id].append(use.slot_request)
         for asks in by_server.values():
             assert len(asks) <= _SLOTS
-            tokens = sum(ask.prompt_tokens for ask in asks)
+            tokens = sum(slot_request.prompt_tokens for slot_request in asks)
             assert tokens <= _KV_TOKENS
 
     @stateful.invariant()
@@ -341,13 +349,16 @@
     uses: list[_Use], denied: requests.SlotRequest
 ) -> bool:
     """Tell whether lower streams of a server held the room for a request."""
-    staying = [use.ask for use in uses if not _spared(use, denied)]
-    tokens = sum(ask.prompt_tokens + _MOST_OUTPUT for ask in (*staying, denied))
+    staying = [use.slot_request for use in uses if not _spared(use, denied)]
+    tokens = sum(
+        slot_request.prompt_tokens + _MOST_OUTPUT
+        for slot_request in (*staying, denied)
+    )
     return len(staying) < len(uses) and tokens <= _KV_TOKENS
 
 
 def _spared(use: _Use, denied: requests.SlotRequest) -> bool:
-    return use.ask.idempotent and use.ask.tier > denied.tier
+    return use.slot_request.idempotent and use.slot_request.tier > denied.tier
 
 
 TestLeader = LeaderMachine.TestCase
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_once.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_once.py
@@ -36,7 +36,9 @@
         tier=st.sampled_from(ids.Tier),
         seconds=st.sampled_from((0.01, 0.5, 3)),
     )
-    def ask(self, host_id: ids.HostId, tier: ids.Tier, seconds: float) -> None:
+    def request_slot(
+        self, host_id: ids.HostId, tier: ids.Tier, seconds: float
+    ) -> None:
         host = self.world.hosts.get(host_id)
         if host is None:
             return
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_over_tcp.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_over_tcp.py
@@ -53,7 +53,7 @@
     async def serve(self, name: str, go_on: asyncio.Event) -> requests.Grant:
         """Ask, hold the grant until told, release."""
         deadline = self.clock.now() + 30
-        request = worlds.ask(self.peers.host_id, name, deadline)
+        request = worlds.slot_request(self.peers.host_id, name, deadline)
         grant = await self.broker.request_slot(request)
         assert isinstance(grant, requests.Grant)
         await go_on.wait()
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_spending.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_spending.py
@@ -22,14 +22,14 @@
 
     async def request_slot(
         self,
-        ask: requests.SlotRequest,
+        slot_request: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
         """Answer at once."""
         if not self.grants:
             reason = requests.DenialReason.shed
-            return requests.Denial(ask.request_id, reason)
+            return requests.Denial(slot_request.request_id, reason)
         return requests.Grant(
-            ask.request_id,
+            slot_request.request_id,
             ids.ServerId('server'),
             ids.Incarnation(1),
             ids.Address('10.0.0.1', 1),
@@ -57,7 +57,7 @@
             ),
         )
 
-    async def ask(self, name: str, cost: float) -> None:
+    async def request_slot(self, name: str, cost: float) -> None:
         """Ask for a request of the customer."""
         await self.spending.request_slot(
             requests.SlotRequest(
@@ -88,9 +88,9 @@
 
     async def work() -> None:
         bed = _Bed()
-        await bed.ask('first', 30)
+        await bed.request_slot('first', 30)
         await asyncio.sleep(5)
-        await bed.ask('second', 7)
+        await bed.request_slot('second', 7)
         assert bed.total() == 37
         assert bed.spending.spent(_NEXT).known_seconds == 5
         await asyncio.sleep(4)
@@ -110,14 +110,14 @@
 
     async def work() -> None:
         bed = _Bed()
-        await bed.ask('first', 30)
+        await bed.request_slot('first', 30)
         bed.release('first', outcome)
         assert not bed.total()
-        await bed.ask('second', 30)
+        await bed.request_slot('second', 30)
         bed.release('second', requests.Outcome.done)
         assert bed.total() == 30
         bed.scheduler.grants = False
-        await bed.ask('third', 30)
+        await bed.request_slot('third', 30)
         assert bed.total() == 30
 
     virtual.run(work())
@@ -130,7 +130,7 @@
         beds = [_Bed(), _Bed()]
         clock = timers.TimerService()
         for number in range(200):
-            await beds[number % 2].ask(str(number), 0.55 * _RATE / 20)
+            await beds[number % 2].request_slot(str(number), 0.55 * _RATE / 20)
             await asyncio.sleep(0.05)
         after = quotas.Quotas(
             lambda _: quotas.Allowance(_RATE, _BURST),
--- a/libs/scheduling/geraniumweir/scheduling/tests/world.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/world.py
@@ -179,7 +179,7 @@
         deadline: float = 30,
     ) -> asyncio.Task[typing.Any]:
         """Serve one request at a host, as the daemon would."""
-        request = ask(
+        request = slot_request(
             host.host_id,
             name,
             self._clock.now() + deadline,
@@ -209,15 +209,15 @@
     async def _serve(
         self,
         host: Host,
-        ask: requests.SlotRequest,
+        slot_request: requests.SlotRequest,
         seconds: float,
     ) -> None:
-        answer = await host.broker.request_slot(ask)
-        self.answers[ask.request_id] = answer
+        answer = await host.broker.request_slot(slot_request)
+        self.answers[slot_request.request_id] = answer
         if isinstance(answer, requests.Denial):
             return
         name = answer.server_id
-        self.dispatched[ask.request_id] += 1
+        self.dispatched[slot_request.request_id] += 1
         self.running[name] += 1
         self.most[name] = max(self.most[name], self.running[name])
         try:
@@ -226,7 +226,7 @@
             self.running[name] -= 1
         host.broker.release(
             requests.Release(
-                ask.request_id,
+                slot_request.request_id,
                 requests.Outcome.done,
                 first_token=seconds / 2,
                 output_tokens=10,
@@ -267,7 +267,7 @@
     )
 
 
-def ask(
+def slot_request(
     owner: ids.HostId,
     name: str,
     deadline: float,
--- a/libs/scheduling/geraniumweir/scheduling/translation.py
+++ b/libs/scheduling/geraniumweir/scheduling/translation.py
@@ -16,36 +16,40 @@
 _SIGN_BIT = _RANGE >> 1
 
 
-def pack_ask(ask: requests.SlotRequest, attempt: int, now: float) -> ttypes.Ask:
+def pack_ask(
+    slot_request: requests.SlotRequest, attempt: int, now: float
+) -> ttypes.Ask:
     """Give the message of an ask."""
     return ttypes.Ask(
-        request_id=ask.request_id,
-        owner=ask.owner,
-        pool=ask.pool,
-        customer=ask.customer,
-        rule=ask.rule,
-        tier=int(ask.tier),
-        time_left=float(ask.deadline - now),
-        model=ask.model,
-        prompt_tokens=ask.prompt_tokens,
-        max_tokens=ask.max_tokens,
-        blocks=[signed(block) for block in ask.blocks],
-        fingerprint=signed(ask.fingerprint),
-        idempotent=ask.idempotent,
-        share=float(ask.share),
-        max_running=ask.max_running,
-        max_waiting=ask.max_waiting,
+        request_id=slot_request.request_id,
+        owner=slot_request.owner,
+        pool=slot_request.pool,
+        customer=slot_request.customer,
+        rule=slot_request.rule,
+        tier=int(slot_request.tier),
+        time_left=float(slot_request.deadline - now),
+        model=slot_request.model,
+        prompt_tokens=slot_request.prompt_tokens,
+        max_tokens=slot_request.max_tokens,
+        blocks=[signed(block) for block in slot_request.blocks],
+        fingerprint=signed(slot_request.fingerprint),
+        idempotent=slot_request.idempotent,
+        share=float(slot_request.share),
+        max_running=slot_request.max_running,
+        max_waiting=slot_request.max_waiting,
         attempt=attempt,
-        rate_per_s=ask.rate_per_s,
-        streams=ask.streams,
-        quota_cost=float(ask.quota_cost) if ask.quota_cost else None,
-        target_left=_left(ask.target, now),
-        rank=ask.rank,
-        likely_tokens=ask.likely_tokens,
-        patience_left=_left(ask.patience, now),
-        gap=None if math.isinf(ask.gap) else float(ask.gap),
-        failure_domain=ask.failure_domain,
-        sending=ask.sending.value,
+        rate_per_s=slot_request.rate_per_s,
+        streams=slot_request.streams,
+        quota_cost=float(slot_request.quota_cost)
+        if slot_request.quota_cost
+        else None,
+        target_left=_left(slot_request.target, now),
+        rank=slot_request.rank,
+        likely_tokens=slot_request.likely_tokens,
+        patience_left=_left(slot_request.patience, now),
+        gap=None if math.isinf(slot_request.gap) else float(slot_request.gap),
+        failure_domain=slot_request.failure_domain,
+        sending=slot_request.sending.value,
     )
 
 
@@ -133,7 +137,7 @@
 ) -> ttypes.OpenGrant:
     """Give the message of a grant in use."""
     return ttypes.OpenGrant(
-        pack_ask(grant.ask, attempt, now),
+        pack_ask(grant.slot_request, attempt, now),
         pack_grant(grant.grant),
         float(grant.age),
         grant.first_token,
@@ -146,10 +150,10 @@
     now: float,
 ) -> requests.OpenGrant:
     """Read the message of a grant in use."""
-    ask = unpack_ask(message.ask, now)
+    slot_request = unpack_ask(message.ask, now)
     return requests.OpenGrant(
-        ask,
-        _unpack_grant(ask.request_id, message.grant),
+        slot_request,
+        _unpack_grant(slot_request.request_id, message.grant),
         message.age,
         message.first_token,
         message.output_tokens,
--- a/libs/scheduling/geraniumweir/scheduling/upkeep.py
+++ b/libs/scheduling/geraniumweir/scheduling/upkeep.py
@@ -89,7 +89,7 @@
             pool,
             self._packed(self._mine.home_grants(pool)),
             [
-                translation.pack_ask(place.ask, place.attempt, now)
+                translation.pack_ask(place.slot_request, place.attempt, now)
                 for place in waiting
             ],
         )
@@ -118,8 +118,8 @@
         message = ttypes.Sync(
             pool=seat[1],
             attempt=attempt,
-            waiting=[place.ask.request_id for place in places],
-            open=[found.ask.request_id for found in grants],
+            waiting=[place.slot_request.request_id for place in places],
+            open=[found.slot_request.request_id for found in grants],
         )
         try:
             reply = await self._link.call(seat[0], message, _TIMEOUT)
@@ -165,13 +165,13 @@
             return
         lost = frozenset(reply.waiting)
         for place in places:
-            if place.ask.request_id in lost and not place.fut.done():
+            if place.slot_request.request_id in lost and not place.fut.done():
                 self._asker.deliver(place)
         unknown = frozenset(reply.open)
         grants = [
             found
             for found in self._grants(seat)
-            if found.ask.request_id in unknown
+            if found.slot_request.request_id in unknown
         ]
         if grants:
             message = ttypes.Handover(seat[1], self._packed(grants), [])
@@ -181,15 +181,20 @@
         return [
             place
             for place in self._mine.places.values()
-            if (place.host, place.ask.pool) == seat
+            if (place.host, place.slot_request.pool) == seat
         ]
 
     def _grants(self, seat: _Seat) -> list[owned.InUse]:
         return [
             found
             for found in self._mine.in_use.values()
-            if found.ask.pool == seat[1] and self._holder(found) == seat[0]
+            if found.slot_request.pool == seat[1]
+            and self._holder(found) == seat[0]
         ]
 
     def _holder(self, found: owned.InUse) -> ids.HostId:
-        return self._home.leader(found.ask.pool) if found.home else found.host
+        return (
+            self._home.leader(found.slot_request.pool)
+            if found.home
+            else found.host
+        )
--- a/libs/scheduling/geraniumweir/scheduling/views.py
+++ b/libs/scheduling/geraniumweir/scheduling/views.py
@@ -50,7 +50,7 @@
 
     async def request_slot(
         self,
-        ask: requests.SlotRequest,
+        slot_request: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
         """Wait for a backend server; a repeated id joins the first."""
 
