--- a/libs/control/geraniumweir/control/coordinating.py
+++ b/libs/control/geraniumweir/control/coordinating.py
@@ -19,7 +19,7 @@
 import reactivex
 from geraniumweir.common import eventlog, ids, timers
 from geraniumweir.control import hosts, logevents, spent, telling
-from geraniumweir.scheduling import notices, spending
+from geraniumweir.scheduling import notices, recent_usage
 from geraniumweir.wire import errors, peers
 from geraniumweir.wire.gen.control import ttypes
 from reactivex import subject
@@ -72,7 +72,7 @@
         link: peers.Peers,
         domain: ids.FailureDomain,
         known: hosts.ControlHosts,
-        tell_spent: typing.Callable[[ids.HostId], spending.Spent],
+        tell_spent: typing.Callable[[ids.HostId], recent_usage.RecentUsage],
         said: notices.Notices,
     ) -> None:
         """Know of none yet.
--- a/libs/control/geraniumweir/control/coordination.py
+++ b/libs/control/geraniumweir/control/coordination.py
@@ -15,12 +15,12 @@
     notices,
     quotas,
     ratelimits,
+    recent_usage,
     remote,
     rendezvous,
     requests,
     retrybudget,
     settings,
-    spending,
     views,
 )
 from geraniumweir.scheduling.ontime import leader
@@ -123,7 +123,9 @@
         self._clock = clock
         self._coordinates = _coordinates(parts)
         self._leads = parts.retries.leads()
-        self._told: dict[ids.HostId, tuple[spending.Spent, float]] = {}
+        self._told: dict[
+            ids.HostId, tuple[recent_usage.RecentUsage, float]
+        ] = {}
         parts.view.changes.subscribe(lambda _: self._look())
         parts.link.handle(ttypes.Spent, self._on_spent)
 
@@ -149,7 +151,7 @@
     def _told_lately(
         self,
         now: float,
-    ) -> typing.Iterator[tuple[ids.HostId, spending.Spent, float]]:
+    ) -> typing.Iterator[tuple[ids.HostId, recent_usage.RecentUsage, float]]:
         for sender, (told, at) in self._told.items():
             if now - at <= _EARLY_SECONDS:
                 yield sender, told, at
--- a/libs/control/geraniumweir/control/spent.py
+++ b/libs/control/geraniumweir/control/spent.py
@@ -1,11 +1,11 @@
 """How entry hosts tell a new coordinator what they were granted."""
 
 from geraniumweir.common import ids
-from geraniumweir.scheduling import retrycounts, spending
+from geraniumweir.scheduling import recent_usage, retrycounts
 from geraniumweir.wire.gen.control import ttypes
 
 
-def pack(spent: spending.Spent) -> ttypes.Spent:
+def pack(spent: recent_usage.RecentUsage) -> ttypes.Spent:
     """Write it for the wire; amounts are tokens or requests, so whole."""
     return ttypes.Spent(
         spent.known_seconds,
@@ -29,9 +29,9 @@
     )
 
 
-def unpack(message: ttypes.Spent) -> spending.Spent:
+def unpack(message: ttypes.Spent) -> recent_usage.RecentUsage:
     """Read it."""
-    return spending.Spent(
+    return recent_usage.RecentUsage(
         message.known_seconds,
         {
             ids.CustomerName(told.customer): told.amounts
--- a/libs/control/geraniumweir/control/tests/bed.py
+++ b/libs/control/geraniumweir/control/tests/bed.py
@@ -25,7 +25,7 @@
 )
 from geraniumweir.rollout import orders
 from geraniumweir.routing import tables
-from geraniumweir.scheduling import notices, spending
+from geraniumweir.scheduling import notices, recent_usage
 from geraniumweir.store import folder, guard, memory_disk
 from geraniumweir.wire import memory
 
@@ -116,7 +116,7 @@
             link,
             ids.FailureDomain(domain),
             self.watcher.hosts,
-            lambda _: spending.Spent(0, {}),
+            lambda _: recent_usage.RecentUsage(0, {}),
             self.said,
         )
         self.watcher.leaves.subscribe(
--- a/libs/control/geraniumweir/control/tests/test_coordinating.py
+++ b/libs/control/geraniumweir/control/tests/test_coordinating.py
@@ -4,12 +4,12 @@
 
 from geraniumweir.common import ids, timers, virtual
 from geraniumweir.control import coordinating, hosts, spent
-from geraniumweir.scheduling import notices, retrycounts, spending
+from geraniumweir.scheduling import notices, recent_usage, retrycounts
 from geraniumweir.wire import memory
 from geraniumweir.wire.gen.control import ttypes
 
 _DOMAIN = ids.FailureDomain('x')
-_SPENT = spending.Spent(
+_SPENT = recent_usage.RecentUsage(
     5,
     {ids.CustomerName('customer'): {0: 7, 12: 30}},
     retrycounts.Counts(
@@ -34,7 +34,7 @@
         layer = network.join(self.host_id, _address(name))
         layer.handle(ttypes.Ping, self._answer)
         layer.handle(ttypes.Spent, self._on_spent)
-        self.spent: list[spending.Spent] = []
+        self.spent: list[recent_usage.RecentUsage] = []
 
     def says(self, *, leads: bool, stands_in: bool) -> None:
         """Answer so from now on."""
--- a/libs/control/geraniumweir/control/tests/test_coordination.py
+++ b/libs/control/geraniumweir/control/tests/test_coordination.py
@@ -7,7 +7,7 @@
 from geraniumweir.common import ids, timers, virtual
 from geraniumweir.control import coordination, enrolments, roster, spent
 from geraniumweir.routing import finding, tables
-from geraniumweir.scheduling import channel, retrybudget, spending
+from geraniumweir.scheduling import channel, recent_usage, retrybudget
 from geraniumweir.wire import memory
 from geraniumweir.wire.gen.control import ttypes
 from reactivex import subject
@@ -62,7 +62,7 @@
 
 def _spent(amount: float) -> ttypes.Spent:
     """Tell what was granted a second ago."""
-    told = spending.Spent(_SECONDS, {_NAME: {5: amount}})
+    told = recent_usage.RecentUsage(_SECONDS, {_NAME: {5: amount}})
     return spent.pack(told)
 
 
--- a/libs/control/geraniumweir/control/tests/test_limits.py
+++ b/libs/control/geraniumweir/control/tests/test_limits.py
@@ -5,7 +5,7 @@
 import pytest
 from geraniumweir.common import ids, timers, virtual
 from geraniumweir.control import coordinating, hosts, telling
-from geraniumweir.scheduling import notices, spending
+from geraniumweir.scheduling import notices, recent_usage
 from geraniumweir.wire import memory
 from geraniumweir.wire.gen.control import ttypes
 
@@ -67,7 +67,7 @@
             link,
             _DOMAIN,
             known,
-            lambda _: spending.Spent(0, {}),
+            lambda _: recent_usage.RecentUsage(0, {}),
             self.known,
         )
         self.task = asyncio.create_task(self.seen.run())
--- a/libs/control/geraniumweir/control/tests/test_quota_over_changes.py
+++ b/libs/control/geraniumweir/control/tests/test_quota_over_changes.py
@@ -10,7 +10,7 @@
 import hypothesis
 from geraniumweir.common import ids
 from geraniumweir.control import standing
-from geraniumweir.scheduling import quotas, spending, windows
+from geraniumweir.scheduling import quotas, recent_usage, windows
 from hypothesis import stateful
 from hypothesis import strategies as st
 
@@ -46,14 +46,14 @@
         default_factory=lambda: windows.Window(_SECONDS),
     )
 
-    def spent(self, now: float) -> spending.Spent:
+    def spent(self, now: float) -> recent_usage.RecentUsage:
         """Tell what it was granted."""
         newest = windows.bin_of(now)
         amounts = {
             newest - number: amount for number, amount in self.granted.bins(now)
         }
         known = min(now - self.started, _SECONDS)
-        return spending.Spent(known, {_CUSTOMER: amounts})
+        return recent_usage.RecentUsage(known, {_CUSTOMER: amounts})
 
 
 class _Control:
--- a/libs/gateway/geraniumweir/gateway/host.py
+++ b/libs/gateway/geraniumweir/gateway/host.py
@@ -34,9 +34,9 @@
     channel,
     notices,
     quotas,
+    recent_usage,
     retrybudget,
     retrycounts,
-    spending,
 )
 from geraniumweir.wire import tcp
 
@@ -148,7 +148,7 @@
             self._clock,
             self._coordinator.awaits_election,
         )
-        self._scheduler = spending.Spending(
+        self._scheduler = recent_usage.UsageRecorder(
             self._broker,
             self._clock,
             cfg.quota_seconds,
@@ -232,8 +232,8 @@
                 counted[(found.pool,)] += 1
         return dict(counted)
 
-    def _spent(self, host_id: ids.HostId) -> spending.Spent:
-        return self._scheduler.spent(host_id)
+    def _spent(self, host_id: ids.HostId) -> recent_usage.RecentUsage:
+        return self._scheduler.usage_for(host_id)
 
     def _guide(self, pool: ids.PoolName) -> guiding.Guide:
         """Follow a pool's rollout; only its coordinator tries new servers."""
--- a/libs/scheduling/geraniumweir/scheduling/led.py
+++ b/libs/scheduling/geraniumweir/scheduling/led.py
@@ -12,7 +12,7 @@
 import typing
 
 from geraniumweir.common import ids
-from geraniumweir.scheduling import requests, spending, views
+from geraniumweir.scheduling import recent_usage, requests, views
 
 Answer = requests.Grant | requests.Denial
 
@@ -255,7 +255,7 @@
     ) -> None:
         request_id = entry.slot_request.request_id
         self.entries.pop(request_id, None)
-        if outcome in spending.NOT_SERVED or entry.answer is None:
+        if outcome in recent_usage.NOT_SERVED or entry.answer is None:
             self._undo(entry, outcome)
         if entry.answer is None:
             self.leader.withdraw(request_id)
--- a/libs/scheduling/geraniumweir/scheduling/progressing.py
+++ b/libs/scheduling/geraniumweir/scheduling/progressing.py
@@ -6,9 +6,9 @@
     granting,
     learning,
     placement,
+    recent_usage,
     records,
     requests,
-    spending,
     state,
     stragglers,
     waitlist,
@@ -214,7 +214,7 @@
 ) -> None:
     """Charge the customer what was used in place of what was predicted."""
     used = leader.now() - running.granted
-    if outcome in spending.NOT_SERVED:
+    if outcome in recent_usage.NOT_SERVED:
         used = 0
     slot_request = running.slot_request
     flow = (slot_request.tier, slot_request.customer)
--- a/libs/scheduling/geraniumweir/scheduling/quotas.py
+++ b/libs/scheduling/geraniumweir/scheduling/quotas.py
@@ -18,7 +18,7 @@
 import typing
 
 from geraniumweir.common import ids
-from geraniumweir.scheduling import spending, windows
+from geraniumweir.scheduling import recent_usage, windows
 
 # A share below this is as good as none and would make waits without end.
 _LEAST_SHARE = 0.01
@@ -106,7 +106,7 @@
     def learn(
         self,
         host_id: ids.HostId,
-        spent: spending.Spent,
+        spent: recent_usage.RecentUsage,
         now: float,
     ) -> None:
         """Take what an entry host was granted, once.
@@ -220,7 +220,7 @@
     def learn(
         self,
         host_id: ids.HostId,
-        spent: spending.Spent,
+        spent: recent_usage.RecentUsage,
         now: float,
     ) -> None:
         """Take what an entry host was granted by others."""
--- a/libs/scheduling/geraniumweir/scheduling/spending.py
+++ b/libs/scheduling/geraniumweir/scheduling/recent_usage.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Spent:
+class RecentUsage:
     """What an entry host was granted.
 
     :ivar known_seconds: it knows all within so many seconds, nothing before.
@@ -36,7 +36,7 @@
     retries: retrycounts.Counts = retrycounts.NONE
 
 
-class Spending:
+class UsageRecorder:
     """Asks a scheduler and counts what is granted; see its protocol."""
 
     def __init__(
@@ -64,12 +64,12 @@
             ids.RequestId, tuple[requests.SlotRequest, float]
         ] = {}
 
-    def spent(self, host_id: ids.HostId) -> Spent:
+    def usage_for(self, host_id: ids.HostId) -> RecentUsage:
         """Tell a host what was granted within the window that ends now."""
         now = self._clock.now()
         newest = windows.bin_of(now)
         self._forget_old(now)
-        return Spent(
+        return RecentUsage(
             min(now - self._started, self._seconds),
             {
                 customer: {
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_spending.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_recent_usage.py
@@ -4,7 +4,7 @@
 
 import pytest
 from geraniumweir.common import ids, timers, virtual
-from geraniumweir.scheduling import quotas, requests, retrycounts, spending
+from geraniumweir.scheduling import quotas, recent_usage, requests, retrycounts
 
 _NAME = ids.CustomerName('customer')
 _NEXT = ids.HostId('next')
@@ -45,7 +45,7 @@
     def __init__(self) -> None:
         self.scheduler = _Scheduler()
         clock = timers.TimerService()
-        self.spending = spending.Spending(
+        self.recent_usage = recent_usage.UsageRecorder(
             self.scheduler,
             clock,
             _SECONDS,
@@ -59,7 +59,7 @@
 
     async def request_slot(self, name: str, cost: float) -> None:
         """Ask for a request of the customer."""
-        await self.spending.request_slot(
+        await self.recent_usage.request_slot(
             requests.SlotRequest(
                 request_id=ids.RequestId(name),
                 owner=ids.HostId('here'),
@@ -75,11 +75,11 @@
     def release(self, name: str, outcome: requests.Outcome) -> None:
         """End a request."""
         request_id = ids.RequestId(name)
-        self.spending.release(requests.Release(request_id, outcome))
+        self.recent_usage.release(requests.Release(request_id, outcome))
 
     def total(self) -> float:
         """Give all that is told of the customer."""
-        told = self.spending.spent(_NEXT).customers
+        told = self.recent_usage.usage_for(_NEXT).customers
         return sum(told.get(_NAME, {}).values())
 
 
@@ -92,17 +92,17 @@
         await asyncio.sleep(5)
         await bed.request_slot('second', 7)
         assert bed.total() == 37
-        assert bed.spending.spent(_NEXT).known_seconds == 5
+        assert bed.recent_usage.usage_for(_NEXT).known_seconds == 5
         await asyncio.sleep(4)
         assert bed.total() == 7
         await asyncio.sleep(_SECONDS)
-        assert not bed.spending.spent(_NEXT).customers
-        assert bed.spending.spent(_NEXT).known_seconds == _SECONDS
+        assert not bed.recent_usage.usage_for(_NEXT).customers
+        assert bed.recent_usage.usage_for(_NEXT).known_seconds == _SECONDS
 
     virtual.run(work())
 
 
-@pytest.mark.parametrize('outcome', sorted(spending.NOT_SERVED, key=str))
+@pytest.mark.parametrize('outcome', sorted(recent_usage.NOT_SERVED, key=str))
 def test_denials_and_what_was_not_served_are_not_told(
     outcome: requests.Outcome,
 ) -> None:
@@ -141,7 +141,7 @@
         )
         assert after.take(_NAME, 2 * _BURST, clock.now())
         for name, bed in zip('ab', beds):
-            told = bed.spending.spent(_NEXT)
+            told = bed.recent_usage.usage_for(_NEXT)
             after.learn(ids.HostId(name), told, clock.now())
         usual = 0.55 * _RATE * _SECONDS
         assert not after.take(_NAME, _WHOLE - usual - 10, clock.now())
