--- a/libs/control/geraniumweir/control/suspicion.py
+++ b/libs/control/geraniumweir/control/suspicion.py
@@ -9,7 +9,7 @@
 
 from geraniumweir.common import ids, timers
 from geraniumweir.control import hosts
-from geraniumweir.scheduling import casefiles, suspects
+from geraniumweir.scheduling import case_encoding, suspects
 from geraniumweir.scheduling.ontime import leader
 from geraniumweir.wire import peers
 from geraniumweir.wire.gen.scheduling import ttypes
@@ -78,7 +78,7 @@
         if keys == self._keys:
             return
         self._take(cases[:_MOST])
-        message = ttypes.Cases(casefiles.pack(self._cases))
+        message = ttypes.Cases(case_encoding.pack(self._cases))
         for host in self._known.known():
             if host.host_id != self._link.host_id:
                 self._link.send(host.host_id, message)
@@ -88,7 +88,7 @@
         _sender: ids.HostId,
         message: ttypes.Cases,
     ) -> None:
-        self._take(casefiles.unpack(message.cases))
+        self._take(case_encoding.unpack(message.cases))
         for one in self.leaders():
             one.suspects.merge(self._cases, self._told_at)
 
--- a/libs/control/geraniumweir/control/tests/test_suspicion.py
+++ b/libs/control/geraniumweir/control/tests/test_suspicion.py
@@ -45,7 +45,7 @@
 
     def crash(self) -> None:
         """See a server crash under the request, which ran alone."""
-        self.led[0].suspects.crashed([_REQUEST], self.clock.now())
+        self.led[0].suspects.record_crash([_REQUEST], self.clock.now())
 
     def verdict(self) -> suspects.Verdict:
         """Tell what is thought of the request."""
@@ -121,7 +121,7 @@
         one.coordinate()
         one.crash()
         await asyncio.sleep(0.5)
-        one.led[0].suspects.ended_well(_REQUEST)
+        one.led[0].suspects.record_success(_REQUEST)
         await asyncio.sleep(0.5)
         other.coordinate()
         assert other.verdict() is suspects.Verdict.clear
--- a/libs/daemon/geraniumweir/daemon/publishing.py
+++ b/libs/daemon/geraniumweir/daemon/publishing.py
@@ -6,7 +6,7 @@
 from geraniumweir.daemon import logevents, neighbours
 from geraniumweir.membership import errors as member_errors
 from geraniumweir.membership import membership
-from geraniumweir.scheduling import casefiles, remote, suspects
+from geraniumweir.scheduling import case_encoding, remote, suspects
 from geraniumweir.wire import errors as wire_errors
 
 _PERIOD = 0.5
@@ -79,7 +79,7 @@
     def _spread(self, cases: typing.Sequence[suspects.Case]) -> None:
         seconds = max(case.seconds for case in cases)
         try:
-            self._members.spread(casefiles.write(cases), seconds)
+            self._members.spread(case_encoding.write(cases), seconds)
         except member_errors.NoticeError as exc:
             # They stay new, and are tried again.
             eventlog.emit(logevents.CASES_NOT_SPREAD, reason=exc.message)
@@ -88,7 +88,7 @@
 
     def _take_cases(self, payload: bytes) -> None:
         try:
-            cases = casefiles.read(payload)
+            cases = case_encoding.read(payload)
         except wire_errors.FrameError as exc:
             eventlog.emit(logevents.CASES_NOT_READ, reason=exc.message)
         else:
--- a/libs/scheduling/geraniumweir/scheduling/crashes.py
+++ b/libs/scheduling/geraniumweir/scheduling/crashes.py
@@ -45,7 +45,7 @@
     server.failures.clear()
     for running in lost:
         progressing.drop(leader, running)
-    condemned = leader.suspects.crashed(together, leader.now())
+    condemned = leader.suspects.record_crash(together, leader.now())
     placement.refresh(leader, server)
     _refuse_condemned(leader, set(condemned))
     for running in lost:
--- a/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
@@ -223,13 +223,15 @@
     marks = [*lost, *leader.suspects.unexplained(broken)]
     if not marks:
         return
-    for condemned in leader.suspects.crashed(marks, leader.now()):
+    for condemned in leader.suspects.record_crash(marks, leader.now()):
         eventlog.emit(
             logevents.CONDEMNED,
             content=f'{condemned:016x}',
             server=server.server_id,
             pool=leader.pool,
-            seconds=round(leader.suspects.remaining(condemned, leader.now())),
+            seconds=round(
+                leader.suspects.remaining_seconds(condemned, leader.now())
+            ),
         )
 
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -147,7 +147,7 @@
             lost = [
                 one.slot_request.fingerprint for one in server.running.values()
             ]
-            self._state.suspects.crashed(lost, self._state.now())
+            self._state.suspects.record_crash(lost, self._state.now())
             granting.fill(self._state)
 
     def owner_gone(self, owner: ids.HostId) -> None:
@@ -193,7 +193,7 @@
         verdict = known.verdict(slot_request.fingerprint, now)
         if verdict is suspects.Verdict.quarantined:
             reason = requests.DenialReason.quarantined
-            wait = known.remaining(slot_request.fingerprint, now)
+            wait = known.remaining_seconds(slot_request.fingerprint, now)
             return requests.Denial(
                 slot_request.request_id, reason, int(wait * _MS)
             )
--- a/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
@@ -70,7 +70,7 @@
             _whole(leader, server, running, release)
             server.condition.answered(well=True)
             server.last_good = now
-            leader.suspects.ended_well(running.slot_request.fingerprint)
+            leader.suspects.record_success(running.slot_request.fingerprint)
         case requests.Outcome.answered_failure:
             server.condition.answered(well=False)
         case requests.Outcome.not_sent:
@@ -100,7 +100,7 @@
     _note_path(leader, running, server, held_up=True)
     rests.note(server, rests.Cause.broke_off, now, running)
     server.broken.append((now, running.slot_request.fingerprint))
-    leader.suspects.broke_off(
+    leader.suspects.record_incomplete(
         running.slot_request.fingerprint,
         server.server_id,
         now,
--- a/libs/scheduling/geraniumweir/scheduling/progressing.py
+++ b/libs/scheduling/geraniumweir/scheduling/progressing.py
@@ -78,7 +78,7 @@
     mark = running.slot_request.fingerprint
     server.failures.append((now, mark))
     server.health.failed(now)
-    leader.suspects.broke_off(mark, server.server_id, now)
+    leader.suspects.record_incomplete(mark, server.server_id, now)
 
 
 def drop(leader: state.LeaderState, running: records.Running) -> None:
@@ -162,7 +162,7 @@
             slot_request.rule, slot_request.customer, ended.output_tokens
         )
         _learn_decode(leader, server, running, ended)
-    leader.suspects.ended_well(running.slot_request.fingerprint)
+    leader.suspects.record_success(running.slot_request.fingerprint)
     server.last_good = leader.now()
     server.health.good()
 
--- a/libs/scheduling/geraniumweir/scheduling/shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/shedding.py
@@ -158,7 +158,9 @@
         )
     seconds = expected_wait(leader, slot_request.tier)
     if reason is requests.DenialReason.quarantined:
-        seconds = leader.suspects.remaining(slot_request.fingerprint, now)
+        seconds = leader.suspects.remaining_seconds(
+            slot_request.fingerprint, now
+        )
     else:
         seconds = min(max(seconds, _LEAST_RETRY), _LONGEST_RETRY)
     # Spread out, so that those refused together don't come back together.
--- a/libs/scheduling/geraniumweir/scheduling/suspects.py
+++ b/libs/scheduling/geraniumweir/scheduling/suspects.py
@@ -158,7 +158,7 @@
             return False
         return now < entry.broken_at + _WAIT_SECONDS
 
-    def broke_off(
+    def record_incomplete(
         self,
         fingerprint: ids.Fingerprint,
         server_id: ids.ServerId,
@@ -195,13 +195,15 @@
                 if not entry.crashes:
                     self._cases.pop(fingerprint)
 
-    def remaining(self, fingerprint: ids.Fingerprint, now: float) -> float:
+    def remaining_seconds(
+        self, fingerprint: ids.Fingerprint, now: float
+    ) -> float:
         """Give the seconds for which a fingerprint is refused."""
         entry = self._cases.get(fingerprint)
         seconds = entry.condemned_until - now if entry else 0
         return max(seconds, _LEAST_REMAINING)
 
-    def crashed(
+    def record_crash(
         self,
         together: typing.Collection[ids.Fingerprint],
         now: float,
@@ -224,7 +226,7 @@
         blamed = prior or self.unexplained(ran) or sorted(ran)
         return self._blame(blamed, 1 / max(len(blamed), 1), now)
 
-    def ended_well(self, fingerprint: ids.Fingerprint) -> None:
+    def record_success(self, fingerprint: ids.Fingerprint) -> None:
         """Clear a fingerprint, unless it is in quarantine."""
         if fingerprint == NO_FINGERPRINT:
             return
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_faults.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_faults.py
@@ -221,7 +221,7 @@
         one = scenes.Scene(scenes.engine('one'))
         two = scenes.Scene(scenes.engine('two'))
         for _ in range(2):
-            one.leader.suspects.crashed([_POISON], one.loop.time())
+            one.leader.suspects.record_crash([_POISON], one.loop.time())
         cases = one.leader.suspects.export(one.loop.time())
         two.leader.suspects.merge(cases, two.loop.time())
         task = await two.start(fingerprint=_POISON)
@@ -235,8 +235,8 @@
     """One each is enough, whichever hears of the other's, and how often."""
     one = suspects.Suspects(300, 'one')
     two = suspects.Suspects(300, 'two')
-    one.crashed([_POISON], 0)
-    two.crashed([_POISON], 0)
+    one.record_crash([_POISON], 0)
+    two.record_crash([_POISON], 0)
     for _ in range(3):
         assert one.verdict(_POISON, 1) is suspects.Verdict.suspect
         one.merge(one.export(1), 1)
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_suspects.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_suspects.py
@@ -12,10 +12,10 @@
 def test_second_break_waits_for_its_explanation() -> None:
     """The first makes a suspect at once; the second holds it for a while."""
     known = suspects.Suspects(_QUARANTINE)
-    known.broke_off(_POISON, _ONE, 0)
+    known.record_incomplete(_POISON, _ONE, 0)
     assert known.verdict(_POISON, 0) is suspects.Verdict.suspect
     assert not known.waits(_POISON, 0)
-    known.broke_off(_POISON, _TWO, 2)
+    known.record_incomplete(_POISON, _TWO, 2)
     assert known.waits(_POISON, 3)
     assert not known.waits(_POISON, 60)
     assert known.verdict(_POISON, 60) is suspects.Verdict.clear
@@ -26,7 +26,7 @@
     known = suspects.Suspects(_QUARANTINE)
     marks = [ids.Fingerprint(number) for number in range(1, 5)]
     for mark, server in zip(marks, (_ONE, _TWO, _ONE, _TWO), strict=True):
-        known.broke_off(mark, server, 10)
+        known.record_incomplete(mark, server, 10)
     assert {known.verdict(mark, 10) for mark in marks} == {
         suspects.Verdict.clear,
     }
@@ -37,9 +37,9 @@
     known = suspects.Suspects(_QUARANTINE)
     neighbour = ids.Fingerprint(1)
     for mark in (_POISON, neighbour):
-        known.broke_off(mark, _ONE, 0)
-    known.ended_well(neighbour)
-    known.crashed([_POISON, neighbour], 5)
+        known.record_incomplete(mark, _ONE, 0)
+    known.record_success(neighbour)
+    known.record_crash([_POISON, neighbour], 5)
     assert known.verdict(neighbour, 5) is suspects.Verdict.clear
     assert known.verdict(_POISON, 5) is suspects.Verdict.suspect
 
@@ -47,8 +47,8 @@
 def test_quarantine_doubles_each_time() -> None:
     """One crash after a quarantine is enough for one twice as long."""
     known = suspects.Suspects(_QUARANTINE)
-    known.crashed([_POISON], 0)
-    known.crashed([_POISON], 0)
+    known.record_crash([_POISON], 0)
+    known.record_crash([_POISON], 0)
     now = float(0)
     for doublings in range(3):
         end = now + _QUARANTINE * 2**doublings
@@ -56,14 +56,14 @@
         assert verdict is suspects.Verdict.quarantined
         now = end + _RECOVERY
         assert known.verdict(_POISON, now) is suspects.Verdict.suspect
-        known.crashed([_POISON], now)
+        known.record_crash([_POISON], now)
 
 
 def test_another_hosts_case_does_not_lengthen_a_quarantine() -> None:
     """What is exchanged after its end leaves a suspect on both sides."""
     one, two = suspects.Suspects(_QUARANTINE), suspects.Suspects(_QUARANTINE)
-    one.crashed([_POISON], 0)
-    one.crashed([_POISON], 0)
+    one.record_crash([_POISON], 0)
+    one.record_crash([_POISON], 0)
     two.merge(one.export(0), 0)
     later = _QUARANTINE + 1
     two.merge(one.export(later), later)
