--- a/libs/control/geraniumweir/control/coordination.py
+++ b/libs/control/geraniumweir/control/coordination.py
@@ -76,7 +76,7 @@
     said: notices.Notices | None = None
     inform: typing.Callable[[leader.OnTimeLeader], None] | None = None
 
-    def rates(self) -> dict[notices.Start, float]:
+    def rates(self) -> dict[notices.ServerIncarnation, float]:
         """Give what may be granted here of the limits of servers."""
         named = self.said.limits() if self.said else {}
         share = self.share() if named else 1
@@ -92,7 +92,7 @@
     def pauses(
         self,
         host_id: ids.HostId,
-    ) -> typing.Mapping[notices.Start, float]:
+    ) -> typing.Mapping[notices.ServerIncarnation, float]:
         """Give the servers that want nothing from a host for a while."""
         return self.said.pauses(host_id) if self.said else {}
 
--- a/libs/control/geraniumweir/control/enrolments.py
+++ b/libs/control/geraniumweir/control/enrolments.py
@@ -68,7 +68,7 @@
     cold: bool = False
 
     @property
-    def start(self) -> notices.Start:
+    def start(self) -> notices.ServerIncarnation:
         """Which start of the server this is."""
         return self.server_id, ids.Incarnation(self.born)
 
--- a/libs/control/geraniumweir/control/looking.py
+++ b/libs/control/geraniumweir/control/looking.py
@@ -22,10 +22,12 @@
         """
         self._servers = servers
         self._seen: dict[ids.HostId, tuple[str, int]] = {}
-        self._leaves: subject.Subject[notices.Start] = subject.Subject()
+        self._leaves: subject.Subject[notices.ServerIncarnation] = (
+            subject.Subject()
+        )
 
     @property
-    def leaves(self) -> reactivex.Observable[notices.Start]:
+    def leaves(self) -> reactivex.Observable[notices.ServerIncarnation]:
         """Gives servers that were thought ready."""
         return self._leaves
 
--- a/libs/control/geraniumweir/control/roster.py
+++ b/libs/control/geraniumweir/control/roster.py
@@ -69,7 +69,7 @@
             tuple[enrolments.Enrolment, int, servers.Announcement],
         ] = {}
 
-    def is_leaving(self, start: notices.Start) -> bool:
+    def is_leaving(self, start: notices.ServerIncarnation) -> bool:
         """Tell whether a start of a server is known to leave or to be gone."""
         if self._said is not None and self._said.is_leaving(start):
             return True
--- a/libs/control/geraniumweir/control/telling.py
+++ b/libs/control/geraniumweir/control/telling.py
@@ -141,7 +141,7 @@
     """
     message = ttypes.Notices([], [], [])
     for one in found:
-        heard_ms = _to_ms(now - one.heard_at)
+        heard_ms = _to_ms(now - one.received_at)
         match one.content:
             case notices.RateLimit(per_second=per_second):
                 message.limits.append(
@@ -172,7 +172,7 @@
     """
     for one in itertools.chain(*_lists(told)):
         if _is_readable(one):
-            known.hear(_notice(one, teller, now))
+            known.apply(_notice(one, teller, now))
         else:
             eventlog.emit(
                 logevents.NOTICE_LEFT_OUT,
--- a/libs/control/geraniumweir/control/tests/bed.py
+++ b/libs/control/geraniumweir/control/tests/bed.py
@@ -120,7 +120,7 @@
             self.said,
         )
         self.watcher.leaves.subscribe(
-            lambda start: self.said.hear(
+            lambda start: self.said.apply(
                 notices.leaving(start, self.host_id, clock.now()),
             ),
         )
@@ -130,10 +130,12 @@
             said=self.said,
         )
 
-    def hear(self, start: notices.Start, content: notices.Content) -> None:
+    def hear(
+        self, start: notices.ServerIncarnation, content: notices.Content
+    ) -> None:
         """Take an answer to a request that was sent a moment ago."""
         now = asyncio.get_running_loop().time()
-        self.said.hear(
+        self.said.apply(
             notices.Notice(*start, content, self.host_id, now - 0.01, now),
         )
 
--- a/libs/control/geraniumweir/control/tests/test_limits.py
+++ b/libs/control/geraniumweir/control/tests/test_limits.py
@@ -27,8 +27,8 @@
         self._listener = telling.Listener(
             link, self.known, timers.TimerService()
         )
-        self.before_asks: dict[notices.Start, float] = {}
-        self.paused_before_asks: dict[notices.Start, float] = {}
+        self.before_asks: dict[notices.ServerIncarnation, float] = {}
+        self.paused_before_asks: dict[notices.ServerIncarnation, float] = {}
         link.handle(ttypes.Ping, self._on_ping)
         link.handle(ttypes.Spent, self._on_spent)
 
@@ -79,7 +79,7 @@
     def hear_all(self, content: notices.Content) -> None:
         """Take an answer to a request that was sent a moment ago."""
         now = asyncio.get_running_loop().time()
-        self.known.hear(
+        self.known.apply(
             notices.Notice(*_START, content, self.host_id, now - 0.01, now),
         )
 
--- a/libs/control/geraniumweir/control/watching.py
+++ b/libs/control/geraniumweir/control/watching.py
@@ -94,7 +94,7 @@
         self._changes: subject.Subject[None] = subject.Subject()
 
     @property
-    def leaves(self) -> reactivex.Observable[notices.Start]:
+    def leaves(self) -> reactivex.Observable[notices.ServerIncarnation]:
         """Gives servers that leave by the word of a host that isn't watched.
 
         It may be cut off from the others, which don't know of it then.
--- a/libs/gateway/geraniumweir/gateway/forwarding.py
+++ b/libs/gateway/geraniumweir/gateway/forwarding.py
@@ -337,7 +337,7 @@
                     said=content.said,
                 )
                 continue
-            self._means.said.hear(
+            self._means.said.apply(
                 notices.Notice(
                     grant.server_id,
                     grant.incarnation,
--- a/libs/gateway/geraniumweir/gateway/host.py
+++ b/libs/gateway/geraniumweir/gateway/host.py
@@ -136,7 +136,7 @@
             self._clock,
         )
         self.watcher.leaves.subscribe(
-            lambda start: self._said.hear(
+            lambda start: self._said.apply(
                 notices.leaving(start, cfg.host_id, self._clock.now()),
             ),
         )
--- a/libs/gateway/geraniumweir/gateway/sending.py
+++ b/libs/gateway/geraniumweir/gateway/sending.py
@@ -48,7 +48,7 @@
         """
         if self._servers.is_leaving(grant.start):
             now = self._clock.now()
-            self._said.hear(notices.leaving(grant.start, self._host_id, now))
+            self._said.apply(notices.leaving(grant.start, self._host_id, now))
             return Cause.leaving
         if grant.start in self._said.pauses(self._host_id):
             return Cause.pausing
--- a/libs/scheduling/geraniumweir/scheduling/notices.py
+++ b/libs/scheduling/geraniumweir/scheduling/notices.py
@@ -13,7 +13,7 @@
 from geraniumweir.scheduling import logevents
 from reactivex import subject
 
-Start = tuple[ids.ServerId, ids.Incarnation]
+ServerIncarnation = tuple[ids.ServerId, ids.Incarnation]
 
 # What no longer holds is kept for so long, in seconds: longer than any host may
 # be cut off that still tells of it.
@@ -61,7 +61,7 @@
 
 
 Content = RateLimit | Leaving | Pause
-_Key = tuple[Start, ids.HostId]
+_Key = tuple[ServerIncarnation, ids.HostId]
 _ALL_HOSTS = ids.HostId('')
 
 
@@ -71,7 +71,7 @@
 
     :ivar host_id: that was answered.
     :ivar sent_at: when the request that it answers was sent, in seconds.
-    :ivar heard_at: when the answer began to come, in seconds.
+    :ivar received_at: when the answer began to come, in seconds.
     """
 
     server_id: ids.ServerId
@@ -79,10 +79,10 @@
     content: Content
     host_id: ids.HostId
     sent_at: float
-    heard_at: float
+    received_at: float
 
     @property
-    def start(self) -> Start:
+    def start(self) -> ServerIncarnation:
         """The start of the server that said it."""
         return self.server_id, self.incarnation
 
@@ -91,7 +91,7 @@
         """When it ends by itself, in seconds."""
         match self.content:
             case Pause(seconds=seconds):
-                return self.heard_at + seconds
+                return self.received_at + seconds
             case _:
                 return float('inf')
 
@@ -103,26 +103,28 @@
         """
         match self.content:
             case RateLimit(per_second=None):
-                return self.sent_at > known.heard_at
+                return self.sent_at > known.received_at
             case Pause():
                 return self.until > known.until
             case _:
-                return self.heard_at > known.heard_at
+                return self.received_at > known.received_at
 
     def is_over(self, now: float) -> bool:
         """Tell whether nobody needs to know of it any more."""
         match self.content:
             case RateLimit(per_second=None):
-                return now - self.heard_at > _ENDED_KEPT_SECONDS
+                return now - self.received_at > _ENDED_KEPT_SECONDS
             case RateLimit():
                 return False
             case Leaving():
-                return now - self.heard_at > _LEAVING_KEPT_SECONDS
+                return now - self.received_at > _LEAVING_KEPT_SECONDS
             case Pause():
                 return now >= self.until
 
 
-def leaving(start: Start, host_id: ids.HostId, now: float) -> Notice:
+def leaving(
+    start: ServerIncarnation, host_id: ids.HostId, now: float
+) -> Notice:
     """Make the notice of a server that is known to leave.
 
     :param host_id: that knows it.
@@ -152,7 +154,7 @@
             Leaving: {},
             Pause: {},
         }
-        self._pauses: dict[ids.HostId, dict[Start, float]] = {}
+        self._pauses: dict[ids.HostId, dict[ServerIncarnation, float]] = {}
         self._changes: subject.Subject[Notice] = subject.Subject()
 
     @property
@@ -160,7 +162,7 @@
         """Gives each notice that changes what is known."""
         return self._changes
 
-    def limits(self) -> dict[Start, float]:
+    def limits(self) -> dict[ServerIncarnation, float]:
         """Give the limits that hold, in requests a second."""
         found = {}
         for notice in self.limits_since(0):
@@ -180,11 +182,11 @@
             if row.revision > revision
         ]
 
-    def is_leaving(self, start: Start) -> bool:
+    def is_leaving(self, start: ServerIncarnation) -> bool:
         """Tell whether a server said that it leaves."""
         return (start, _ALL_HOSTS) in self._rows[Leaving]
 
-    def pauses(self, host_id: ids.HostId) -> dict[Start, float]:
+    def pauses(self, host_id: ids.HostId) -> dict[ServerIncarnation, float]:
         """Give the servers that want nothing from a host, and until when.
 
         :returns: times in seconds.
@@ -204,7 +206,7 @@
             if row.revision > revision
         ]
 
-    def hear(self, notice: Notice) -> None:
+    def apply(self, notice: Notice) -> None:
         """Take what an answer said, heard here or by another host."""
         if notice.content == Pause(0):
             return
--- a/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
@@ -185,7 +185,7 @@
     )
 
 
-def _start(announcement: servers.Announcement) -> notices.Start:
+def _start(announcement: servers.Announcement) -> notices.ServerIncarnation:
     return announcement.server_id, announcement.incarnation
 
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -34,7 +34,7 @@
 _MS = 1000
 
 
-def _no_pauses(_host_id: ids.HostId) -> dict[notices.Start, float]:
+def _no_pauses(_host_id: ids.HostId) -> dict[notices.ServerIncarnation, float]:
     return {}
 
 
@@ -49,7 +49,7 @@
         guide: guiding.Guide | None = None,
         rates: typing.Callable[
             [],
-            typing.Mapping[notices.Start, float],
+            typing.Mapping[notices.ServerIncarnation, float],
         ] = dict,
         pauses: state.Pauses = _no_pauses,
     ) -> None:
--- a/libs/scheduling/geraniumweir/scheduling/ontime/records.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/records.py
@@ -64,7 +64,7 @@
     first_token: float | None = None
 
     @property
-    def start(self) -> notices.Start:
+    def start(self) -> notices.ServerIncarnation:
         """Give the start of the server that it was granted on."""
         return self.grant.start
 
@@ -123,7 +123,7 @@
         return self.live and not self.canary
 
     @property
-    def start(self) -> notices.Start:
+    def start(self) -> notices.ServerIncarnation:
         """Give which start of the server this is."""
         return self.server_id, self.announcement.incarnation
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/state.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/state.py
@@ -38,7 +38,9 @@
 _LATEST_RETURN = 0.5
 
 
-Pauses = typing.Callable[[ids.HostId], typing.Mapping[notices.Start, float]]
+Pauses = typing.Callable[
+    [ids.HostId], typing.Mapping[notices.ServerIncarnation, float]
+]
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -72,7 +74,7 @@
     suspects: suspects.Suspects
     dice: random.Random
     guide: guiding.Guide
-    rates: typing.Callable[[], typing.Mapping[notices.Start, float]]
+    rates: typing.Callable[[], typing.Mapping[notices.ServerIncarnation, float]]
     pauses: Pauses
     settle_by: float
     served_at: float
@@ -87,7 +89,9 @@
     servers: dict[ids.ServerId, records.Server] = dataclasses.field(
         default_factory=dict,
     )
-    gone: dict[notices.Start, float] = dataclasses.field(default_factory=dict)
+    gone: dict[notices.ServerIncarnation, float] = dataclasses.field(
+        default_factory=dict
+    )
     learnt: speeds.Speeds = dataclasses.field(default_factory=speeds.Speeds)
     lengths: dict[ids.RuleName, float] = dataclasses.field(
         default_factory=dict,
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_pauses.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_pauses.py
@@ -26,8 +26,10 @@
 
     servers: tuple[str, ...]
     shedding: typing.Callable[[str, ids.HostId], bool] = lambda *_: False
-    pauses: dict[ids.HostId, dict[notices.Start, float]] = dataclasses.field(
-        default_factory=dict,
+    pauses: dict[ids.HostId, dict[notices.ServerIncarnation, float]] = (
+        dataclasses.field(
+            default_factory=dict,
+        )
     )
     got: dict[str, list[tuple[ids.HostId, float]]] = dataclasses.field(
         default_factory=dict,
@@ -105,7 +107,9 @@
         )
         return not away
 
-    def _paused(self, host: ids.HostId) -> dict[notices.Start, float]:
+    def _paused(
+        self, host: ids.HostId
+    ) -> dict[notices.ServerIncarnation, float]:
         now = asyncio.get_running_loop().time()
         asked = self.pauses.get(host, {})
         return {start: until for start, until in asked.items() if now < until}
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rate_limits.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rate_limits.py
@@ -40,7 +40,7 @@
             rates=self._rates,
         )
 
-    def _rates(self) -> dict[notices.Start, float]:
+    def _rates(self) -> dict[notices.ServerIncarnation, float]:
         return {} if self.per_second is None else {_START: self.per_second}
 
     async def offer(
--- a/libs/scheduling/geraniumweir/scheduling/requests.py
+++ b/libs/scheduling/geraniumweir/scheduling/requests.py
@@ -95,7 +95,7 @@
     version: ids.SoftwareVersion = ids.SoftwareVersion('')
 
     @property
-    def start(self) -> notices.Start:
+    def start(self) -> notices.ServerIncarnation:
         """The start of the server that may get the request."""
         return self.server_id, self.incarnation
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_notices.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_notices.py
@@ -14,12 +14,12 @@
 
 def _said(
     per_second: float | None,
-    heard_at: float,
+    received_at: float,
     sent_at: float | None = None,
 ) -> notices.Notice:
-    sent = heard_at - 1 if sent_at is None else sent_at
+    sent = received_at - 1 if sent_at is None else sent_at
     content = notices.RateLimit(per_second)
-    return notices.Notice(*_START, content, _HOST, sent, heard_at)
+    return notices.Notice(*_START, content, _HOST, sent, received_at)
 
 
 def _known(
@@ -29,7 +29,7 @@
         await asyncio.sleep(0)
         known = notices.Notices(timers.TimerService())
         for said in heard:
-            known.hear(said)
+            known.apply(said)
         return known
 
     return virtual.run(work())
@@ -82,19 +82,19 @@
 def _pauses(
     host_id: ids.HostId,
     *heard: notices.Notice,
-) -> dict[notices.Start, float]:
-    async def work() -> dict[notices.Start, float]:
+) -> dict[notices.ServerIncarnation, float]:
+    async def work() -> dict[notices.ServerIncarnation, float]:
         known = notices.Notices(timers.TimerService())
         for notice in heard:
-            known.hear(notice)
+            known.apply(notice)
         return known.pauses(host_id)
 
     return virtual.run(work())
 
 
-def _pause(seconds: float, heard_at: float) -> notices.Notice:
+def _pause(seconds: float, received_at: float) -> notices.Notice:
     content = notices.Pause(seconds)
-    return notices.Notice(*_START, content, _HOST, heard_at - 1, heard_at)
+    return notices.Notice(*_START, content, _HOST, received_at - 1, received_at)
 
 
 @pytest.mark.parametrize(
