--- a/libs/control/geraniumweir/control/coordination.py
+++ b/libs/control/geraniumweir/control/coordination.py
@@ -242,7 +242,7 @@
     cfg = settings.LeaderSettings(
         pool,
         f'{parts.link.host_id}/{pool}',
-        settle_seconds=_SETTLE_SECONDS,
+        takeover_seconds=_SETTLE_SECONDS,
     )
     made = leader.OnTimeLeader(
         cfg,
--- a/libs/daemon/geraniumweir/daemon/joined.py
+++ b/libs/daemon/geraniumweir/daemon/joined.py
@@ -280,7 +280,7 @@
     cfg = leader_settings.LeaderSettings(
         pool,
         f'{me.host_id}/{me.incarnation}/{pool}',
-        settle_seconds=takeover.SETTLE_WINDOW,
+        takeover_seconds=takeover.TAKEOVER_WINDOW_SECONDS,
     )
     made = leader.PoolLeader(
         cfg,
--- a/libs/fakes/geraniumweir/fakes/bench/leader_link.py
+++ b/libs/fakes/geraniumweir/fakes/bench/leader_link.py
@@ -77,7 +77,9 @@
         self._leader.adopt(self._open_grants())
         self._present.set()
         # The hosts' repeated asks arrive before the last hand-over is done.
-        self._loop.call_later(_SETTLE_SECONDS / 2, self._leader.settled)
+        self._loop.call_later(
+            _SETTLE_SECONDS / 2, self._leader.takeover_complete
+        )
 
     async def _ask_one(
         self,
--- a/libs/fakes/geraniumweir/fakes/bench/leader_policy.py
+++ b/libs/fakes/geraniumweir/fakes/bench/leader_policy.py
@@ -164,10 +164,10 @@
         """Stop reporting progress."""
         self._reporter.cancel()
 
-    def _make(self, settle_seconds: float) -> leader.PoolLeader:
+    def _make(self, takeover_seconds: float) -> leader.PoolLeader:
         cfg = settings.LeaderSettings(
             pool=_POOL,
-            settle_seconds=settle_seconds,
+            takeover_seconds=takeover_seconds,
             seed=self._seed,
         )
         return leader.PoolLeader(
--- a/libs/fakes/geraniumweir/fakes/surge/playing.py
+++ b/libs/fakes/geraniumweir/fakes/surge/playing.py
@@ -91,7 +91,7 @@
 
     def _new_leader(self) -> leader.OnTimeLeader:
         return leader.OnTimeLeader(
-            settings.LeaderSettings(_POOL, 'surge', settle_seconds=0.1),
+            settings.LeaderSettings(_POOL, 'surge', takeover_seconds=0.1),
             self._loop.time,
             lambda: self._announced,
         )
--- a/libs/scheduling/geraniumweir/scheduling/admitting.py
+++ b/libs/scheduling/geraniumweir/scheduling/admitting.py
@@ -99,7 +99,7 @@
 
 def _serves_nothing(leader: state.LeaderState) -> bool:
     before = leader.now() - shedding.NO_SERVER_SECONDS
-    return leader.settled and leader.served_at < before
+    return leader.takeover_complete and leader.served_at < before
 
 
 def _over_rate(
--- a/libs/scheduling/geraniumweir/scheduling/granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/granting.py
@@ -34,7 +34,9 @@
 def try_now(leader: state.LeaderState, waiting: records.Waiting) -> bool:
     """Grant a request if a server can end it in time from now."""
     slot_request = waiting.slot_request
-    if not leader.settled or waitlist.over_running_limit(leader, slot_request):
+    if not leader.takeover_complete or waitlist.over_running_limit(
+        leader, slot_request
+    ):
         return False
     if waitlist.is_suspect(leader, slot_request):
         server = _server_for_suspect(leader, waiting)
@@ -48,7 +50,7 @@
 
 def keep_room(leader: state.LeaderState, waiting: records.Waiting) -> None:
     """Keep a server for a request that lacks only KV room there."""
-    if leader.settled and not waiting.held:
+    if leader.takeover_complete and not waiting.held:
         server = placement.choose_crowded(leader, waiting)
         if server is not None:
             waitlist.promise(leader, server, waiting)
@@ -60,7 +62,7 @@
     :returns: number of grants.
     """
     granted = 0
-    if not leader.settled:
+    if not leader.takeover_complete:
         return granted
     _place_held(leader)
     while server.is_open():
@@ -74,7 +76,7 @@
 
 def fill_open(leader: state.LeaderState) -> None:
     """Grant what a few open servers of each class can take."""
-    if not leader.waiting or not leader.settled:
+    if not leader.waiting or not leader.takeover_complete:
         return
     for kind in leader.open_servers.classes():
         granted = _fill_best(leader, kind)
--- a/libs/scheduling/geraniumweir/scheduling/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/leader.py
@@ -56,8 +56,8 @@
             now,
             live,
             on_preempt,
-            settled=cfg.settle_seconds <= 0,
-            settle_by=now() + cfg.settle_seconds,
+            takeover_complete=cfg.takeover_seconds <= 0,
+            settle_by=now() + cfg.takeover_seconds,
             served_at=now(),
             dice=random.Random(cfg.seed),
             suspects=suspects.Suspects(cfg.quarantine_seconds, cfg.origin),
@@ -163,9 +163,9 @@
         for taken in grants:
             adoption.adopt(self._state, taken)
 
-    def settled(self) -> None:
+    def takeover_complete(self) -> None:
         """Start granting: all owners have handed over their grants."""
-        self._state.settled = True
+        self._state.takeover_complete = True
         ticking.look_first(self._state)
         granting.fill_open(self._state)
 
--- a/libs/scheduling/geraniumweir/scheduling/logevents.py
+++ b/libs/scheduling/geraniumweir/scheduling/logevents.py
@@ -7,7 +7,7 @@
     logevents.Level.info,
     'this host now leads pool {pool}',
 )
-SETTLED = logevents.Event(
+TAKEOVER_COMPLETE = logevents.Event(
     242,
     logevents.Level.info,
     'pool {pool} taken over with {grants} open grants; silent: {silent}',
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -72,7 +72,7 @@
             guide=guide or guiding.Guide(lambda: None, now),
             rates=rates,
             pauses=pauses,
-            settle_by=now() + cfg.settle_seconds,
+            settle_by=now() + cfg.takeover_seconds,
             served_at=now(),
         )
 
@@ -168,7 +168,7 @@
             if taken.slot_request.request_id not in self._state.running:
                 self._adopt(taken)
 
-    def settled(self) -> None:
+    def takeover_complete(self) -> None:
         """Keep to the settle window: owners hand over by themselves."""
 
     def grant_waiting(self) -> None:
--- a/libs/scheduling/geraniumweir/scheduling/remote.py
+++ b/libs/scheduling/geraniumweir/scheduling/remote.py
@@ -111,7 +111,7 @@
             self._pools[pool] = found
             eventlog.emit(logevents.LEADS, pool=pool)
             hosts = self._view.owners(self._domain)
-            work = takeover.settle(self._link, found, hosts, self._clock)
+            work = takeover.run(self._link, found, hosts, self._clock)
             self._link.start(work)
         return found
 
--- a/libs/scheduling/geraniumweir/scheduling/settings.py
+++ b/libs/scheduling/geraniumweir/scheduling/settings.py
@@ -11,7 +11,7 @@
 
     :ivar origin: names this leader among all that there ever were.
     :ivar queue_limit: most requests that wait.
-    :ivar settle_seconds: a leader that was not told that all owners handed
+    :ivar takeover_seconds: a leader that was not told that all owners handed
         over their open grants starts granting after this time; 0 for one
         that is first of all.
     :ivar fair_seconds: a customer may be ahead of the least served one of
@@ -28,7 +28,7 @@
     pool: ids.PoolName = ids.PoolName('')
     origin: str = ''
     queue_limit: int = 10000
-    settle_seconds: float = 0
+    takeover_seconds: float = 0
     fair_seconds: float = 0.5
     preempt_slack: float = 0.3
     preempts: bool = True
--- a/libs/scheduling/geraniumweir/scheduling/shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/shedding.py
@@ -56,7 +56,7 @@
     No other live server can; another failure domain may, and is asked next.
     """
     live = {server.kind for server in leader.servers.values() if server.live}
-    if not leader.settled or len(live) == len(leader.classes):
+    if not leader.takeover_complete or len(live) == len(leader.classes):
         return
     before = leader.now() - NO_SERVER_SECONDS
     for waiting in list(leader.waiting.values()):
@@ -211,7 +211,7 @@
 
     :returns: whether some are on their way out.
     """
-    if not leader.cfg.preempts or not leader.settled:
+    if not leader.cfg.preempts or not leader.takeover_complete:
         return False
     if waitlist.over_running_limit(leader, waiting.slot_request):
         return False
--- a/libs/scheduling/geraniumweir/scheduling/state.py
+++ b/libs/scheduling/geraniumweir/scheduling/state.py
@@ -31,7 +31,7 @@
     now: typing.Callable[[], float]
     live: typing.Callable[[], typing.Sequence[servers.Announcement]]
     on_preempt: typing.Callable[[requests.Preempt], None]
-    settled: bool
+    takeover_complete: bool
     settle_by: float
     served_at: float
     dice: random.Random
--- a/libs/scheduling/geraniumweir/scheduling/takeover.py
+++ b/libs/scheduling/geraniumweir/scheduling/takeover.py
@@ -8,10 +8,10 @@
 from geraniumweir.wire import errors
 from geraniumweir.wire.gen.scheduling import ttypes
 
-SETTLE_WINDOW = 1.0
+TAKEOVER_WINDOW_SECONDS = 1.0
 
 
-async def settle(
+async def run(
     link: channel.Channel,
     found: led.LedPool,
     hosts: typing.Iterable[ids.HostId],
@@ -27,9 +27,9 @@
     told = await asyncio.gather(
         *(_pull(link, found, host, clock) for host in asked),
     )
-    found.leader.settled()
+    found.leader.takeover_complete()
     eventlog.emit(
-        logevents.SETTLED,
+        logevents.TAKEOVER_COMPLETE,
         pool=found.pool,
         grants=len(found.entries),
         silent=told.count(False),
@@ -58,7 +58,7 @@
 ) -> bool:
     message = ttypes.HandoverRequest(found.pool)
     try:
-        handover = await link.call(host, message, SETTLE_WINDOW)
+        handover = await link.call(host, message, TAKEOVER_WINDOW_SECONDS)
     except errors.PeerError:
         return False
     adopt(found, handover, clock.now())
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
@@ -244,7 +244,7 @@
         for _, task in self.tasks.values():
             task.cancel()
         self.tasks.clear()
-        self.scene = scenes.Scene(queue_limit=_QUEUE, settle_seconds=5)
+        self.scene = scenes.Scene(queue_limit=_QUEUE, takeover_seconds=5)
         self.scene.live = before.live
         self.scene.numbers = before.numbers
         self.scene.leader.adopt(
@@ -253,7 +253,7 @@
                 for use in self.used.values()
             ],
         )
-        self.scene.leader.settled()
+        self.scene.leader.takeover_complete()
         for waiting in asks:
             coro = self.scene.leader.request_slot(waiting)
             again = self.loop.create_task(coro)
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_leader.py
@@ -85,7 +85,7 @@
     """Nothing is granted before the owners handed over, nor overcommitted."""
 
     async def scenario() -> None:
-        scene = scenes.Scene(scenes.engine('one'), settle_seconds=2)
+        scene = scenes.Scene(scenes.engine('one'), takeover_seconds=2)
         waiting = await scene.start()
         assert not waiting.done()
         slot_request = scene.make()
@@ -96,7 +96,7 @@
             ids.Address('127.0.0.1', 1),
         )
         scene.leader.adopt([requests.OpenGrant(slot_request, grant, age=1)])
-        scene.leader.settled()
+        scene.leader.takeover_complete()
         await asyncio.sleep(0.5)
         assert not waiting.done()
         assert await scene.leader.request_slot(slot_request) == grant
@@ -110,7 +110,7 @@
     """A leader that nobody tells starts granting after its bound."""
 
     async def scenario() -> None:
-        scene = scenes.Scene(scenes.engine('one'), settle_seconds=2)
+        scene = scenes.Scene(scenes.engine('one'), takeover_seconds=2)
         waiting = await scene.start()
         await asyncio.sleep(1.5)
         assert not waiting.done()
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_over_tcp.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_over_tcp.py
@@ -67,7 +67,7 @@
         on_preempt: remote.OnPreempt,
     ) -> leader.PoolLeader:
         return leader.PoolLeader(
-            settings.LeaderSettings(pool, settle_seconds=1),
+            settings.LeaderSettings(pool, takeover_seconds=1),
             self.clock.now,
             lambda: [worlds.server(_DOMAIN, 0)],
             on_preempt,
--- a/libs/scheduling/geraniumweir/scheduling/tests/world.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/world.py
@@ -114,7 +114,7 @@
         ) -> leader.PoolLeader:
             cfg = settings.LeaderSettings(
                 pool=pool,
-                settle_seconds=takeover.SETTLE_WINDOW,
+                takeover_seconds=takeover.TAKEOVER_WINDOW_SECONDS,
             )
             live = lambda: self._servers[domain]  # noqa: E731
             return leader.PoolLeader(cfg, self._clock.now, live, on_preempt)
--- a/libs/scheduling/geraniumweir/scheduling/ticking.py
+++ b/libs/scheduling/geraniumweir/scheduling/ticking.py
@@ -48,7 +48,7 @@
 def beat(leader: state.LeaderState) -> None:
     """Do what is due at a tick."""
     if leader.now() >= leader.settle_by:
-        leader.settled = True
+        leader.takeover_complete = True
     if leader.now() - leader.synced >= _TICK_SECONDS:
         crashes.synced(leader)
     shedding.give_up(leader)
--- a/libs/scheduling/geraniumweir/scheduling/views.py
+++ b/libs/scheduling/geraniumweir/scheduling/views.py
@@ -70,7 +70,7 @@
     def adopt(self, grants: typing.Sequence[requests.OpenGrant]) -> None:
         """Take over grants in use that another leader gave."""
 
-    def settled(self) -> None:
+    def takeover_complete(self) -> None:
         """Start granting: all owners have handed over their grants."""
 
     def grant_waiting(self) -> None:
