--- a/libs/control/geraniumweir/control/coordination.py
+++ b/libs/control/geraniumweir/control/coordination.py
@@ -54,7 +54,7 @@
         cut off along with the coordinator before.
     :ivar budget: what all hosts together may send again.
     :ivar retries: whom the retries of that are counted for.
-    :ivar on_ask: told of each ask that comes.
+    :ivar on_slot_request: told of each ask that comes.
     :ivar guide: makes what decides about versions of a pool's servers.
     :ivar said: what is known of what servers said.
     :ivar inform: told of each new leader of a pool.
@@ -70,7 +70,7 @@
     hosts: typing.Callable[[], int]
     budget: retrybudget.Budget
     retries: retrybudget.Scope
-    on_ask: OnAsk | None = None
+    on_slot_request: OnAsk | None = None
     tolerance: quotas.Tolerance = quotas.Tolerance()
     guide: typing.Callable[[ids.PoolName], guiding.Guide] | None = None
     said: notices.Notices | None = None
@@ -81,10 +81,10 @@
         named = self.said.limits() if self.said else {}
         share = self.share() if named else 1
         return {
-            start: ratelimits.part_of(
+            start: ratelimits.share_of_limit(
                 per_second,
                 share,
-                rendezvous.lot(self.link.host_id, start[0]),
+                rendezvous.stable_fraction(self.link.host_id, start[0]),
             )
             for start, per_second in named.items()
         }
@@ -194,7 +194,7 @@
             counting.quotas,
             counting.retries,
             clock.now,
-            parts.on_ask,
+            parts.on_slot_request,
         ),
     )
 
--- a/libs/control/geraniumweir/control/host.py
+++ b/libs/control/geraniumweir/control/host.py
@@ -170,7 +170,7 @@
                     self.standing.leads,
                     self._number_of_entry_hosts,
                 ),
-                on_ask=self._note_usage,
+                on_slot_request=self._note_usage,
                 guide=self.rollouts.guide,
                 said=self.standing.said,
                 inform=self._presence.suspicion.inform,
--- a/libs/daemon/geraniumweir/daemon/joinedops.py
+++ b/libs/daemon/geraniumweir/daemon/joinedops.py
@@ -197,7 +197,7 @@
         if row.leader is not None:
             return row
         cfg = self._host.cfg
-        leader = home.by_view(
+        leader = home.leader_by_view(
             cfg.failure_domain,
             pool.name,
             neighbours.LeaderView(self._joined.members),
--- a/libs/scheduling/geraniumweir/scheduling/broker.py
+++ b/libs/scheduling/geraniumweir/scheduling/broker.py
@@ -19,10 +19,10 @@
 
 from geraniumweir.common import ids, timers
 from geraniumweir.scheduling import (
-    asking,
     channel,
     home,
     owned,
+    requesting,
     requests,
     spill,
     upkeep,
@@ -85,8 +85,8 @@
         self._directory = directory
         self._clock = clock
         self._mine = owned.Owned()
-        self._home = home.Home(domain, view, link.host_id)
-        self._asker = asking.Asker(link, self._mine, clock)
+        self._home = home.HomeLeaders(domain, view, link.host_id)
+        self._asker = requesting.SlotRequester(link, self._mine, clock)
         self._upkeep = upkeep.Upkeep(
             link,
             self._mine,
@@ -121,7 +121,7 @@
         self._withdrawn.add(request_id)
         place = self._mine.places.get(request_id)
         if place is not None:
-            place.settle(_withdrawn(request_id))
+            place.resolve(_withdrawn(request_id))
 
     def progress(self, progress: requests.Progress) -> None:
         """Tell the pool leader how granted work goes on."""
@@ -186,7 +186,7 @@
             if answer is not None and not _is_elsewhere(answer):
                 if not self._may_be_granted_soon(place, answer):
                     return _Tried(slot_request, answer)
-            self._home.wrong(slot_request.pool, place.host, place.hint)
+            self._home.reject(slot_request.pool, place.host, place.hint)
             until = max(until, self._heard_at(place) + _HOME_PATIENCE)
             if self._clock.now() >= until:
                 no_server = requests.DenialReason.no_server
@@ -213,7 +213,7 @@
             return self._clock.now()
         if place.failed:
             return -math.inf
-        return self._mine.heard.get(place.host, -math.inf)
+        return self._mine.last_seen.get(place.host, -math.inf)
 
     async def _ask_there(
         self,
--- a/libs/scheduling/geraniumweir/scheduling/gating.py
+++ b/libs/scheduling/geraniumweir/scheduling/gating.py
@@ -28,17 +28,18 @@
         counted: quotas.Quotas,
         budgets: retrybudget.RetryBudgets,
         now: typing.Callable[[], float],
-        on_ask: typing.Callable[[requests.SlotRequest], None] | None = None,
+        on_slot_request: typing.Callable[[requests.SlotRequest], None]
+        | None = None,
     ) -> None:
         """Count in windows that all pools share.
 
         :param now: gives the time in seconds.
-        :param on_ask: told of each ask, whether it is let through or not.
+        :param on_slot_request: told of each ask, whether it is let through or not.
         """
         self._quotas = counted
         self._budgets = budgets
         self._now = now
-        self._on_ask = on_ask
+        self._on_ask = on_slot_request
 
     def admit(
         self, slot_request: requests.SlotRequest
--- a/libs/scheduling/geraniumweir/scheduling/home.py
+++ b/libs/scheduling/geraniumweir/scheduling/home.py
@@ -10,7 +10,7 @@
 from geraniumweir.scheduling import rendezvous, views
 
 
-class Home:
+class HomeLeaders:
     """The pool leaders of one failure domain.
 
     :ivar changes: fires when any leader may have changed.
@@ -35,16 +35,16 @@
         said = self._said.get(pool)
         if said is not None:
             return said
-        return by_view(self._domain, pool, self._view, self._host_id)
+        return leader_by_view(self._domain, pool, self._view, self._host_id)
 
-    def claimed(self, pool: ids.PoolName, host: ids.HostId) -> bool:
+    def accept_claim(self, pool: ids.PoolName, host: ids.HostId) -> bool:
         """Hear from a host that it leads; tell whether it may."""
         if host != self._host_id and not self._is_live(host):
             return False
         self._said[pool] = host
         return True
 
-    def wrong(
+    def reject(
         self,
         pool: ids.PoolName,
         host: ids.HostId,
@@ -71,7 +71,7 @@
         self.changes.on_next(None)
 
 
-def by_view(
+def leader_by_view(
     domain: ids.FailureDomain,
     pool: ids.PoolName,
     view: views.HostView,
--- a/libs/scheduling/geraniumweir/scheduling/joining.py
+++ b/libs/scheduling/geraniumweir/scheduling/joining.py
@@ -24,7 +24,7 @@
     grant: requests.Grant
 
 
-async def answer(
+async def wait_for_answer(
     leader: views.Scheduler,
     waiting: Waiting,
     running: typing.Mapping[ids.RequestId, Running],
--- a/libs/scheduling/geraniumweir/scheduling/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/leader.py
@@ -86,7 +86,7 @@
             if isinstance(admitted, requests.Denial):
                 return admitted
             waiting = admitted
-        return await joining.answer(
+        return await joining.wait_for_answer(
             self,
             waiting,
             self._state.running,
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -102,7 +102,7 @@
                 return denied
             waiting = self._enqueue(slot_request)
             granting.fill(self._state)
-        return await joining.answer(
+        return await joining.wait_for_answer(
             self,
             waiting,
             self._state.running,
--- a/libs/scheduling/geraniumweir/scheduling/owned.py
+++ b/libs/scheduling/geraniumweir/scheduling/owned.py
@@ -37,7 +37,7 @@
     failed: bool = False
     delivery: asyncio.Task[None] | None = None
 
-    def settle(
+    def resolve(
         self,
         answer: requests.Grant | requests.Denial | None,
     ) -> None:
@@ -78,14 +78,14 @@
 class Owned:
     """All requests of one entry host that wait or have a grant.
 
-    :ivar heard: when a leader last answered a call as such, in seconds.
+    :ivar last_seen: when a leader last answered a call as such, in seconds.
     """
 
     def __init__(self) -> None:
         """Start without requests."""
         self.places: dict[ids.RequestId, Place] = {}
         self.in_use: dict[ids.RequestId, InUse] = {}
-        self.heard: dict[ids.HostId, float] = {}
+        self.last_seen: dict[ids.HostId, float] = {}
         self.attempt = 0
         self._numbers = itertools.count(1)
 
--- a/libs/scheduling/geraniumweir/scheduling/ratelimits.py
+++ b/libs/scheduling/geraniumweir/scheduling/ratelimits.py
@@ -23,15 +23,15 @@
 _ROUNDING = 1e-6
 
 
-def part_of(per_second: float, share: float, lot: float) -> float:
+def share_of_limit(per_second: float, share: float, lot: float) -> float:
     """Give the requests a second that one host may grant of a limit.
 
     :param share: the host's part of all requests.
     :param lot: drawn once for this host and server, from 0 to 1.
 
-    >>> part_of(2, 1, 0.9), part_of(2, 0.5, 0.9)
+    >>> share_of_limit(2, 1, 0.9), share_of_limit(2, 0.5, 0.9)
     (2, 1.0)
-    >>> part_of(1, 0.01, 0.9), part_of(1, 0.01, 0.01)
+    >>> share_of_limit(1, 0.01, 0.9), share_of_limit(1, 0.01, 0.01)
     (0, 0.25)
     """
     part = max(per_second, _TRIAL_PER_SECOND) * share
--- a/libs/scheduling/geraniumweir/scheduling/remote.py
+++ b/libs/scheduling/geraniumweir/scheduling/remote.py
@@ -58,7 +58,7 @@
         self._clock = clock
         self._gate = gate
         self._leader_of = functools.partial(
-            home.by_view,
+            home.leader_by_view,
             domain,
             view=view,
             host_id=link.host_id,
--- a/libs/scheduling/geraniumweir/scheduling/rendezvous.py
+++ b/libs/scheduling/geraniumweir/scheduling/rendezvous.py
@@ -42,10 +42,10 @@
     )
 
 
-def lot(host_id: ids.HostId, server_id: ids.ServerId) -> float:
+def stable_fraction(host_id: ids.HostId, server_id: ids.ServerId) -> float:
     """Draw a number from 0 to 1 for a host and a server, always the same.
 
-    >>> lot('entry-1', 's1') == lot('entry-1', 's1') != lot('entry-2', 's1')
+    >>> stable_fraction('entry-1', 's1') == stable_fraction('entry-1', 's1') != stable_fraction('entry-2', 's1')
     True
     """
     text = f'{host_id} {server_id}'.encode()
--- a/libs/scheduling/geraniumweir/scheduling/reporting.py
+++ b/libs/scheduling/geraniumweir/scheduling/reporting.py
@@ -67,7 +67,7 @@
         self._send(pool, message)
 
     def _send(self, pool: ids.PoolName, message: peers.Message) -> None:
-        leader = home.by_view(
+        leader = home.leader_by_view(
             self._domain,
             pool,
             view=self._view,
--- a/libs/scheduling/geraniumweir/scheduling/asking.py
+++ b/libs/scheduling/geraniumweir/scheduling/requesting.py
@@ -26,7 +26,7 @@
 _PAUSE = 0.05
 
 
-class Asker:
+class SlotRequester:
     """Asks pool leaders on behalf of one entry host's requests."""
 
     def __init__(
@@ -99,7 +99,9 @@
                 await asyncio.shield(place.fut)
         except TimeoutError:
             reason = requests.DenialReason.too_late
-            place.settle(requests.Denial(place.slot_request.request_id, reason))
+            place.resolve(
+                requests.Denial(place.slot_request.request_id, reason)
+            )
 
     def _leave(self, place: owned.Place) -> None:
         if place.delivery is not None:
@@ -109,7 +111,7 @@
             requests.Grant,
         ):
             return
-        place.settle(None)
+        place.resolve(None)
         self._withdraw(place)
 
     def _withdraw(self, place: owned.Place) -> None:
@@ -139,10 +141,10 @@
             if reply.leader is None:
                 place.reached = True
                 _note_counted(place, reply)
-                self._mine.heard[place.host] = self._clock.now()
+                self._mine.last_seen[place.host] = self._clock.now()
             self._take(place, reply)
             return
-        place.settle(None)
+        place.resolve(None)
 
     async def _on_answer(
         self,
@@ -184,7 +186,7 @@
                 place.attempt,
                 self._clock.now(),
             )
-        place.settle(answer)
+        place.resolve(answer)
 
     async def _release(
         self,
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_led.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_led.py
@@ -5,10 +5,10 @@
 
 from geraniumweir.common import ids, timers, virtual
 from geraniumweir.scheduling import (
-    asking,
     channel,
     led,
     owned,
+    requesting,
     requests,
     telling,
 )
@@ -176,7 +176,7 @@
         owner = network.join(_OWNER, ids.Address('127.0.0.1', 1))
         leader = network.join(_LEADER, ids.Address('127.0.0.1', 2))
         link = channel.Channel(owner)
-        asking.Asker(link, owned.Owned(), timers.TimerService())
+        requesting.SlotRequester(link, owned.Owned(), timers.TimerService())
         fixture = _Fixture()
         entry = await fixture.granted(1)
         await telling.tell(channel.Channel(leader), fixture.found, entry)
@@ -195,7 +195,7 @@
         link = channel.Channel(network.join(_OWNER, ids.Address('::1', 1)))
         leader = network.join(_LEADER, ids.Address('::1', 2))
         former = network.join(_FORMER, ids.Address('::1', 3))
-        asker = asking.Asker(link, mine, timers.TimerService())
+        asker = requesting.SlotRequester(link, mine, timers.TimerService())
 
         async def queue(_sender: ids.HostId, _ask: typing.Any) -> typing.Any:
             return ttypes.AskReply()
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_ratelimits.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_ratelimits.py
@@ -13,10 +13,12 @@
     limit = 1.9
     throttles = [
         ratelimits.Throttle(
-            ratelimits.part_of(
+            ratelimits.share_of_limit(
                 limit,
                 1 / hosts,
-                rendezvous.lot(ids.HostId(f'10.0.0.{number}'), _SERVER),
+                rendezvous.stable_fraction(
+                    ids.HostId(f'10.0.0.{number}'), _SERVER
+                ),
             ),
             at=0,
         )
--- a/libs/scheduling/geraniumweir/scheduling/upkeep.py
+++ b/libs/scheduling/geraniumweir/scheduling/upkeep.py
@@ -10,10 +10,10 @@
 
 from geraniumweir.common import ids, timers
 from geraniumweir.scheduling import (
-    asking,
     channel,
     home,
     owned,
+    requesting,
     translation,
 )
 from geraniumweir.wire import errors
@@ -33,8 +33,8 @@
         self,
         link: channel.Channel,
         mine: owned.Owned,
-        leaders: home.Home,
-        asker: asking.Asker,
+        leaders: home.HomeLeaders,
+        asker: requesting.SlotRequester,
         clock: timers.TimerService,
     ) -> None:
         """Start the period and answer new leaders."""
@@ -80,7 +80,7 @@
     ) -> ttypes.Handover:
         pool = ids.PoolName(message.pool)
         waiting = []
-        if self._home.claimed(pool, sender):
+        if self._home.accept_claim(pool, sender):
             # From here on no grant of the former leader is taken.
             self._move(pool)
             waiting = self._mine.home_places(pool)
@@ -128,7 +128,7 @@
             return
         self._misses.pop(seat, None)
         if reply.leads:
-            self._mine.heard[seat[0]] = self._clock.now()
+            self._mine.last_seen[seat[0]] = self._clock.now()
         self._repair(seat, reply, places)
         if not places and not grants and attempt == self._mine.attempt:
             self._touched.discard(seat)
@@ -142,14 +142,14 @@
         if self._misses[seat] < _MOST_MISSES:
             return
         self._misses.pop(seat)
-        self._mine.heard.pop(seat[0], None)
+        self._mine.last_seen.pop(seat[0], None)
         for place in self._places(seat):
-            place.settle(None)
+            place.resolve(None)
         if not self._grants(seat):
             self._touched.discard(seat)
 
     def _heard_lately(self, host: ids.HostId) -> bool:
-        at = self._mine.heard.get(host)
+        at = self._mine.last_seen.get(host)
         return at is not None and self._clock.now() - at < _PERIOD
 
     def _repair(
@@ -160,7 +160,7 @@
     ) -> None:
         if not reply.leads:
             for place in places:
-                place.settle(None)
+                place.resolve(None)
             self._touched.discard(seat)
             return
         lost = frozenset(reply.waiting)
