--- a/libs/control/geraniumweir/control/coordination.py
+++ b/libs/control/geraniumweir/control/coordination.py
@@ -142,11 +142,11 @@
         if begins:
             self.quotas.begin(now)
             for sender, told, at in self._told_lately(now):
-                self.quotas.learn(sender, told, at)
+                self.quotas.apply_report(sender, told, at)
         if begins or (self._leads and not led):
             self.retries.begin(now)
             for sender, told, at in self._told_lately(now):
-                self.retries.learn(sender, told.retries, at)
+                self.retries.apply_report(sender, told.retries, at)
 
     def _told_lately(
         self,
@@ -169,8 +169,8 @@
             if now - found[1] <= _EARLY_SECONDS
         }
         self._told[sender] = (told, now)
-        self.quotas.learn(sender, told, now)
-        self.retries.learn(sender, told.retries, now)
+        self.quotas.apply_report(sender, told, now)
+        self.retries.apply_report(sender, told.retries, now)
 
 
 def _coordinates(parts: Parts) -> bool:
--- a/libs/control/geraniumweir/control/tests/test_quota_over_changes.py
+++ b/libs/control/geraniumweir/control/tests/test_quota_over_changes.py
@@ -160,7 +160,7 @@
         if entry.turned_to != self.leader:
             entry.turned_to = self.leader
             told = entry.spent(self.now)
-            found.quotas.learn(entry.host_id, told, self.now)
+            found.quotas.apply_report(entry.host_id, told, self.now)
         entry.told = found.hosts.part_for(entry.host_id, self.now)
 
     def _take_in_turn(self, found: _Control, near: list[_Entry]) -> None:
--- a/libs/control/geraniumweir/control/tests/test_retries_over_changes.py
+++ b/libs/control/geraniumweir/control/tests/test_retries_over_changes.py
@@ -56,7 +56,7 @@
     """
 
     host_id: ids.HostId
-    counting: retrycounts.Counting = dataclasses.field(init=False)
+    counting: retrycounts.RetryCounter = dataclasses.field(init=False)
     alone: retrybudget.RetryBudgets = dataclasses.field(init=False)
     cut_at: float | None = None
     stays: bool = False
@@ -200,7 +200,7 @@
 
     def _started(self, name: str) -> _Entry:
         entry = _Entry(ids.HostId(name))
-        entry.counting = retrycounts.Counting(
+        entry.counting = retrycounts.RetryCounter(
             _BUDGET.window,
             self.now,
             entry.granter,
@@ -225,8 +225,8 @@
         found.hosts.heard(entry.host_id, self.now)
         if entry.turned_to is not found:
             entry.turned_to = found
-            counts = entry.counting.told_to(found.host_id, self.now)
-            found.budgets.learn(entry.host_id, counts, self.now)
+            counts = entry.counting.counts_for(found.host_id, self.now)
+            found.budgets.apply_report(entry.host_id, counts, self.now)
 
     def _offer(
         self,
--- a/libs/gateway/geraniumweir/gateway/host.py
+++ b/libs/gateway/geraniumweir/gateway/host.py
@@ -153,7 +153,7 @@
             self._clock,
             cfg.quota_seconds,
             starting.AT,
-            retrycounts.Counting(
+            retrycounts.RetryCounter(
                 cfg.budget.window,
                 starting.AT,
                 self._coordinator.coordinator,
--- a/libs/scheduling/geraniumweir/scheduling/telling.py
+++ b/libs/scheduling/geraniumweir/scheduling/answer_delivery.py
@@ -11,7 +11,7 @@
 _PAUSE = 0.1
 
 
-async def tell(
+async def deliver(
     link: channel.Channel,
     found: led.LedPool,
     entry: led.Entry,
@@ -28,8 +28,8 @@
         if not reply.taken and found.has(entry):
             found.withdraw(entry.slot_request.request_id, entry.attempt)
         break
-    entry.telling = False
-    found.done_with(entry)
+    entry.notifying = False
+    found.discard_denied(entry)
 
 
 def message(entry: led.Entry) -> ttypes.Answer:
--- a/libs/scheduling/geraniumweir/scheduling/gating.py
+++ b/libs/scheduling/geraniumweir/scheduling/gating.py
@@ -82,7 +82,7 @@
         outcome: requests.Outcome,
     ) -> None:
         """Give back what an ask was charged that wasn't served."""
-        self._quotas.give_back(
+        self._quotas.refund(
             slot_request.customer,
             slot_request.quota_cost,
             charge.admitted_at,
@@ -90,7 +90,7 @@
         if slot_request.sending is not requests.Sending.retry:
             return
         if charge.granted_at is None or outcome in retrycounts.NOT_SENT:
-            self._budgets.give_back(slot_request.pool, charge.granted_at)
+            self._budgets.refund(slot_request.pool, charge.granted_at)
 
 
 def _no_retry(
--- a/libs/scheduling/geraniumweir/scheduling/led.py
+++ b/libs/scheduling/geraniumweir/scheduling/led.py
@@ -60,7 +60,7 @@
     :ivar work: the leader's decision under way, or None for a grant that
         was handed over.
     :ivar held: its owner's call is still open and takes the answer.
-    :ivar telling: the answer is on its way to the owner.
+    :ivar notifying: the answer is on its way to the owner.
     :ivar charge: what the gate charged here, None for nothing.
     """
 
@@ -69,7 +69,7 @@
     work: asyncio.Task[None] | None = None
     answer: Answer | None = None
     held: bool = False
-    telling: bool = False
+    notifying: bool = False
     charge: Charge | None = None
 
 
@@ -184,7 +184,7 @@
         """
         return [owner for owner, at in self._heard.items() if at < since]
 
-    def forget_owner(self, owner: ids.HostId) -> int:
+    def remove_owner(self, owner: ids.HostId) -> int:
         """Drop all that an owner has here; tell how much it was."""
         self._heard.pop(owner, None)
         dropped = self._of(owner)
@@ -206,7 +206,7 @@
                 entry.work.cancel()
         return waiting
 
-    def done_with(self, entry: Entry) -> None:
+    def discard_denied(self, entry: Entry) -> None:
         """Forget an ask whose denial the owner has got."""
         if isinstance(entry.answer, requests.Denial) and self.has(entry):
             self.entries.pop(entry.slot_request.request_id)
--- a/libs/scheduling/geraniumweir/scheduling/logevents.py
+++ b/libs/scheduling/geraniumweir/scheduling/logevents.py
@@ -2,7 +2,7 @@
 
 from geraniumweir.common import logevents
 
-LEADS = logevents.Event(
+LEADERSHIP_STARTED = logevents.Event(
     241,
     logevents.Level.info,
     'this host now leads pool {pool}',
@@ -12,7 +12,7 @@
     logevents.Level.info,
     'pool {pool} taken over with {grants} open grants; silent: {silent}',
 )
-LEADS_NO_MORE = logevents.Event(
+LEADERSHIP_ENDED = logevents.Event(
     243,
     logevents.Level.info,
     'this host no longer leads pool {pool}',
@@ -27,7 +27,7 @@
     logevents.Level.info,
     'pool {pool}: {waiting} wait, {running} run, a slot each {interval_ms} ms',
 )
-SERVER_RESTS = logevents.Event(
+SERVER_COOLDOWN = logevents.Event(
     247,
     logevents.Level.info,
     'server {server} of pool {pool} gets nothing for {seconds} s: {cause}',
@@ -37,7 +37,7 @@
     logevents.Level.notice,
     'grant of {request} from {leader} came too late and was given back',
 )
-LIMIT_NAMED = logevents.Event(
+LIMIT_SET = logevents.Event(
     248,
     logevents.Level.notice,
     'server {server} takes {per_second} requests a second from all hosts',
@@ -47,12 +47,12 @@
     logevents.Level.notice,
     'server {server} names no limit any more',
 )
-LEAVING_SAID = logevents.Event(
+SERVER_LEAVING = logevents.Event(
     250,
     logevents.Level.notice,
     'server {server} says in an answer to {told} that it leaves',
 )
-PAUSE_ASKED = logevents.Event(
+SERVER_PAUSED = logevents.Event(
     251,
     logevents.Level.info,
     'server {server} wants nothing from {asked} for {seconds} s',
@@ -62,7 +62,7 @@
     logevents.Level.info,
     'retry of {request} denied: {used} of {allowed} of pool {pool} are used',
 )
-CONDEMNED = logevents.Event(
+CONTENT_QUARANTINED = logevents.Event(
     253,
     logevents.Level.warning,
     'requests with content {content} are refused for {seconds} s: '
--- a/libs/scheduling/geraniumweir/scheduling/notices.py
+++ b/libs/scheduling/geraniumweir/scheduling/notices.py
@@ -271,19 +271,19 @@
             eventlog.emit(logevents.LIMIT_LIFTED, server=notice.server_id)
         case RateLimit(per_second=per_second):
             eventlog.emit(
-                logevents.LIMIT_NAMED,
+                logevents.LIMIT_SET,
                 server=notice.server_id,
                 per_second=per_second,
             )
         case Leaving():
             eventlog.emit(
-                logevents.LEAVING_SAID,
+                logevents.SERVER_LEAVING,
                 server=notice.server_id,
                 told=notice.host_id,
             )
         case Pause(seconds=seconds):
             eventlog.emit(
-                logevents.PAUSE_ASKED,
+                logevents.SERVER_PAUSED,
                 server=notice.server_id,
                 asked=notice.host_id,
                 seconds=seconds,
--- a/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
@@ -225,7 +225,7 @@
         return
     for condemned in leader.suspects.record_crash(marks, leader.now()):
         eventlog.emit(
-            logevents.CONDEMNED,
+            logevents.CONTENT_QUARANTINED,
             content=f'{condemned:016x}',
             server=server.server_id,
             pool=leader.pool,
--- a/libs/scheduling/geraniumweir/scheduling/ontime/rests.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/rests.py
@@ -31,7 +31,7 @@
     """
     if _begins(server, cause, now, running):
         eventlog.emit(
-            logevents.SERVER_RESTS,
+            logevents.SERVER_COOLDOWN,
             pool=server.announcement.pool,
             server=server.server_id,
             seconds=round(server.condition.until - now, _SECONDS_DIGITS),
--- a/libs/scheduling/geraniumweir/scheduling/quotas.py
+++ b/libs/scheduling/geraniumweir/scheduling/quotas.py
@@ -103,7 +103,7 @@
         self._knowing: collections.Counter[int] = collections.Counter()
         self._amounts: dict[ids.CustomerName, collections.Counter[int]] = {}
 
-    def learn(
+    def apply_report(
         self,
         host_id: ids.HostId,
         spent: recent_usage.RecentUsage,
@@ -217,14 +217,14 @@
         """
         self._before = _Before(self._seconds, now)
 
-    def learn(
+    def apply_report(
         self,
         host_id: ids.HostId,
         spent: recent_usage.RecentUsage,
         now: float,
     ) -> None:
         """Take what an entry host was granted by others."""
-        self._before.learn(host_id, spent, now)
+        self._before.apply_report(host_id, spent, now)
 
     def take(
         self,
@@ -270,7 +270,7 @@
         window.add(cost, now)
         return 0
 
-    def give_back(
+    def refund(
         self,
         customer: ids.CustomerName,
         cost: float,
@@ -282,7 +282,7 @@
         """
         window = self._windows.get(customer)
         if window is not None:
-            window.give_back(cost, at)
+            window.refund(cost, at)
 
     def _spare(self, allowed: Allowance, now: float) -> float:
         """Give what may be granted beyond a quota just now.
--- a/libs/scheduling/geraniumweir/scheduling/recent_usage.py
+++ b/libs/scheduling/geraniumweir/scheduling/recent_usage.py
@@ -45,7 +45,7 @@
         clock: timers.TimerService,
         seconds: float,
         started: float,
-        retries: retrycounts.Counting,
+        retries: retrycounts.RetryCounter,
     ) -> None:
         """Know of nothing before the start.
 
@@ -79,7 +79,7 @@
                 }
                 for customer, window in self._windows.items()
             },
-            self._retries.told_to(host_id, now),
+            self._retries.counts_for(host_id, now),
         )
 
     async def request_slot(self, slot_request: requests.SlotRequest) -> _Answer:
@@ -108,7 +108,7 @@
         found = self._in_use.pop(release.request_id, None)
         if found is not None and release.outcome in NOT_SERVED:
             slot_request, at = found
-            self._windows[slot_request.customer].give_back(
+            self._windows[slot_request.customer].refund(
                 slot_request.quota_cost, at
             )
         self._scheduler.release(release)
--- a/libs/scheduling/geraniumweir/scheduling/remote.py
+++ b/libs/scheduling/geraniumweir/scheduling/remote.py
@@ -13,13 +13,13 @@
 
 from geraniumweir.common import eventlog, ids, timers
 from geraniumweir.scheduling import (
+    answer_delivery,
     channel,
     home,
     led,
     logevents,
     requests,
     takeover,
-    telling,
     translation,
     views,
 )
@@ -109,7 +109,7 @@
                 self._gate,
             )
             self._pools[pool] = found
-            eventlog.emit(logevents.LEADS, pool=pool)
+            eventlog.emit(logevents.LEADERSHIP_STARTED, pool=pool)
             hosts = self._view.owners(self._domain)
             work = takeover.run(self._link, found, hosts, self._clock)
             self._link.start(work)
@@ -131,8 +131,8 @@
         if entry is None:
             return _refuse(requests.DenialReason.withdrawn)
         await _hold(entry)
-        reply = ttypes.AskReply(**telling.packed(entry.answer))
-        found.done_with(entry)
+        reply = ttypes.AskReply(**answer_delivery.packed(entry.answer))
+        found.discard_denied(entry)
         return reply
 
     async def _on_withdraw(
@@ -189,9 +189,9 @@
             takeover.adopt(found, message, self._clock.now())
 
     def _answered(self, found: led.LedPool, entry: led.Entry) -> None:
-        if not entry.held and not entry.telling:
-            entry.telling = True
-            self._link.start(telling.tell(self._link, found, entry))
+        if not entry.held and not entry.notifying:
+            entry.notifying = True
+            self._link.start(answer_delivery.deliver(self._link, found, entry))
 
     def _preempt(self, preempt: requests.Preempt) -> None:
         message = ttypes.Preempt(preempt.request_id, preempt.server_id)
@@ -203,13 +203,15 @@
                 self._hand_off(pool)
 
     def _hand_off(self, pool: ids.PoolName) -> None:
-        eventlog.emit(logevents.LEADS_NO_MORE, pool=pool)
+        eventlog.emit(logevents.LEADERSHIP_ENDED, pool=pool)
         for entry in self._pools.pop(pool).close():
             reason = requests.DenialReason.not_leader
             entry.answer = requests.Denial(
                 entry.slot_request.request_id, reason
             )
-            self._link.send(entry.slot_request.owner, telling.message(entry))
+            self._link.send(
+                entry.slot_request.owner, answer_delivery.message(entry)
+            )
 
     def _check(self) -> None:
         since = self._clock.now() - _SILENCE
@@ -219,14 +221,14 @@
 
 def _drop_silent(found: led.LedPool, since: float) -> None:
     for owner in found.silent_owners(since):
-        count = found.forget_owner(owner)
+        count = found.remove_owner(owner)
         if count:
             eventlog.emit(logevents.OWNER_SILENT, owner=owner, count=count)
 
 
 async def _hold(entry: led.Entry) -> None:
     """Wait a moment, so that a quick grant goes with the call's answer."""
-    if entry.work is None or entry.telling:
+    if entry.work is None or entry.notifying:
         return
     entry.held = True
     try:
--- a/libs/scheduling/geraniumweir/scheduling/retries.py
+++ b/libs/scheduling/geraniumweir/scheduling/retries.py
@@ -40,7 +40,7 @@
             collections.OrderedDict()
         )
 
-    def refused(
+    def record_refusal(
         self,
         customer: ids.CustomerName,
         fingerprint: ids.Fingerprint,
--- a/libs/scheduling/geraniumweir/scheduling/retrybudget.py
+++ b/libs/scheduling/geraniumweir/scheduling/retrybudget.py
@@ -119,7 +119,7 @@
         self._budget = budget
         self._scope = scope
         self._start = start
-        self._told: dict[ids.HostId, list[retrycounts.Told]] = {}
+        self._told: dict[ids.HostId, list[retrycounts.HostReport]] = {}
         self._sums = retrycounts.Sums()
         self._pools: collections.defaultdict[ids.PoolName, _Pool] = (
             collections.defaultdict(
@@ -133,7 +133,7 @@
         self._told.clear()
         self._sums = retrycounts.Sums()
 
-    def learn(
+    def apply_report(
         self,
         host_id: ids.HostId,
         counts: retrycounts.Counts,
@@ -144,7 +144,7 @@
         What it tells again replaces what it told before; a process that
         started since knows nothing of that.
         """
-        newest = retrycounts.Told(counts, now)
+        newest = retrycounts.HostReport(counts, now)
         oldest = now - self._budget.window
         self._sums.forget_before(oldest)
         kept = [newest]
@@ -173,7 +173,7 @@
         found.pending -= 1
         found.retries.add(1, now)
 
-    def give_back(self, pool: ids.PoolName, granted_at: float | None) -> None:
+    def refund(self, pool: ids.PoolName, granted_at: float | None) -> None:
         """Take that an admitted retry won't reach a server.
 
         :param granted_at: None where it wasn't granted.
@@ -182,7 +182,7 @@
         if granted_at is None:
             found.pending -= 1
         else:
-            found.retries.give_back(1, granted_at)
+            found.retries.refund(1, granted_at)
 
     def level(self, pool: ids.PoolName, now: float) -> Level:
         """Tell what a pool's budget holds.
--- a/libs/scheduling/geraniumweir/scheduling/retrycounts.py
+++ b/libs/scheduling/geraniumweir/scheduling/retrycounts.py
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Beside:
+class OtherCounts:
     """What there was beside what a coordinator granted itself."""
 
     requests: float
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Told:
+class HostReport:
     """What an entry host told at a moment.
 
     :ivar at: when, in seconds.
@@ -99,11 +99,11 @@
             collections.defaultdict(_Sum)
         )
 
-    def add(self, told: Told) -> None:
+    def add(self, told: HostReport) -> None:
         """Take what an entry host told."""
         self._add(told, 1)
 
-    def remove(self, told: Told) -> None:
+    def remove(self, told: HostReport) -> None:
         """Undo :meth:`add`."""
         self._add(told, -1)
 
@@ -124,7 +124,7 @@
         pool: ids.PoolName,
         own: typing.Mapping[int, float],
         start: float,
-    ) -> Beside:
+    ) -> OtherCounts:
         """Give what was told of a pool beside what was granted here.
 
         :param own: retries granted here, by bin.
@@ -132,19 +132,19 @@
         """
         found = self._pools.get(pool)
         if found is None:
-            return Beside(0, 0)
+            return OtherCounts(0, 0)
         first = windows.bin_of(start)
         retries = sum(
             max(amount - own.get(number, 0), 0)
             for number, amount in found.here.items()
             if number >= first
         )
-        return Beside(
+        return OtherCounts(
             _since(found.requests, first),
             _since(found.elsewhere, first) + retries,
         )
 
-    def _add(self, told: Told, sign: int) -> None:
+    def _add(self, told: HostReport, sign: int) -> None:
         newest = windows.bin_of(told.at)
         for pool, counts in told.counts.pools.items():
             found = self._pools[pool]
@@ -165,7 +165,7 @@
 _Windows = collections.defaultdict[_Key, windows.Window]
 
 
-class Counting:
+class RetryCounter:
     """Counts the requests and retries of one entry host."""
 
     def __init__(
@@ -208,9 +208,9 @@
         found = self._granted.pop(release.request_id, None)
         if found is not None and release.outcome in NOT_SENT:
             key, at = found
-            self._retries[key].give_back(1, at)
+            self._retries[key].refund(1, at)
 
-    def told_to(self, host_id: ids.HostId, now: float) -> Counts:
+    def counts_for(self, host_id: ids.HostId, now: float) -> Counts:
         """Give what a host needs to know that coordinates from now on."""
         for found in (self._requests, self._retries):
             _forget_old(found, now)
--- a/libs/scheduling/geraniumweir/scheduling/shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/shedding.py
@@ -153,7 +153,7 @@
     """Make a denial, with a time to come back, and remember it."""
     now = leader.now()
     if reason is not requests.DenialReason.withdrawn:
-        leader.budgets.refused(
+        leader.budgets.record_refusal(
             slot_request.customer, slot_request.fingerprint, now
         )
     seconds = expected_wait(leader, slot_request.tier)
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_led.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_led.py
@@ -5,12 +5,12 @@
 
 from geraniumweir.common import ids, timers, virtual
 from geraniumweir.scheduling import (
+    answer_delivery,
     channel,
     led,
     owned,
     requesting,
     requests,
-    telling,
 )
 from geraniumweir.wire import memory
 from geraniumweir.wire.gen.scheduling import ttypes
@@ -179,7 +179,9 @@
         requesting.SlotRequester(link, owned.Owned(), timers.TimerService())
         fixture = _Fixture()
         entry = await fixture.granted(1)
-        await telling.tell(channel.Channel(leader), fixture.found, entry)
+        await answer_delivery.deliver(
+            channel.Channel(leader), fixture.found, entry
+        )
         assert fixture.decisions.log == [requests.Outcome.given_up]
         assert not fixture.found.entries
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_quotas.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_quotas.py
@@ -99,7 +99,7 @@
     whole = _RATE * _SECONDS + _BURST
     assert not counted.take(_NAME, whole, 200)
     assert counted.take(_NAME, 1, 200)
-    counted.give_back(_NAME, whole, 200)
+    counted.refund(_NAME, whole, 200)
     assert not counted.take(_NAME, 1, 200)
 
 
@@ -109,7 +109,7 @@
     whole = _RATE * _SECONDS + _BURST
     assert not counted.take(_NAME, whole - 10, 200)
     assert not counted.take(_NAME, 10, 207)
-    counted.give_back(_NAME, whole - 10, 200)
+    counted.refund(_NAME, whole - 10, 200)
     granted = 10
     while not counted.take(_NAME, 10, 208.5):
         granted += 10
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_recent_usage.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_recent_usage.py
@@ -50,7 +50,7 @@
             clock,
             _SECONDS,
             clock.now(),
-            retrycounts.Counting(
+            retrycounts.RetryCounter(
                 _SECONDS,
                 clock.now(),
                 lambda: ids.HostId('coordinator'),
@@ -142,7 +142,7 @@
         assert after.take(_NAME, 2 * _BURST, clock.now())
         for name, bed in zip('ab', beds):
             told = bed.recent_usage.usage_for(_NEXT)
-            after.learn(ids.HostId(name), told, clock.now())
+            after.apply_report(ids.HostId(name), told, clock.now())
         usual = 0.55 * _RATE * _SECONDS
         assert not after.take(_NAME, _WHOLE - usual - 10, clock.now())
         assert after.take(_NAME, 20, clock.now())
--- a/libs/scheduling/geraniumweir/scheduling/windows.py
+++ b/libs/scheduling/geraniumweir/scheduling/windows.py
@@ -50,7 +50,7 @@
         self._bins[-1][1] += amount
         self._total += amount
 
-    def give_back(self, amount: float, at: float) -> None:
+    def refund(self, amount: float, at: float) -> None:
         """Undo what was added, where it was added.
 
         Taken off now instead, it would stay in the window after what it
