--- a/libs/scheduling/geraniumweir/scheduling/learning.py
+++ b/libs/scheduling/geraniumweir/scheduling/learning.py
@@ -76,7 +76,7 @@
     """Output lengths by rule and customer, in bounded memory.
 
     >>> lengths = OutputLengths()
-    >>> lengths.apply_report(ids.RuleName('r'), ids.CustomerName('c'), 50)
+    >>> lengths.learn(ids.RuleName('r'), ids.CustomerName('c'), 50)
     >>> lengths.expect(ids.RuleName('r'), ids.CustomerName('c'), 0).mean
     50.0
     """
--- a/libs/scheduling/geraniumweir/scheduling/ontime/repeats.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/repeats.py
@@ -39,7 +39,7 @@
         """Give the seconds since a caller first asked, 0 for a newcomer.
 
         >>> some = Repeats()
-        >>> some.record_refusal(ids.Fingerprint(7), 1)
+        >>> some.refused(ids.Fingerprint(7), 1)
         >>> some.waited(ids.Fingerprint(7), 3), some.waited(
         ...     ids.Fingerprint(8), 3
         ... )
