--- a/libs/scheduling/geraniumweir/scheduling/rendezvous.py
+++ b/libs/scheduling/geraniumweir/scheduling/rendezvous.py
@@ -42,14 +42,11 @@
     )
 
 
-def stable_fraction(host_id: ids.HostId, server_id: ids.ServerId) -> float:
+def draw(host_id: ids.HostId, server_id: ids.ServerId) -> float:
     """Draw a number from 0 to 1 for a host and a server, always the same.
 
-    >>> one = stable_fraction('entry-1', 's1')
-    >>> one == stable_fraction('entry-1', 's1')
+    >>> draw('entry-1', 's1') == draw('entry-1', 's1') != draw('entry-2', 's1')
     True
-    >>> one == stable_fraction('entry-2', 's1')
-    False
     """
     text = f'{host_id} {server_id}'.encode()
     return xxhash.xxh32_intdigest(text) / _HASH_RANGE
