--- a/libs/scheduling/geraniumweir/scheduling/granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/granting.py
@@ -359,7 +359,7 @@
     mark = waiting.slot_request.fingerprint
     if mark in leader.running_prints:
         return None
-    if leader.suspects.waits(mark, leader.now()):
+    if leader.suspects.awaits_explanation(mark, leader.now()):
         return None
     server = placement.least_harm(leader, waiting)
     if server is None or not predicting.in_time(leader, server, waiting):
--- a/libs/scheduling/geraniumweir/scheduling/suspects.py
+++ b/libs/scheduling/geraniumweir/scheduling/suspects.py
@@ -149,7 +149,9 @@
         self._cases.pop(fingerprint)
         return Verdict.clear
 
-    def waits(self, fingerprint: ids.Fingerprint, now: float) -> bool:
+    def awaits_explanation(
+        self, fingerprint: ids.Fingerprint, now: float
+    ) -> bool:
         """Tell whether a suspect waits until its last breaks are explained."""
         entry = self._cases.get(fingerprint)
         if entry is None or not entry.broken:
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_suspects.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_suspects.py
@@ -14,10 +14,10 @@
     known = suspects.Suspects(_QUARANTINE)
     known.record_incomplete(_POISON, _ONE, 0)
     assert known.verdict(_POISON, 0) is suspects.Verdict.suspect
-    assert not known.waits(_POISON, 0)
+    assert not known.awaits_explanation(_POISON, 0)
     known.record_incomplete(_POISON, _TWO, 2)
-    assert known.waits(_POISON, 3)
-    assert not known.waits(_POISON, 60)
+    assert known.awaits_explanation(_POISON, 3)
+    assert not known.awaits_explanation(_POISON, 60)
     assert known.verdict(_POISON, 60) is suspects.Verdict.clear
 
 
