--- a/libs/control/geraniumweir/control/coordination.py
+++ b/libs/control/geraniumweir/control/coordination.py
@@ -15,12 +15,12 @@
     notices,
     quotas,
     ratelimits,
+    recent_usage,
     remote,
     rendezvous,
     requests,
     retrybudget,
     settings,
-    spending,
     views,
 )
 from geraniumweir.scheduling.ontime import leader
@@ -39,7 +39,7 @@
 _EARLY_SECONDS = 1.0
 
 Index = typing.Callable[[], finding.Index | None]
-OnAsk = typing.Callable[[requests.Ask], None]
+OnAsk = typing.Callable[[requests.SlotRequest], None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
         cut off along with the coordinator before.
     :ivar budget: what all hosts together may send again.
     :ivar retries: whom the retries of that are counted for.
-    :ivar on_ask: told of each ask that comes.
+    :ivar on_slot_request: told of each ask that comes.
     :ivar guide: makes what decides about versions of a pool's servers.
     :ivar said: what is known of what servers said.
     :ivar inform: told of each new leader of a pool.
@@ -70,21 +70,21 @@
     hosts: typing.Callable[[], int]
     budget: retrybudget.Budget
     retries: retrybudget.Scope
-    on_ask: OnAsk | None = None
+    on_slot_request: OnAsk | None = None
     tolerance: quotas.Tolerance = quotas.Tolerance()
     guide: typing.Callable[[ids.PoolName], guiding.Guide] | None = None
     said: notices.Notices | None = None
     inform: typing.Callable[[leader.OnTimeLeader], None] | None = None
 
-    def rates(self) -> dict[notices.Start, float]:
+    def rates(self) -> dict[notices.ServerIncarnation, float]:
         """Give what may be granted here of the limits of servers."""
         named = self.said.limits() if self.said else {}
         share = self.share() if named else 1
         return {
-            start: ratelimits.part_of(
+            start: ratelimits.share_of_limit(
                 per_second,
                 share,
-                rendezvous.lot(self.link.host_id, start[0]),
+                rendezvous.draw(self.link.host_id, start[0]),
             )
             for start, per_second in named.items()
         }
@@ -92,7 +92,7 @@
     def pauses(
         self,
         host_id: ids.HostId,
-    ) -> typing.Mapping[notices.Start, float]:
+    ) -> typing.Mapping[notices.ServerIncarnation, float]:
         """Give the servers that want nothing from a host for a while."""
         return self.said.pauses(host_id) if self.said else {}
 
@@ -123,7 +123,9 @@
         self._clock = clock
         self._coordinates = _coordinates(parts)
         self._leads = parts.retries.leads()
-        self._told: dict[ids.HostId, tuple[spending.Spent, float]] = {}
+        self._told: dict[
+            ids.HostId, tuple[recent_usage.RecentUsage, float]
+        ] = {}
         parts.view.changes.subscribe(lambda _: self._look())
         parts.link.handle(ttypes.Spent, self._on_spent)
 
@@ -140,16 +142,16 @@
         if begins:
             self.quotas.begin(now)
             for sender, told, at in self._told_lately(now):
-                self.quotas.learn(sender, told, at)
+                self.quotas.apply_report(sender, told, at)
         if begins or (self._leads and not led):
             self.retries.begin(now)
             for sender, told, at in self._told_lately(now):
-                self.retries.learn(sender, told.retries, at)
+                self.retries.apply_report(sender, told.retries, at)
 
     def _told_lately(
         self,
         now: float,
-    ) -> typing.Iterator[tuple[ids.HostId, spending.Spent, float]]:
+    ) -> typing.Iterator[tuple[ids.HostId, recent_usage.RecentUsage, float]]:
         for sender, (told, at) in self._told.items():
             if now - at <= _EARLY_SECONDS:
                 yield sender, told, at
@@ -167,8 +169,8 @@
             if now - found[1] <= _EARLY_SECONDS
         }
         self._told[sender] = (told, now)
-        self.quotas.learn(sender, told, now)
-        self.retries.learn(sender, told.retries, now)
+        self.quotas.apply_report(sender, told, now)
+        self.retries.apply_report(sender, told.retries, now)
 
 
 def _coordinates(parts: Parts) -> bool:
@@ -192,7 +194,7 @@
             counting.quotas,
             counting.retries,
             clock.now,
-            parts.on_ask,
+            parts.on_slot_request,
         ),
     )
 
@@ -240,7 +242,7 @@
     cfg = settings.LeaderSettings(
         pool,
         f'{parts.link.host_id}/{pool}',
-        settle_seconds=_SETTLE_SECONDS,
+        takeover_seconds=_SETTLE_SECONDS,
     )
     made = leader.OnTimeLeader(
         cfg,
--- a/libs/control/geraniumweir/control/roster.py
+++ b/libs/control/geraniumweir/control/roster.py
@@ -69,7 +69,7 @@
             tuple[enrolments.Enrolment, int, servers.Announcement],
         ] = {}
 
-    def is_leaving(self, start: notices.Start) -> bool:
+    def is_leaving(self, start: notices.ServerIncarnation) -> bool:
         """Tell whether a start of a server is known to leave or to be gone."""
         if self._said is not None and self._said.is_leaving(start):
             return True
@@ -140,7 +140,7 @@
     def _part(self, found: enrolments.Enrolment, share: float) -> _Part:
         slots = found.slots * share
         whole = math.floor(slots)
-        draw = rendezvous.lot(self._host_id, found.server_id)
+        draw = rendezvous.draw(self._host_id, found.server_id)
         return _Part(whole, draw, draw < slots - whole)
 
     def _announcement(
--- a/libs/control/geraniumweir/control/tests/bed.py
+++ b/libs/control/geraniumweir/control/tests/bed.py
@@ -25,7 +25,7 @@
 )
 from geraniumweir.rollout import orders
 from geraniumweir.routing import tables
-from geraniumweir.scheduling import notices, spending
+from geraniumweir.scheduling import notices, recent_usage
 from geraniumweir.store import folder, guard, memory_disk
 from geraniumweir.wire import memory
 
@@ -116,11 +116,11 @@
             link,
             ids.FailureDomain(domain),
             self.watcher.hosts,
-            lambda _: spending.Spent(0, {}),
+            lambda _: recent_usage.RecentUsage(0, {}),
             self.said,
         )
         self.watcher.leaves.subscribe(
-            lambda start: self.said.hear(
+            lambda start: self.said.apply(
                 notices.leaving(start, self.host_id, clock.now()),
             ),
         )
@@ -130,10 +130,12 @@
             said=self.said,
         )
 
-    def hear(self, start: notices.Start, content: notices.Content) -> None:
+    def hear(
+        self, start: notices.ServerIncarnation, content: notices.Content
+    ) -> None:
         """Take an answer to a request that was sent a moment ago."""
         now = asyncio.get_running_loop().time()
-        self.said.hear(
+        self.said.apply(
             notices.Notice(*start, content, self.host_id, now - 0.01, now),
         )
 
--- a/libs/control/geraniumweir/control/tests/test_limits.py
+++ b/libs/control/geraniumweir/control/tests/test_limits.py
@@ -5,7 +5,7 @@
 import pytest
 from geraniumweir.common import ids, timers, virtual
 from geraniumweir.control import coordinating, hosts, telling
-from geraniumweir.scheduling import notices, spending
+from geraniumweir.scheduling import notices, recent_usage
 from geraniumweir.wire import memory
 from geraniumweir.wire.gen.control import ttypes
 
@@ -27,8 +27,8 @@
         self._listener = telling.Listener(
             link, self.known, timers.TimerService()
         )
-        self.before_asks: dict[notices.Start, float] = {}
-        self.paused_before_asks: dict[notices.Start, float] = {}
+        self.before_asks: dict[notices.ServerIncarnation, float] = {}
+        self.paused_before_asks: dict[notices.ServerIncarnation, float] = {}
         link.handle(ttypes.Ping, self._on_ping)
         link.handle(ttypes.Spent, self._on_spent)
 
@@ -67,7 +67,7 @@
             link,
             _DOMAIN,
             known,
-            lambda _: spending.Spent(0, {}),
+            lambda _: recent_usage.RecentUsage(0, {}),
             self.known,
         )
         self.task = asyncio.create_task(self.seen.run())
@@ -79,7 +79,7 @@
     def hear_all(self, content: notices.Content) -> None:
         """Take an answer to a request that was sent a moment ago."""
         now = asyncio.get_running_loop().time()
-        self.known.hear(
+        self.known.apply(
             notices.Notice(*_START, content, self.host_id, now - 0.01, now),
         )
 
--- a/libs/fakes/geraniumweir/fakes/bench/leader_link.py
+++ b/libs/fakes/geraniumweir/fakes/bench/leader_link.py
@@ -47,7 +47,7 @@
 
     async def ask(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
         """Ask until some leader answers."""
         answer = None
@@ -77,14 +77,16 @@
         self._leader.adopt(self._open_grants())
         self._present.set()
         # The hosts' repeated asks arrive before the last hand-over is done.
-        self._loop.call_later(_SETTLE_SECONDS / 2, self._leader.settled)
+        self._loop.call_later(
+            _SETTLE_SECONDS / 2, self._leader.takeover_complete
+        )
 
     async def _ask_one(
         self,
         owner: leader.PoolLeader,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial | None:
-        asking = asyncio.create_task(owner.ask(ask))
+        asking = asyncio.create_task(owner.request_slot(ask))
         losing = asyncio.create_task(self._lost.wait())
         try:
             await asyncio.wait(
--- a/libs/gateway/geraniumweir/gateway/forwarding.py
+++ b/libs/gateway/geraniumweir/gateway/forwarding.py
@@ -70,7 +70,7 @@
     body: bytes
     route: tables.Route
     customer: tables.Customer | None
-    ask: requests.Ask
+    ask: requests.SlotRequest
     deadline: float
     event_tokens: int
 
@@ -167,7 +167,7 @@
         while True:
             ask = self._next_ask()
             self._course.asked = True
-            answer = await self._means.scheduler.ask(ask)
+            answer = await self._means.scheduler.request_slot(ask)
             cause = None
             if isinstance(answer, requests.Grant):
                 cause = self._means.check.stops(answer)
@@ -191,7 +191,7 @@
             requests.Release(grant.request_id, given_up),
         )
 
-    def _next_ask(self) -> requests.Ask:
+    def _next_ask(self) -> requests.SlotRequest:
         """Give the ask; what was counted once takes no quota again."""
         ask = self._admitted.ask
         cost = 0 if self._course.runs else ask.quota_cost
@@ -337,7 +337,7 @@
                     said=content.said,
                 )
                 continue
-            self._means.said.hear(
+            self._means.said.apply(
                 notices.Notice(
                     grant.server_id,
                     grant.incarnation,
--- a/libs/gateway/geraniumweir/gateway/host.py
+++ b/libs/gateway/geraniumweir/gateway/host.py
@@ -34,9 +34,9 @@
     channel,
     notices,
     quotas,
+    recent_usage,
     retrybudget,
     retrycounts,
-    spending,
 )
 from geraniumweir.wire import tcp
 
@@ -136,7 +136,7 @@
             self._clock,
         )
         self.watcher.leaves.subscribe(
-            lambda start: self._said.hear(
+            lambda start: self._said.apply(
                 notices.leaving(start, cfg.host_id, self._clock.now()),
             ),
         )
@@ -148,12 +148,12 @@
             self._clock,
             self._coordinator.awaits_election,
         )
-        self._scheduler = spending.Spending(
+        self._scheduler = recent_usage.UsageRecorder(
             self._broker,
             self._clock,
             cfg.quota_seconds,
             starting.AT,
-            retrycounts.Counting(
+            retrycounts.RetryCounter(
                 cfg.budget.window,
                 starting.AT,
                 self._coordinator.coordinator,
@@ -232,8 +232,8 @@
                 counted[(found.pool,)] += 1
         return dict(counted)
 
-    def _spent(self, host_id: ids.HostId) -> spending.Spent:
-        return self._scheduler.spent(host_id)
+    def _spent(self, host_id: ids.HostId) -> recent_usage.RecentUsage:
+        return self._scheduler.usage_for(host_id)
 
     def _guide(self, pool: ids.PoolName) -> guiding.Guide:
         """Follow a pool's rollout; only its coordinator tries new servers."""
--- a/libs/gateway/geraniumweir/gateway/tests/bed.py
+++ b/libs/gateway/geraniumweir/gateway/tests/bed.py
@@ -130,9 +130,9 @@
         self._servers = servers
         self.turn = 0
 
-    async def ask(
+    async def request_slot(
         self,
-        ask: requests.Ask,
+        ask: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
         self.asked.append(ask.sending)
         if ask.sending is requests.Sending.retry and not self.retries:
--- a/libs/scheduling/geraniumweir/scheduling/telling.py
+++ b/libs/scheduling/geraniumweir/scheduling/answer_delivery.py
@@ -11,7 +11,7 @@
 _PAUSE = 0.1
 
 
-async def tell(
+async def deliver(
     link: channel.Channel,
     found: led.LedPool,
     entry: led.Entry,
@@ -19,21 +19,23 @@
     """Tell until the owner has it; take back a grant that it can't use."""
     while found.has(entry):
         try:
-            reply = await link.call(entry.ask.owner, message(entry), _TIMEOUT)
+            reply = await link.call(
+                entry.slot_request.owner, message(entry), _TIMEOUT
+            )
         except errors.PeerError:
             await asyncio.sleep(_PAUSE)
             continue
         if not reply.taken and found.has(entry):
-            found.withdraw(entry.ask.request_id, entry.attempt)
+            found.withdraw(entry.slot_request.request_id, entry.attempt)
         break
-    entry.telling = False
-    found.done_with(entry)
+    entry.notifying = False
+    found.discard_denied(entry)
 
 
 def message(entry: led.Entry) -> ttypes.Answer:
     """Give the message of an answer."""
     return ttypes.Answer(
-        entry.ask.request_id,
+        entry.slot_request.request_id,
         entry.attempt,
         **packed(entry.answer),
     )
--- a/libs/scheduling/geraniumweir/scheduling/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/leader.py
@@ -56,37 +56,37 @@
             now,
             live,
             on_preempt,
-            settled=cfg.settle_seconds <= 0,
-            settle_by=now() + cfg.settle_seconds,
+            takeover_complete=cfg.takeover_seconds <= 0,
+            settle_by=now() + cfg.takeover_seconds,
             served_at=now(),
             dice=random.Random(cfg.seed),
             suspects=suspects.Suspects(cfg.quarantine_seconds, cfg.origin),
         )
 
-    async def ask(
+    async def request_slot(
         self,
-        ask: requests.Ask,
+        slot_request: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
         """Wait for a backend server.
 
         A repeated ask of a waiting id joins it; of a granted id it gets the
         same grant again.
 
-        :param ask: what waits; its deadline is on the leader's clock.
+        :param slot_request: what waits; its deadline is on the leader's clock.
         :returns: a grant, or a denial once there can be none in time.
         """
         ticking.arm(self._state)
         ticking.look_first(self._state)
-        running = self._state.running.get(ask.request_id)
+        running = self._state.running.get(slot_request.request_id)
         if running is not None:
             return running.grant
-        waiting = self._state.waiting.get(ask.request_id)
+        waiting = self._state.waiting.get(slot_request.request_id)
         if waiting is None:
-            admitted = admitting.admit(self._state, ask)
+            admitted = admitting.admit(self._state, slot_request)
             if isinstance(admitted, requests.Denial):
                 return admitted
             waiting = admitted
-        return await joining.answer(
+        return await joining.wait_for_answer(
             self,
             waiting,
             self._state.running,
@@ -163,9 +163,9 @@
         for taken in grants:
             adoption.adopt(self._state, taken)
 
-    def settled(self) -> None:
+    def takeover_complete(self) -> None:
         """Start granting: all owners have handed over their grants."""
-        self._state.settled = True
+        self._state.takeover_complete = True
         ticking.look_first(self._state)
         granting.fill_open(self._state)
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
@@ -164,7 +164,7 @@
 ) -> bool:
     """Tell whether the path to a server lately held answers up."""
     trouble = leader.path_quality.trouble(
-        running.ask.failure_domain,
+        running.slot_request.failure_domain,
         server.announcement.failure_domain,
         leader.now(),
     )
@@ -185,7 +185,7 @@
     )
 
 
-def _start(announcement: servers.Announcement) -> notices.Start:
+def _start(announcement: servers.Announcement) -> notices.ServerIncarnation:
     return announcement.server_id, announcement.incarnation
 
 
@@ -199,7 +199,7 @@
     _blame(
         leader,
         server,
-        [one.ask.fingerprint for one in server.running.values()],
+        [one.slot_request.fingerprint for one in server.running.values()],
     )
 
 
@@ -223,13 +223,15 @@
     marks = [*lost, *leader.suspects.unexplained(broken)]
     if not marks:
         return
-    for condemned in leader.suspects.crashed(marks, leader.now()):
+    for condemned in leader.suspects.record_crash(marks, leader.now()):
         eventlog.emit(
-            logevents.CONDEMNED,
+            logevents.CONTENT_QUARANTINED,
             content=f'{condemned:016x}',
             server=server.server_id,
             pool=leader.pool,
-            seconds=round(leader.suspects.remaining(condemned, leader.now())),
+            seconds=round(
+                leader.suspects.remaining_seconds(condemned, leader.now())
+            ),
         )
 
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/state.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/state.py
@@ -38,7 +38,9 @@
 _LATEST_RETURN = 0.5
 
 
-Pauses = typing.Callable[[ids.HostId], typing.Mapping[notices.Start, float]]
+Pauses = typing.Callable[
+    [ids.HostId], typing.Mapping[notices.ServerIncarnation, float]
+]
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -72,7 +74,7 @@
     suspects: suspects.Suspects
     dice: random.Random
     guide: guiding.Guide
-    rates: typing.Callable[[], typing.Mapping[notices.Start, float]]
+    rates: typing.Callable[[], typing.Mapping[notices.ServerIncarnation, float]]
     pauses: Pauses
     settle_by: float
     served_at: float
@@ -87,7 +89,9 @@
     servers: dict[ids.ServerId, records.Server] = dataclasses.field(
         default_factory=dict,
     )
-    gone: dict[notices.Start, float] = dataclasses.field(default_factory=dict)
+    gone: dict[notices.ServerIncarnation, float] = dataclasses.field(
+        default_factory=dict
+    )
     learnt: speeds.Speeds = dataclasses.field(default_factory=speeds.Speeds)
     lengths: dict[ids.RuleName, float] = dataclasses.field(
         default_factory=dict,
@@ -131,7 +135,7 @@
 
 def denial(
     leader: LeaderState,
-    ask: requests.Ask,
+    slot_request: requests.SlotRequest,
     reason: requests.DenialReason,
 ) -> requests.Denial:
     """Make a denial, with the time in which a repeat may find a slot.
@@ -140,9 +144,9 @@
     """
     seconds = _LATER if pace(leader).load > _FULL else _SOON
     seconds *= leader.dice.uniform(1, 1 + _SPREAD)
-    left = max(ask.deadline - leader.now(), 0)
+    left = max(slot_request.deadline - leader.now(), 0)
     seconds = min(seconds, left * _LATEST_RETURN)
-    return requests.Denial(ask.request_id, reason, int(seconds * _MS))
+    return requests.Denial(slot_request.request_id, reason, int(seconds * _MS))
 
 
 def refuse(
@@ -155,14 +159,14 @@
 
     :param seconds: after which a repeat may find a slot, where that is known.
     """
-    leader.waiting.pop(waiting.ask.request_id, None)
+    leader.waiting.pop(waiting.slot_request.request_id, None)
     if reason is not requests.DenialReason.withdrawn:
         first = waiting.arrived - waiting.waited
-        leader.repeated.refused(waiting.ask.fingerprint, first)
+        leader.repeated.refused(waiting.slot_request.fingerprint, first)
     if seconds is None:
-        answer = denial(leader, waiting.ask, reason)
+        answer = denial(leader, waiting.slot_request, reason)
     else:
-        request_id = waiting.ask.request_id
+        request_id = waiting.slot_request.request_id
         answer = requests.Denial(request_id, reason, int(seconds * _MS))
     waiting.fut.set_result(answer)
 
@@ -173,6 +177,6 @@
     running: records.Running,
 ) -> None:
     """Count a grant in use; its server may not be known yet."""
-    leader.running[running.ask.request_id] = running
+    leader.running[running.slot_request.request_id] = running
     if server is not None:
         server.begin(running, leader.now())
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/play.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/play.py
@@ -27,9 +27,11 @@
     )
 
 
-def ask(name: str, now: float, **changes: typing.Any) -> requests.Ask:
+def slot_request(
+    name: str, now: float, **changes: typing.Any
+) -> requests.SlotRequest:
     """Make an ask whose first token is due within 0.4 s."""
-    made = requests.Ask(
+    made = requests.SlotRequest(
         ids.RequestId(name),
         ids.HostId('entry'),
         POOL,
@@ -147,7 +149,7 @@
     result.asked[second] = result.asked.get(second, 0) + 1
     for attempt in range(2):
         now = loop.time()
-        made = ask(f'{name}.{attempt}', now)
+        made = slot_request(f'{name}.{attempt}', now)
         content = ids.Fingerprint(hash(name))
         made = dataclasses.replace(
             made,
@@ -179,11 +181,11 @@
 
 async def _patient(
     pool: leader.OnTimeLeader,
-    made: requests.Ask,
+    made: requests.SlotRequest,
 ) -> requests.Grant | requests.Denial | None:
     try:
         async with asyncio.timeout_at(made.patience):
-            return await pool.ask(made)
+            return await pool.request_slot(made)
     except TimeoutError:
         return None
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_pauses.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_pauses.py
@@ -26,8 +26,10 @@
 
     servers: tuple[str, ...]
     shedding: typing.Callable[[str, ids.HostId], bool] = lambda *_: False
-    pauses: dict[ids.HostId, dict[notices.Start, float]] = dataclasses.field(
-        default_factory=dict,
+    pauses: dict[ids.HostId, dict[notices.ServerIncarnation, float]] = (
+        dataclasses.field(
+            default_factory=dict,
+        )
     )
     got: dict[str, list[tuple[ids.HostId, float]]] = dataclasses.field(
         default_factory=dict,
@@ -75,8 +77,10 @@
         """Ask until a server takes the request, or the coordinator denies."""
         started = asyncio.get_running_loop().time()
         while True:
-            ask = play.ask(name, started, owner=host, **changes)
-            answer = await led.ask(ask)
+            slot_request = play.slot_request(
+                name, started, owner=host, **changes
+            )
+            answer = await led.request_slot(slot_request)
             if isinstance(answer, requests.Denial):
                 self.denied.append(answer)
                 return answer
@@ -103,7 +107,9 @@
         )
         return not away
 
-    def _paused(self, host: ids.HostId) -> dict[notices.Start, float]:
+    def _paused(
+        self, host: ids.HostId
+    ) -> dict[notices.ServerIncarnation, float]:
         now = asyncio.get_running_loop().time()
         asked = self.pauses.get(host, {})
         return {start: until for start, until in asked.items() if now < until}
@@ -190,8 +196,8 @@
         now = asyncio.get_running_loop().time()
         waiting = [
             asyncio.create_task(
-                led.ask(
-                    play.ask(
+                led.request_slot(
+                    play.slot_request(
                         f'w{number}',
                         now,
                         owner=_HOSTS[0],
--- a/libs/scheduling/geraniumweir/scheduling/spending.py
+++ b/libs/scheduling/geraniumweir/scheduling/recent_usage.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Spent:
+class RecentUsage:
     """What an entry host was granted.
 
     :ivar known_seconds: it knows all within so many seconds, nothing before.
@@ -36,7 +36,7 @@
     retries: retrycounts.Counts = retrycounts.NONE
 
 
-class Spending:
+class UsageRecorder:
     """Asks a scheduler and counts what is granted; see its protocol."""
 
     def __init__(
@@ -45,7 +45,7 @@
         clock: timers.TimerService,
         seconds: float,
         started: float,
-        retries: retrycounts.Counting,
+        retries: retrycounts.RetryCounter,
     ) -> None:
         """Know of nothing before the start.
 
@@ -60,14 +60,16 @@
         self._started = started
         self._retries = retries
         self._windows = windows.by_customer(seconds)
-        self._in_use: dict[ids.RequestId, tuple[requests.Ask, float]] = {}
+        self._in_use: dict[
+            ids.RequestId, tuple[requests.SlotRequest, float]
+        ] = {}
 
-    def spent(self, host_id: ids.HostId) -> Spent:
+    def usage_for(self, host_id: ids.HostId) -> RecentUsage:
         """Tell a host what was granted within the window that ends now."""
         now = self._clock.now()
         newest = windows.bin_of(now)
         self._forget_old(now)
-        return Spent(
+        return RecentUsage(
             min(now - self._started, self._seconds),
             {
                 customer: {
@@ -77,17 +79,19 @@
                 }
                 for customer, window in self._windows.items()
             },
-            self._retries.told_to(host_id, now),
+            self._retries.counts_for(host_id, now),
         )
 
-    async def ask(self, ask: requests.Ask) -> _Answer:
+    async def request_slot(self, slot_request: requests.SlotRequest) -> _Answer:
         """Wait for a grant."""
-        answer = await self._scheduler.ask(ask)
+        answer = await self._scheduler.request_slot(slot_request)
         now = self._clock.now()
-        self._retries.note(ask, answer, now)
-        if isinstance(answer, requests.Grant) and ask.quota_cost:
-            self._windows[ask.customer].add(ask.quota_cost, now)
-            self._in_use[ask.request_id] = (ask, now)
+        self._retries.note(slot_request, answer, now)
+        if isinstance(answer, requests.Grant) and slot_request.quota_cost:
+            self._windows[slot_request.customer].add(
+                slot_request.quota_cost, now
+            )
+            self._in_use[slot_request.request_id] = (slot_request, now)
         return answer
 
     def withdraw(self, request_id: ids.RequestId) -> None:
@@ -103,8 +107,10 @@
         self._retries.release(release)
         found = self._in_use.pop(release.request_id, None)
         if found is not None and release.outcome in NOT_SERVED:
-            ask, at = found
-            self._windows[ask.customer].give_back(ask.quota_cost, at)
+            slot_request, at = found
+            self._windows[slot_request.customer].refund(
+                slot_request.quota_cost, at
+            )
         self._scheduler.release(release)
 
     def _forget_old(self, now: float) -> None:
--- a/libs/scheduling/geraniumweir/scheduling/takeover.py
+++ b/libs/scheduling/geraniumweir/scheduling/takeover.py
@@ -8,10 +8,10 @@
 from geraniumweir.wire import errors
 from geraniumweir.wire.gen.scheduling import ttypes
 
-SETTLE_WINDOW = 1.0
+TAKEOVER_WINDOW_SECONDS = 1.0
 
 
-async def settle(
+async def run(
     link: channel.Channel,
     found: led.LedPool,
     hosts: typing.Iterable[ids.HostId],
@@ -27,9 +27,9 @@
     told = await asyncio.gather(
         *(_pull(link, found, host, clock) for host in asked),
     )
-    found.leader.settled()
+    found.leader.takeover_complete()
     eventlog.emit(
-        logevents.SETTLED,
+        logevents.TAKEOVER_COMPLETE,
         pool=found.pool,
         grants=len(found.entries),
         silent=told.count(False),
@@ -44,8 +44,10 @@
     for grant in handover.open:
         in_use = translation.unpack_open(grant, now)
         found.adopt(in_use, grant.ask.attempt)
-    for ask in handover.waiting:
-        found.join(translation.unpack_ask(ask, now), ask.attempt)
+    for slot_request in handover.waiting:
+        found.join(
+            translation.unpack_ask(slot_request, now), slot_request.attempt
+        )
 
 
 async def _pull(
@@ -56,7 +58,7 @@
 ) -> bool:
     message = ttypes.HandoverRequest(found.pool)
     try:
-        handover = await link.call(host, message, SETTLE_WINDOW)
+        handover = await link.call(host, message, TAKEOVER_WINDOW_SECONDS)
     except errors.PeerError:
         return False
     adopt(found, handover, clock.now())
--- a/libs/scheduling/geraniumweir/scheduling/tests/scenes.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/scenes.py
@@ -57,7 +57,9 @@
         )
         self.numbers = itertools.count(1)
 
-    def make(self, wait: float = 60, **fields: typing.Any) -> requests.Ask:
+    def make(
+        self, wait: float = 60, **fields: typing.Any
+    ) -> requests.SlotRequest:
         """Make up an ask that is due in some seconds."""
         number = next(self.numbers)
         known: dict[str, typing.Any] = {
@@ -70,7 +72,7 @@
             'streams': False,
             'fingerprint': ids.Fingerprint(number),
         }
-        return requests.Ask(
+        return requests.SlotRequest(
             owner=HOST,
             pool=POOL,
             deadline=self.loop.time() + wait,
@@ -83,7 +85,9 @@
         **fields: typing.Any,
     ) -> asyncio.Task[Answer]:
         """Ask, and let the leader look at it."""
-        task = asyncio.create_task(self.leader.ask(self.make(wait, **fields)))
+        task = asyncio.create_task(
+            self.leader.request_slot(self.make(wait, **fields))
+        )
         await asyncio.sleep(0)
         return task
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_faults.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_faults.py
@@ -93,11 +93,11 @@
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'), scenes.engine('two'))
-        ask = scene.make()
-        first = await scene.leader.ask(ask)
+        slot_request = scene.make()
+        first = await scene.leader.request_slot(slot_request)
         assert isinstance(first, requests.Grant)
         scene.end(first, requests.Outcome.not_sent)
-        second = await scene.leader.ask(ask)
+        second = await scene.leader.request_slot(slot_request)
         assert isinstance(second, requests.Grant)
         assert second.server_id != first.server_id
 
@@ -221,7 +221,7 @@
         one = scenes.Scene(scenes.engine('one'))
         two = scenes.Scene(scenes.engine('two'))
         for _ in range(2):
-            one.leader.suspects.crashed([_POISON], one.loop.time())
+            one.leader.suspects.record_crash([_POISON], one.loop.time())
         cases = one.leader.suspects.export(one.loop.time())
         two.leader.suspects.merge(cases, two.loop.time())
         task = await two.start(fingerprint=_POISON)
@@ -235,8 +235,8 @@
     """One each is enough, whichever hears of the other's, and how often."""
     one = suspects.Suspects(300, 'one')
     two = suspects.Suspects(300, 'two')
-    one.crashed([_POISON], 0)
-    two.crashed([_POISON], 0)
+    one.record_crash([_POISON], 0)
+    two.record_crash([_POISON], 0)
     for _ in range(3):
         assert one.verdict(_POISON, 1) is suspects.Verdict.suspect
         one.merge(one.export(1), 1)
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_led.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_led.py
@@ -5,12 +5,12 @@
 
 from geraniumweir.common import ids, timers, virtual
 from geraniumweir.scheduling import (
-    asking,
+    answer_delivery,
     channel,
     led,
     owned,
+    requesting,
     requests,
-    telling,
 )
 from geraniumweir.wire import memory
 from geraniumweir.wire.gen.scheduling import ttypes
@@ -29,8 +29,8 @@
 _PACKED = ttypes.Grant('server', 1, '127.0.0.1:1')
 
 
-def _ask() -> requests.Ask:
-    return requests.Ask(
+def _ask() -> requests.SlotRequest:
+    return requests.SlotRequest(
         _REQUEST,
         _OWNER,
         _POOL,
@@ -48,7 +48,7 @@
         self.asked: list[asyncio.Future[led.Answer]] = []
         self.log: list[typing.Any] = []
 
-    async def ask(self, _ask: requests.Ask) -> led.Answer:
+    async def request_slot(self, _ask: requests.SlotRequest) -> led.Answer:
         self.asked.append(asyncio.get_running_loop().create_future())
         return await self.asked[-1]
 
@@ -176,10 +176,12 @@
         owner = network.join(_OWNER, ids.Address('127.0.0.1', 1))
         leader = network.join(_LEADER, ids.Address('127.0.0.1', 2))
         link = channel.Channel(owner)
-        asking.Asker(link, owned.Owned(), timers.TimerService())
+        requesting.SlotRequester(link, owned.Owned(), timers.TimerService())
         fixture = _Fixture()
         entry = await fixture.granted(1)
-        await telling.tell(channel.Channel(leader), fixture.found, entry)
+        await answer_delivery.deliver(
+            channel.Channel(leader), fixture.found, entry
+        )
         assert fixture.decisions.log == [requests.Outcome.given_up]
         assert not fixture.found.entries
 
@@ -195,7 +197,7 @@
         link = channel.Channel(network.join(_OWNER, ids.Address('::1', 1)))
         leader = network.join(_LEADER, ids.Address('::1', 2))
         former = network.join(_FORMER, ids.Address('::1', 3))
-        asker = asking.Asker(link, mine, timers.TimerService())
+        asker = requesting.SlotRequester(link, mine, timers.TimerService())
 
         async def queue(_sender: ids.HostId, _ask: typing.Any) -> typing.Any:
             return ttypes.AskReply()
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_over_tcp.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_over_tcp.py
@@ -53,8 +53,8 @@
     async def serve(self, name: str, go_on: asyncio.Event) -> requests.Grant:
         """Ask, hold the grant until told, release."""
         deadline = self.clock.now() + 30
-        request = worlds.ask(self.peers.host_id, name, deadline)
-        grant = await self.broker.ask(request)
+        request = worlds.slot_request(self.peers.host_id, name, deadline)
+        grant = await self.broker.request_slot(request)
         assert isinstance(grant, requests.Grant)
         await go_on.wait()
         done = requests.Outcome.done
@@ -67,7 +67,7 @@
         on_preempt: remote.OnPreempt,
     ) -> leader.PoolLeader:
         return leader.PoolLeader(
-            settings.LeaderSettings(pool, settle_seconds=1),
+            settings.LeaderSettings(pool, takeover_seconds=1),
             self.clock.now,
             lambda: [worlds.server(_DOMAIN, 0)],
             on_preempt,
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_spending.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_recent_usage.py
@@ -4,7 +4,7 @@
 
 import pytest
 from geraniumweir.common import ids, timers, virtual
-from geraniumweir.scheduling import quotas, requests, retrycounts, spending
+from geraniumweir.scheduling import quotas, recent_usage, requests, retrycounts
 
 _NAME = ids.CustomerName('customer')
 _NEXT = ids.HostId('next')
@@ -20,16 +20,16 @@
     def __init__(self) -> None:
         self.grants = True
 
-    async def ask(
+    async def request_slot(
         self,
-        ask: requests.Ask,
+        slot_request: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
         """Answer at once."""
         if not self.grants:
             reason = requests.DenialReason.shed
-            return requests.Denial(ask.request_id, reason)
+            return requests.Denial(slot_request.request_id, reason)
         return requests.Grant(
-            ask.request_id,
+            slot_request.request_id,
             ids.ServerId('server'),
             ids.Incarnation(1),
             ids.Address('10.0.0.1', 1),
@@ -45,22 +45,22 @@
     def __init__(self) -> None:
         self.scheduler = _Scheduler()
         clock = timers.TimerService()
-        self.spending = spending.Spending(
+        self.recent_usage = recent_usage.UsageRecorder(
             self.scheduler,
             clock,
             _SECONDS,
             clock.now(),
-            retrycounts.Counting(
+            retrycounts.RetryCounter(
                 _SECONDS,
                 clock.now(),
                 lambda: ids.HostId('coordinator'),
             ),
         )
 
-    async def ask(self, name: str, cost: float) -> None:
+    async def request_slot(self, name: str, cost: float) -> None:
         """Ask for a request of the customer."""
-        await self.spending.ask(
-            requests.Ask(
+        await self.recent_usage.request_slot(
+            requests.SlotRequest(
                 request_id=ids.RequestId(name),
                 owner=ids.HostId('here'),
                 pool=ids.PoolName('pool'),
@@ -75,11 +75,11 @@
     def release(self, name: str, outcome: requests.Outcome) -> None:
         """End a request."""
         request_id = ids.RequestId(name)
-        self.spending.release(requests.Release(request_id, outcome))
+        self.recent_usage.release(requests.Release(request_id, outcome))
 
     def total(self) -> float:
         """Give all that is told of the customer."""
-        told = self.spending.spent(_NEXT).customers
+        told = self.recent_usage.usage_for(_NEXT).customers
         return sum(told.get(_NAME, {}).values())
 
 
@@ -88,21 +88,21 @@
 
     async def work() -> None:
         bed = _Bed()
-        await bed.ask('first', 30)
+        await bed.request_slot('first', 30)
         await asyncio.sleep(5)
-        await bed.ask('second', 7)
+        await bed.request_slot('second', 7)
         assert bed.total() == 37
-        assert bed.spending.spent(_NEXT).known_seconds == 5
+        assert bed.recent_usage.usage_for(_NEXT).known_seconds == 5
         await asyncio.sleep(4)
         assert bed.total() == 7
         await asyncio.sleep(_SECONDS)
-        assert not bed.spending.spent(_NEXT).customers
-        assert bed.spending.spent(_NEXT).known_seconds == _SECONDS
+        assert not bed.recent_usage.usage_for(_NEXT).customers
+        assert bed.recent_usage.usage_for(_NEXT).known_seconds == _SECONDS
 
     virtual.run(work())
 
 
-@pytest.mark.parametrize('outcome', sorted(spending.NOT_SERVED, key=str))
+@pytest.mark.parametrize('outcome', sorted(recent_usage.NOT_SERVED, key=str))
 def test_denials_and_what_was_not_served_are_not_told(
     outcome: requests.Outcome,
 ) -> None:
@@ -110,14 +110,14 @@
 
     async def work() -> None:
         bed = _Bed()
-        await bed.ask('first', 30)
+        await bed.request_slot('first', 30)
         bed.release('first', outcome)
         assert not bed.total()
-        await bed.ask('second', 30)
+        await bed.request_slot('second', 30)
         bed.release('second', requests.Outcome.done)
         assert bed.total() == 30
         bed.scheduler.grants = False
-        await bed.ask('third', 30)
+        await bed.request_slot('third', 30)
         assert bed.total() == 30
 
     virtual.run(work())
@@ -130,7 +130,7 @@
         beds = [_Bed(), _Bed()]
         clock = timers.TimerService()
         for number in range(200):
-            await beds[number % 2].ask(str(number), 0.55 * _RATE / 20)
+            await beds[number % 2].request_slot(str(number), 0.55 * _RATE / 20)
             await asyncio.sleep(0.05)
         after = quotas.Quotas(
             lambda _: quotas.Allowance(_RATE, _BURST),
@@ -141,8 +141,8 @@
         )
         assert after.take(_NAME, 2 * _BURST, clock.now())
         for name, bed in zip('ab', beds):
-            told = bed.spending.spent(_NEXT)
-            after.learn(ids.HostId(name), told, clock.now())
+            told = bed.recent_usage.usage_for(_NEXT)
+            after.apply_report(ids.HostId(name), told, clock.now())
         usual = 0.55 * _RATE * _SECONDS
         assert not after.take(_NAME, _WHOLE - usual - 10, clock.now())
         assert after.take(_NAME, 20, clock.now())
--- a/libs/scheduling/geraniumweir/scheduling/tests/world.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/world.py
@@ -114,7 +114,7 @@
         ) -> leader.PoolLeader:
             cfg = settings.LeaderSettings(
                 pool=pool,
-                settle_seconds=takeover.SETTLE_WINDOW,
+                takeover_seconds=takeover.TAKEOVER_WINDOW_SECONDS,
             )
             live = lambda: self._servers[domain]  # noqa: E731
             return leader.PoolLeader(cfg, self._clock.now, live, on_preempt)
@@ -179,7 +179,7 @@
         deadline: float = 30,
     ) -> asyncio.Task[typing.Any]:
         """Serve one request at a host, as the daemon would."""
-        request = ask(
+        request = slot_request(
             host.host_id,
             name,
             self._clock.now() + deadline,
@@ -209,15 +209,15 @@
     async def _serve(
         self,
         host: Host,
-        ask: requests.Ask,
+        slot_request: requests.SlotRequest,
         seconds: float,
     ) -> None:
-        answer = await host.broker.ask(ask)
-        self.answers[ask.request_id] = answer
+        answer = await host.broker.request_slot(slot_request)
+        self.answers[slot_request.request_id] = answer
         if isinstance(answer, requests.Denial):
             return
         name = answer.server_id
-        self.dispatched[ask.request_id] += 1
+        self.dispatched[slot_request.request_id] += 1
         self.running[name] += 1
         self.most[name] = max(self.most[name], self.running[name])
         try:
@@ -226,7 +226,7 @@
             self.running[name] -= 1
         host.broker.release(
             requests.Release(
-                ask.request_id,
+                slot_request.request_id,
                 requests.Outcome.done,
                 first_token=seconds / 2,
                 output_tokens=10,
@@ -267,14 +267,14 @@
     )
 
 
-def ask(
+def slot_request(
     owner: ids.HostId,
     name: str,
     deadline: float,
     tier: ids.Tier = ids.Tier.normal,
-) -> requests.Ask:
+) -> requests.SlotRequest:
     """Give an ask; its block hash needs all of its 64 bits."""
-    return requests.Ask(
+    return requests.SlotRequest(
         request_id=ids.RequestId(name),
         owner=owner,
         pool=POOL,
--- a/libs/scheduling/geraniumweir/scheduling/views.py
+++ b/libs/scheduling/geraniumweir/scheduling/views.py
@@ -48,9 +48,9 @@
 class Scheduler(typing.Protocol):
     """Grants capacity: a pool leader, or the broker that finds it."""
 
-    async def ask(
+    async def request_slot(
         self,
-        ask: requests.Ask,
+        slot_request: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
         """Wait for a backend server; a repeated id joins the first."""
 
@@ -70,7 +70,7 @@
     def adopt(self, grants: typing.Sequence[requests.OpenGrant]) -> None:
         """Take over grants in use that another leader gave."""
 
-    def settled(self) -> None:
+    def takeover_complete(self) -> None:
         """Start granting: all owners have handed over their grants."""
 
     def grant_waiting(self) -> None:
