--- a/libs/control/geraniumweir/control/coordinating.py
+++ b/libs/control/geraniumweir/control/coordinator_client.py
@@ -64,7 +64,7 @@
     )
 
 
-class Coordinator:
+class CoordinatorClient:
     """The coordinator as this host sees it; see :class:`views.HostView`."""
 
     def __init__(
@@ -124,7 +124,7 @@
         """Give the part of capacity and quotas that a host alone may use."""
         return self._share or 1 / max(self._hosts, 1)
 
-    def coordinator(self) -> ids.HostId:
+    def coordinator_id(self) -> ids.HostId:
         """Give who coordinates for this host; itself where it is alone."""
         return self._host or self._link.host_id
 
--- a/libs/control/geraniumweir/control/tests/bed.py
+++ b/libs/control/geraniumweir/control/tests/bed.py
@@ -11,7 +11,7 @@
 from geraniumweir.configuration import recordings, state
 from geraniumweir.consensus import core, recorder, settings
 from geraniumweir.control import (
-    coordinating,
+    coordinator_client,
     documents,
     enrolments,
     feed,
@@ -112,7 +112,7 @@
         self.watcher = _watcher(link, domain)
         clock = timers.TimerService()
         self.said = notices.Notices(clock)
-        self.coordinator = coordinating.Coordinator(
+        self.coordinator = coordinator_client.CoordinatorClient(
             link,
             ids.FailureDomain(domain),
             self.watcher.hosts,
--- a/libs/control/geraniumweir/control/tests/test_coordinating.py
+++ b/libs/control/geraniumweir/control/tests/test_coordinator_client.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from geraniumweir.common import ids, timers, virtual
-from geraniumweir.control import coordinating, hosts, spent
+from geraniumweir.control import coordinator_client, hosts, spent
 from geraniumweir.scheduling import notices, retrycounts, spending
 from geraniumweir.wire import memory
 from geraniumweir.wire.gen.control import ttypes
@@ -73,7 +73,7 @@
             card = hosts.ControlHost(control.host_id, address, address, _DOMAIN)
             known.learn(card, 0)
         self.said = notices.Notices(timers.TimerService())
-        self.seen = coordinating.Coordinator(
+        self.seen = coordinator_client.CoordinatorClient(
             layer,
             _DOMAIN,
             known,
--- a/libs/control/geraniumweir/control/tests/test_limits.py
+++ b/libs/control/geraniumweir/control/tests/test_limits.py
@@ -4,7 +4,7 @@
 
 import pytest
 from geraniumweir.common import ids, timers, virtual
-from geraniumweir.control import coordinating, hosts, telling
+from geraniumweir.control import coordinator_client, hosts, telling
 from geraniumweir.scheduling import notices, spending
 from geraniumweir.wire import memory
 from geraniumweir.wire.gen.control import ttypes
@@ -63,7 +63,7 @@
         for control in bed.controls:
             known.learn(control.card, 0)
         self.known = notices.Notices(timers.TimerService())
-        self.seen = coordinating.Coordinator(
+        self.seen = coordinator_client.CoordinatorClient(
             link,
             _DOMAIN,
             known,
--- a/libs/gateway/geraniumweir/gateway/host.py
+++ b/libs/gateway/geraniumweir/gateway/host.py
@@ -10,7 +10,7 @@
 from geraniumweir.backends import calls
 from geraniumweir.common import eventlog, ids, starting, timers
 from geraniumweir.control import (
-    coordinating,
+    coordinator_client,
     coordination,
     hosts,
     inforce,
@@ -103,7 +103,7 @@
             read,
         )
         self._said = notices.Notices(self._clock)
-        self._coordinator = coordinating.Coordinator(
+        self._coordinator = coordinator_client.CoordinatorClient(
             self._link,
             cfg.failure_domain,
             self.watcher.hosts,
@@ -156,7 +156,7 @@
             retrycounts.Counting(
                 cfg.budget.window,
                 starting.AT,
-                self._coordinator.coordinator,
+                self._coordinator.coordinator_id,
             ),
         )
         self._names = names
