--- a/libs/control/geraniumweir/control/host.py
+++ b/libs/control/geraniumweir/control/host.py
@@ -11,7 +11,7 @@
 from geraniumweir.common import eventlog, ids, timers
 from geraniumweir.configuration import published, recordings
 from geraniumweir.control import (
-    coordination,
+    pool_coordination,
     documents,
     enrolments,
     errors,
@@ -154,8 +154,8 @@
         self.standing.said.changes.subscribe(self._presence.hear)
         self.log.documents.subscribe(self._put)
         self.log.rollouts.subscribe(lambda _: self._servers_changed())
-        self._service = coordination.serve(
-            coordination.Parts(
+        self._service = pool_coordination.make_leader_service(
+            pool_coordination.Dependencies(
                 link=self._link,
                 view=self.standing,
                 roster=roster.Roster(self.servers, lambda: self.index),
@@ -172,14 +172,14 @@
                 ),
                 on_ask=self._note_usage,
                 guide=self.rollouts.guide,
-                said=self.standing.said,
+                server_notices=self.standing.said,
                 inform=self._presence.suspicion.inform,
             ),
             self._clock,
         )
         self._presence.suspicion.leaders = self._leaders
         for changes in (self._changes, self.standing.said.changes):
-            coordination.follow(self._service, changes)
+            pool_coordination.grant_on_changes(self._service, changes)
 
     @property
     def changes(self) -> reactivex.Observable[None]:
--- a/libs/control/geraniumweir/control/coordination.py
+++ b/libs/control/geraniumweir/control/pool_coordination.py
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Parts:
+class Dependencies:
     """What coordinating needs.
 
     :ivar share: part of quotas, and of slots, that may be granted here.
@@ -56,7 +56,7 @@
     :ivar retries: whom the retries of that are counted for.
     :ivar on_ask: told of each ask that comes.
     :ivar guide: makes what decides about versions of a pool's servers.
-    :ivar said: what is known of what servers said.
+    :ivar server_notices: what is known of what servers said.
     :ivar inform: told of each new leader of a pool.
     """
 
@@ -73,12 +73,12 @@
     on_ask: OnAsk | None = None
     tolerance: quotas.Tolerance = quotas.Tolerance()
     guide: typing.Callable[[ids.PoolName], guiding.Guide] | None = None
-    said: notices.Notices | None = None
+    server_notices: notices.Notices | None = None
     inform: typing.Callable[[leader.OnTimeLeader], None] | None = None
 
     def rates(self) -> dict[notices.Start, float]:
         """Give what may be granted here of the limits of servers."""
-        named = self.said.limits() if self.said else {}
+        named = self.server_notices.limits() if self.server_notices else {}
         share = self.share() if named else 1
         return {
             start: ratelimits.part_of(
@@ -94,7 +94,9 @@
         host_id: ids.HostId,
     ) -> typing.Mapping[notices.Start, float]:
         """Give the servers that want nothing from a host for a while."""
-        return self.said.pauses(host_id) if self.said else {}
+        return (
+            self.server_notices.pauses(host_id) if self.server_notices else {}
+        )
 
 
 class Counting:
@@ -104,7 +106,7 @@
     :ivar retries: of pools.
     """
 
-    def __init__(self, parts: Parts, clock: timers.TimerService) -> None:
+    def __init__(self, parts: Dependencies, clock: timers.TimerService) -> None:
         """Follow who coordinates."""
         self.quotas = quotas.Quotas(
             lambda customer: _allowance(parts.index(), customer),
@@ -171,13 +173,13 @@
         self.retries.learn(sender, told.retries, now)
 
 
-def _coordinates(parts: Parts) -> bool:
+def _coordinates(parts: Dependencies) -> bool:
     live = parts.view.live(AREA)
     return not live or parts.link.host_id in live
 
 
-def serve(
-    parts: Parts,
+def make_leader_service(
+    parts: Dependencies,
     clock: timers.TimerService,
 ) -> remote.LeaderService:
     """Lead pools whenever this host coordinates."""
@@ -197,7 +199,7 @@
     )
 
 
-def ask_through(
+def make_broker(
     link: channel.Channel,
     view: views.HostView,
     clock: timers.TimerService,
@@ -217,7 +219,7 @@
     )
 
 
-def follow(
+def grant_on_changes(
     service: remote.LeaderService,
     changes: reactivex.Observable[typing.Any],
 ) -> abc.DisposableBase:
@@ -233,7 +235,7 @@
 
 
 def _leader(
-    parts: Parts,
+    parts: Dependencies,
     pool: ids.PoolName,
     clock: timers.TimerService,
 ) -> leader.OnTimeLeader:
--- a/libs/control/geraniumweir/control/tests/test_coordination.py
+++ b/libs/control/geraniumweir/control/tests/test_pool_coordination.py
@@ -5,7 +5,7 @@
 import typing
 
 from geraniumweir.common import ids, timers, virtual
-from geraniumweir.control import coordination, enrolments, roster, spent
+from geraniumweir.control import pool_coordination, enrolments, roster, spent
 from geraniumweir.routing import finding, tables
 from geraniumweir.scheduling import channel, retrybudget, spending
 from geraniumweir.wire import memory
@@ -38,7 +38,9 @@
         return []
 
 
-def _parts(view: _View, layer: memory.MemoryPeers) -> coordination.Parts:
+def _parts(
+    view: _View, layer: memory.MemoryPeers
+) -> pool_coordination.Dependencies:
     index = finding.Index(
         tables.Document(
             version=ids.Version(1),
@@ -46,7 +48,7 @@
         ),
     )
     known = enrolments.Enrolments(_HERE, 3)
-    return coordination.Parts(
+    return pool_coordination.Dependencies(
         link=channel.Channel(layer),
         view=view,
         roster=roster.Roster(known, lambda: index),
@@ -81,7 +83,7 @@
             budget=retrybudget.Budget(ratio=0, window=_SECONDS, slack=20),
             retries=retrybudget.Scope(lambda: self.leads, lambda: 1),
         )
-        counting = coordination.Counting(parts, self.clock)
+        counting = pool_coordination.Counting(parts, self.clock)
         self.quotas = counting.quotas
         self.retries = counting.retries
         self._entry = network.join(_ENTRY, ids.Address('10.0.0.2', 1))
--- a/libs/control/geraniumweir/control/tests/test_waking.py
+++ b/libs/control/geraniumweir/control/tests/test_waking.py
@@ -5,7 +5,7 @@
 
 import pytest
 from geraniumweir.common import ids, timers, virtual
-from geraniumweir.control import coordination, standing
+from geraniumweir.control import pool_coordination, standing
 from geraniumweir.wire import memory
 from geraniumweir.wire.gen.control import ttypes
 
@@ -65,7 +65,7 @@
 
     def coordinator(self) -> ids.HostId:
         """Give whom the control host takes for the coordinator."""
-        return self.standing.live(coordination.AREA)[0]
+        return self.standing.live(pool_coordination.AREA)[0]
 
 
 def _run(work: typing.Callable[[_Bed], typing.Awaitable[None]]) -> None:
--- a/libs/gateway/geraniumweir/gateway/host.py
+++ b/libs/gateway/geraniumweir/gateway/host.py
@@ -11,7 +11,7 @@
 from geraniumweir.common import eventlog, ids, starting, timers
 from geraniumweir.control import (
     coordinator_client,
-    coordination,
+    pool_coordination,
     hosts,
     inforce,
     roster,
@@ -117,8 +117,8 @@
             cfg.failure_domain,
             self._said,
         )
-        self._service = coordination.serve(
-            coordination.Parts(
+        self._service = pool_coordination.make_leader_service(
+            pool_coordination.Dependencies(
                 link=self._link,
                 view=self._coordinator,
                 roster=self._roster,
@@ -131,7 +131,7 @@
                 budget=cfg.budget,
                 retries=retrybudget.ALONE,
                 guide=self._guide,
-                said=self._said,
+                server_notices=self._said,
             ),
             self._clock,
         )
@@ -141,8 +141,8 @@
             ),
         )
         for changes in (self.watcher.changes, self._said.changes):
-            coordination.follow(self._service, changes)
-        self._broker = coordination.ask_through(
+            pool_coordination.grant_on_changes(self._service, changes)
+        self._broker = pool_coordination.make_broker(
             self._link,
             self._coordinator,
             self._clock,
