--- a/libs/control/geraniumweir/control/host.py
+++ b/libs/control/geraniumweir/control/host.py
@@ -25,7 +25,7 @@
     recorders,
     remembered,
     rollouts,
-    roster,
+    pool_servers,
     standing,
 )
 from geraniumweir.rollout import budget, orders
@@ -158,7 +158,9 @@
             pool_coordination.Dependencies(
                 link=self._link,
                 view=self.standing,
-                roster=roster.Roster(self.servers, lambda: self.index),
+                pool_servers=pool_servers.PoolServers(
+                    self.servers, lambda: self.index
+                ),
                 index=lambda: self.index,
                 share=self.standing.share,
                 shares_slots=False,
--- a/libs/control/geraniumweir/control/pool_coordination.py
+++ b/libs/control/geraniumweir/control/pool_coordination.py
@@ -5,7 +5,7 @@
 
 import reactivex
 from geraniumweir.common import ids, timers
-from geraniumweir.control import roster, spent
+from geraniumweir.control import pool_servers, spent
 from geraniumweir.rollout import guiding
 from geraniumweir.routing import finding
 from geraniumweir.scheduling import (
@@ -62,7 +62,7 @@
 
     link: channel.Channel
     view: views.HostView
-    roster: roster.Roster
+    pool_servers: pool_servers.PoolServers
     index: Index
     share: quotas.Share
     shares_slots: bool
@@ -247,7 +247,7 @@
     made = leader.OnTimeLeader(
         cfg,
         clock.now,
-        lambda: parts.roster.of_pool(
+        lambda: parts.pool_servers.of_pool(
             pool,
             parts.share() if parts.shares_slots else 1,
         ),
--- a/libs/control/geraniumweir/control/roster.py
+++ b/libs/control/geraniumweir/control/pool_servers.py
@@ -41,7 +41,7 @@
         return self.whole + self.drawn
 
 
-class Roster:
+class PoolServers:
     """The servers that may get new work, by pool."""
 
     def __init__(
--- a/libs/control/geraniumweir/control/tests/bed.py
+++ b/libs/control/geraniumweir/control/tests/bed.py
@@ -19,7 +19,7 @@
     logaccess,
     presence,
     recorders,
-    roster,
+    pool_servers,
     standing,
     watching,
 )
@@ -124,7 +124,7 @@
                 notices.leaving(start, self.host_id, clock.now()),
             ),
         )
-        self.roster = roster.Roster(
+        self.pool_servers = pool_servers.PoolServers(
             self.watcher.servers,
             lambda: None,
             said=self.said,
--- a/libs/control/geraniumweir/control/tests/test_leaving.py
+++ b/libs/control/geraniumweir/control/tests/test_leaving.py
@@ -74,7 +74,7 @@
     last = float(0)
     while now() < start + seconds:
         await asyncio.sleep(_LOOK_SECONDS)
-        if not all(one.roster.is_leaving(_START) for one in entries):
+        if not all(one.pool_servers.is_leaving(_START) for one in entries):
             last = now() - start
     return last
 
@@ -132,9 +132,9 @@
         await asyncio.sleep(3)
         assert alone.coordinator.is_alone()
         alone.hear(_START, notices.Leaving())
-        assert alone.roster.is_leaving(_START)
+        assert alone.pool_servers.is_leaving(_START)
         await asyncio.sleep(3)
-        assert not any(one.roster.is_leaving(_START) for one in others)
+        assert not any(one.pool_servers.is_leaving(_START) for one in others)
         hosts.network.heal()
         assert await _longest_sent_to(others, 4) < _KNOWN_SECONDS
         hosts.stop()
@@ -154,7 +154,7 @@
         await asyncio.sleep(3)
         entries[1].hear(_START, notices.Leaving())
         await asyncio.sleep(3)
-        assert not entries[0].roster.is_leaving(_START)
+        assert not entries[0].pool_servers.is_leaving(_START)
         hosts.network.heal()
         assert await _longest_sent_to(entries, 4) < _KNOWN_SECONDS
         hosts.stop()
--- a/libs/control/geraniumweir/control/tests/test_pool_coordination.py
+++ b/libs/control/geraniumweir/control/tests/test_pool_coordination.py
@@ -5,7 +5,12 @@
 import typing
 
 from geraniumweir.common import ids, timers, virtual
-from geraniumweir.control import pool_coordination, enrolments, roster, spent
+from geraniumweir.control import (
+    pool_coordination,
+    enrolments,
+    pool_servers,
+    spent,
+)
 from geraniumweir.routing import finding, tables
 from geraniumweir.scheduling import channel, retrybudget, spending
 from geraniumweir.wire import memory
@@ -51,7 +56,7 @@
     return pool_coordination.Dependencies(
         link=channel.Channel(layer),
         view=view,
-        roster=roster.Roster(known, lambda: index),
+        pool_servers=pool_servers.PoolServers(known, lambda: index),
         index=lambda: index,
         share=lambda: 1,
         shares_slots=False,
--- a/libs/control/geraniumweir/control/tests/test_roster.py
+++ b/libs/control/geraniumweir/control/tests/test_pool_servers.py
@@ -10,7 +10,7 @@
 
 import pytest
 from geraniumweir.common import ids
-from geraniumweir.control import enrolments, roster
+from geraniumweir.control import enrolments, pool_servers
 from geraniumweir.routing import finding, tables
 
 _POOL = ids.PoolName('pool')
@@ -46,7 +46,7 @@
     table = _table(servers, slots)
     used: collections.Counter[str] = collections.Counter()
     for number in range(first, hosts):
-        found = roster.Roster(
+        found = pool_servers.PoolServers(
             table,
             _index,
             ids.HostId(f'10.0.0.{number}'),
@@ -84,5 +84,5 @@
 
 def test_coordinator_uses_all_slots() -> None:
     """It grants for all hosts."""
-    found = roster.Roster(_table(3, 9), _index).of_pool(_POOL)
+    found = pool_servers.PoolServers(_table(3, 9), _index).of_pool(_POOL)
     assert [server.slots for server in found] == [9, 9, 9]
--- a/libs/gateway/geraniumweir/gateway/host.py
+++ b/libs/gateway/geraniumweir/gateway/host.py
@@ -14,7 +14,7 @@
     pool_coordination,
     hosts,
     inforce,
-    roster,
+    pool_servers,
     watching,
 )
 from geraniumweir.gateway import (
@@ -110,7 +110,7 @@
             self._spent,
             self._said,
         )
-        self._roster = roster.Roster(
+        self._roster = pool_servers.PoolServers(
             self.watcher.servers,
             self._index,
             cfg.host_id,
@@ -121,7 +121,7 @@
             pool_coordination.Dependencies(
                 link=self._link,
                 view=self._coordinator,
-                roster=self._roster,
+                pool_servers=self._roster,
                 index=self._index,
                 share=self._coordinator.share,
                 shares_slots=True,
--- a/libs/gateway/geraniumweir/gateway/sending.py
+++ b/libs/gateway/geraniumweir/gateway/sending.py
@@ -7,7 +7,7 @@
 import enum
 
 from geraniumweir.common import ids, timers
-from geraniumweir.control import roster
+from geraniumweir.control import pool_servers
 from geraniumweir.scheduling import notices, requests
 
 
@@ -29,7 +29,7 @@
         self,
         host_id: ids.HostId,
         said: notices.Notices,
-        servers: roster.Roster,
+        servers: pool_servers.PoolServers,
         clock: timers.TimerService,
     ) -> None:
         """Go by what this host knows.
--- a/libs/gateway/geraniumweir/gateway/tests/bed.py
+++ b/libs/gateway/geraniumweir/gateway/tests/bed.py
@@ -12,7 +12,7 @@
 from geraniumweir.backends import calls
 from geraniumweir.common import errors as common_errors
 from geraniumweir.common import ids, timers
-from geraniumweir.control import enrolments, roster
+from geraniumweir.control import enrolments, pool_servers
 from geraniumweir.gateway import (
     admission,
     codec,
@@ -231,7 +231,7 @@
             sending.Check(
                 HOST,
                 said,
-                roster.Roster(
+                pool_servers.PoolServers(
                     enrolments.Enrolments(HOST, 1), lambda: None, said=said
                 ),
                 timers.TimerService(),
