--- a/libs/control/geraniumweir/control/inforce.py
+++ b/libs/control/geraniumweir/control/active_document.py
@@ -16,7 +16,7 @@
 Read = typing.Callable[[bytes], tables.Document]
 
 
-class InForce:
+class ActiveDocument:
     """Puts newer documents in force, never an older one.
 
     :ivar index: the document, or None before the first.
--- a/libs/control/geraniumweir/control/host.py
+++ b/libs/control/geraniumweir/control/host.py
@@ -18,7 +18,7 @@
     feed,
     growing,
     hosts,
-    inforce,
+    active_document,
     logaccess,
     logevents,
     presence,
@@ -92,7 +92,7 @@
         self,
         cfg: Settings,
         layer: tcp.TcpPeers,
-        read: inforce.Read,
+        read: active_document.Read,
     ) -> None:
         """Put them together; :meth:`run` starts them."""
         self._cfg = cfg
--- a/libs/control/geraniumweir/control/watching.py
+++ b/libs/control/geraniumweir/control/watching.py
@@ -16,7 +16,7 @@
     choosing,
     enrolments,
     hosts,
-    inforce,
+    active_document,
     logevents,
     looking,
     searching,
@@ -67,7 +67,7 @@
         link: peers.Peers,
         domain: ids.FailureDomain,
         seeds: hosts.Seeds,
-        read: inforce.Read,
+        read: active_document.Read,
     ) -> None:
         """Know nothing yet.
 
@@ -79,7 +79,7 @@
         self.sure_at = float('-inf')
         self._link = link
         self._seeds = seeds
-        self._document = inforce.InForce(read)
+        self._document = active_document.ActiveDocument(read)
         self._clock = timers.TimerService()
         self._choice = choosing.Choice(domain, self.hosts, self._look)
         self._silent: set[ids.HostId] = set()
--- a/libs/gateway/geraniumweir/gateway/host.py
+++ b/libs/gateway/geraniumweir/gateway/host.py
@@ -13,7 +13,7 @@
     coordinator_client,
     pool_coordination,
     hosts,
-    inforce,
+    active_document,
     pool_servers,
     watching,
 )
@@ -89,7 +89,7 @@
         cfg: Settings,
         layer: tcp.TcpPeers,
         names: codec.Codec,
-        read: inforce.Read,
+        read: active_document.Read,
         meter: metrics.Metrics,
     ) -> None:
         """Put them together; :meth:`run` starts them."""
