--- a/libs/control/geraniumweir/control/documents.py
+++ b/libs/control/geraniumweir/control/documents.py
@@ -72,7 +72,7 @@
         """
         try:
             index = await self._access.barrier(_READ_SECONDS)
-        except errors.UnsureError as exc:
+        except errors.NotUpToDateError as exc:
             eventlog.emit(logevents.READ_UNSURE, reason=exc.message)
             raise
         if self._access.has_applied(index):
@@ -104,7 +104,7 @@
                 return _unpacked(found)
         reason = 'no recorder has applied the newest entry'
         eventlog.emit(logevents.READ_UNSURE, reason=reason)
-        raise errors.UnsureError(reason)
+        raise errors.NotUpToDateError(reason)
 
     async def _on_read(
         self,
--- a/libs/control/geraniumweir/control/errors.py
+++ b/libs/control/geraniumweir/control/errors.py
@@ -9,7 +9,7 @@
     code = 'GW-7300'
 
 
-class UnsureError(ControlError):
+class NotUpToDateError(ControlError):
     """This host can't be sure which document or order is the newest."""
 
     code = 'GW-7301'
@@ -21,13 +21,13 @@
     code = 'GW-7302'
 
 
-class RolloutRunsError(ControlError):
+class RolloutInProgressError(ControlError):
     """Another rollout of the pool is under way."""
 
     code = 'GW-7303'
 
 
-class NothingToMoveError(ControlError):
+class NothingToRollOutError(ControlError):
     """A pool to roll out to isn't known, or has moved already."""
 
     code = 'GW-7304'
--- a/libs/control/geraniumweir/control/host.py
+++ b/libs/control/geraniumweir/control/host.py
@@ -253,9 +253,9 @@
         to: ids.SoftwareVersion,
     ) -> None:
         if not self.log.is_current():
-            raise errors.UnsureError('this host is behind the log')
+            raise errors.NotUpToDateError('this host is behind the log')
         if self.index is None or self.index.pool(pool) is None:
-            raise errors.NothingToMoveError(f'there is no pool {pool}')
+            raise errors.NothingToRollOutError(f'there is no pool {pool}')
         versions = {
             one.version
             for one in self.servers.known()
@@ -263,7 +263,7 @@
         }
         up_for = self._clock.now() - self._started
         if versions == {to} and up_for > _SERVERS_KNOWN_SECONDS:
-            raise errors.NothingToMoveError(f'{to} serves all of {pool}')
+            raise errors.NothingToRollOutError(f'{to} serves all of {pool}')
 
     def _retire(self, rollout: orders.Rollout) -> None:
         """Take that the servers of old versions stop now, without a word."""
--- a/libs/control/geraniumweir/control/logaccess.py
+++ b/libs/control/geraniumweir/control/logaccess.py
@@ -48,7 +48,7 @@
         try:
             return await self._client.read_barrier(seconds)
         except log_errors.ConsensusError as exc:
-            raise errors.UnsureError(exc.message) from exc
+            raise errors.NotUpToDateError(exc.message) from exc
 
     def has_applied(self, index: int) -> bool:
         """Tell whether this host has applied an entry."""
--- a/libs/control/geraniumweir/control/rollouts.py
+++ b/libs/control/geraniumweir/control/rollouts.py
@@ -102,7 +102,7 @@
             result=result.name,
         )
         if result is stored.Result.another_runs:
-            raise errors.RolloutRunsError(
+            raise errors.RolloutInProgressError(
                 f'pool {pool} is being moved to another version',
             )
 
@@ -115,7 +115,7 @@
         index = await self._access.barrier(_READ_SECONDS)
         while not self._access.has_applied(index):
             if self._clock.now() > until:
-                raise errors.UnsureError(f'entry {index} is not here yet')
+                raise errors.NotUpToDateError(f'entry {index} is not here yet')
             await asyncio.sleep(_LOOK_SECONDS)
         return self.of_pool(pool)
 
--- a/libs/control/geraniumweir/control/tests/test_roll_out_checks.py
+++ b/libs/control/geraniumweir/control/tests/test_roll_out_checks.py
@@ -37,7 +37,7 @@
 
 def test_version_that_serves_everything_is_told() -> None:
     """There is nothing to move."""
-    with pytest.raises(errors.NothingToMoveError):
+    with pytest.raises(errors.NothingToRollOutError):
         _check('v2', 'v2')
 
 
@@ -54,5 +54,5 @@
 
 def test_host_that_is_behind_is_not_sure() -> None:
     """The pool may have been added by a document that it lacks."""
-    with pytest.raises(errors.UnsureError):
+    with pytest.raises(errors.NotUpToDateError):
         _check('v1', current=False)
--- a/libs/control/geraniumweir/control/tests/test_rollouts.py
+++ b/libs/control/geraniumweir/control/tests/test_rollouts.py
@@ -74,7 +74,7 @@
         for one in found.values():
             assert (await one.find(_POOL)).to == _NEW
         await found['cow'].order(_POOL, _NEW, 12)
-        with pytest.raises(errors.RolloutRunsError):
+        with pytest.raises(errors.RolloutInProgressError):
             await found['ant'].order(_POOL, ids.SoftwareVersion('v3'), 12)
 
     _play(monkeypatch, scene)
@@ -94,7 +94,7 @@
         for other in ('bee', 'cow'):
             some.network.cut(ids.HostId('ant'), ids.HostId(other))
         await asyncio.sleep(3)
-        with pytest.raises(errors.UnsureError):
+        with pytest.raises(errors.NotUpToDateError):
             await found['ant'].find(_POOL)
         with pytest.raises(errors.NotStoredError):
             await found['ant'].order(_POOL, _NEW, 12)
