--- a/libs/control/geraniumweir/control/tests/test_watching.py
+++ b/libs/control/geraniumweir/control/tests/test_watching.py
@@ -65,9 +65,9 @@
     async def work() -> None:
         watcher = _watcher()
         watcher.take(_CONTROL, _news(version=7, sure=False))
-        assert watcher.sure_at == float('-inf')
+        assert watcher.confirmed_at == float('-inf')
         watcher.take(_CONTROL, _news(version=7))
-        assert watcher.sure_at >= 0
+        assert watcher.confirmed_at >= 0
 
     virtual.run(work())
 
--- a/libs/control/geraniumweir/control/watching.py
+++ b/libs/control/geraniumweir/control/watching.py
@@ -58,7 +58,7 @@
 
     :ivar hosts: the control hosts.
     :ivar servers: the backend servers.
-    :ivar sure_at: when a control host that has all that is committed last
+    :ivar confirmed_at: when a control host that has all that is committed last
         told what there is, in seconds.
     """
 
@@ -76,7 +76,7 @@
         """
         self.hosts = hosts.ControlHosts()
         self.servers = enrolments.Enrolments(link.host_id, _NO_LEASE)
-        self.sure_at = float('-inf')
+        self.confirmed_at = float('-inf')
         self._link = link
         self._seeds = seeds
         self._document = active_document.ActiveDocument(read)
@@ -156,14 +156,14 @@
             self._changes.on_next(None)
 
     def _note_sure(self, now: float) -> None:
-        blind = now - self.sure_at
+        blind = now - self.confirmed_at
         if _BLIND_SECONDS < blind < float('inf'):
             eventlog.emit(
                 logevents.SURE_AGAIN,
                 seconds=round(blind, _DIGITS),
                 version=self.version,
             )
-        self.sure_at = now
+        self.confirmed_at = now
 
     async def _watch(self) -> bool:
         """Watch the chosen host once; tell whether it is sure."""
--- a/libs/gateway/geraniumweir/gateway/host.py
+++ b/libs/gateway/geraniumweir/gateway/host.py
@@ -167,7 +167,7 @@
 
     def knowledge(self) -> admission.Knowledge:
         """Give what this host decides by now."""
-        age = self._clock.now() - self.watcher.sure_at
+        age = self._clock.now() - self.watcher.confirmed_at
         return admission.Knowledge(
             self.watcher.index,
             age <= self._cfg.sure_seconds,
