--- a/libs/control/geraniumweir/control/enrolments.py
+++ b/libs/control/geraniumweir/control/enrolments.py
@@ -31,7 +31,7 @@
 _NOBODY: typing.Final[frozenset[ids.HostId]] = frozenset()
 # What a server that doesn't say when it was started counts as: earlier than
 # any that does.
-BORN_UNSAID = 0
+UNKNOWN_START_MS = 0
 _NOWHERE: typing.Final = ids.Address('0.0.0.0', 0)
 
 
@@ -63,7 +63,7 @@
     state: State = State.ready
     silent: bool = False
     models: tuple[str, ...] = ()
-    born: int = BORN_UNSAID
+    born: int = UNKNOWN_START_MS
     version: ids.SoftwareVersion = ids.SoftwareVersion('')
     cold: bool = False
 
@@ -105,7 +105,7 @@
         state=State(found.state),
         silent=found.silent,
         models=tuple(found.models or ()),
-        born=found.born or BORN_UNSAID,
+        born=found.born or UNKNOWN_START_MS,
         version=ids.SoftwareVersion(found.version or ''),
         cold=bool(found.cold),
     )
@@ -354,7 +354,7 @@
         failure_domain=ids.FailureDomain(''),
         slots=0,
         sequence=-1,
-        born=born or BORN_UNSAID,
+        born=born or UNKNOWN_START_MS,
     )
 
 
--- a/libs/control/geraniumweir/control/host.py
+++ b/libs/control/geraniumweir/control/host.py
@@ -56,7 +56,7 @@
 
     :ivar seeds: peer addresses of some control hosts, by host id.
     :ivar current_seeds: gives the seeds of now, which may have changed.
-    :ivar founds: whether the seeds may found a log: the first start of all.
+    :ivar may_create_log: whether the seeds may found a log: the first start of all.
     :ivar bears: losses of recorders at once to bear.
     :ivar quota_seconds: length of the window over which quotas hold.
     :ivar tolerance: for what customers used before and isn't known.
@@ -68,7 +68,7 @@
     me: hosts.ControlHost
     folder: pathlib.Path
     seeds: typing.Mapping[ids.HostId, ids.Address]
-    founds: bool
+    may_create_log: bool
     bears: int
     report_seconds: float
     quota_seconds: float
@@ -349,7 +349,7 @@
 
 
 def _place(cfg: Settings) -> recordings.Place:
-    first = dict(cfg.seeds) if cfg.founds else {}
+    first = dict(cfg.seeds) if cfg.may_create_log else {}
     return recordings.Place(cfg.me.host_id, cfg.folder, first)
 
 
