--- a/libs/control/geraniumweir/control/host.py
+++ b/libs/control/geraniumweir/control/host.py
@@ -151,7 +151,7 @@
             self.rollouts.known,
         )
         self._presence.on_change = self._servers_changed
-        self.standing.said.changes.subscribe(self._presence.hear)
+        self.standing.server_notices.changes.subscribe(self._presence.hear)
         self.log.documents.subscribe(self._put)
         self.log.rollouts.subscribe(lambda _: self._servers_changed())
         self._service = pool_coordination.make_leader_service(
@@ -174,13 +174,13 @@
                 ),
                 on_ask=self._note_usage,
                 guide=self.rollouts.guide,
-                server_notices=self.standing.said,
+                server_notices=self.standing.server_notices,
                 inform=self._presence.suspicion.inform,
             ),
             self._clock,
         )
         self._presence.suspicion.leaders = self._leaders
-        for changes in (self._changes, self.standing.said.changes):
+        for changes in (self._changes, self.standing.server_notices.changes):
             pool_coordination.grant_on_changes(self._service, changes)
 
     @property
--- a/libs/control/geraniumweir/control/pool_servers.py
+++ b/libs/control/geraniumweir/control/pool_servers.py
@@ -50,17 +50,17 @@
         index: typing.Callable[[], finding.Index | None],
         host_id: ids.HostId = _ANY_HOST,
         domain: ids.FailureDomain = _ANY_DOMAIN,
-        said: notices.Notices | None = None,
+        server_notices: notices.Notices | None = None,
     ) -> None:
         """Look at what a host knows.
 
         :param index: gives the document in force.
         :param host_id: of this host, where hosts share slots.
         :param domain: its failure domain.
-        :param said: what servers said in their answers.
+        :param server_notices: what servers said in their answers.
         """
         self._table = table
-        self._said = said
+        self._said = server_notices
         self._host_id = host_id
         self._domain = domain
         self._index = index
--- a/libs/control/geraniumweir/control/standing.py
+++ b/libs/control/geraniumweir/control/standing.py
@@ -228,7 +228,7 @@
     """The coordinator as this host sees it; see :class:`views.HostView`.
 
     :ivar entry_hosts: those that watch or ping this host.
-    :ivar said: what they told of what servers said.
+    :ivar server_notices: what they told of what servers said.
     """
 
     def __init__(
@@ -244,8 +244,8 @@
         """
         self.entry_hosts = EntryHosts(quota_seconds)
         self.entry_hosts.coordinates_from(clock.now())
-        self.said = notices.Notices(clock)
-        self._listener = telling.Listener(link, self.said, clock)
+        self.server_notices = notices.Notices(clock)
+        self._listener = telling.Listener(link, self.server_notices, clock)
         self._host_id = link.host_id
         self._log = log
         self._clock = clock
--- a/libs/control/geraniumweir/control/tests/bed.py
+++ b/libs/control/geraniumweir/control/tests/bed.py
@@ -91,7 +91,7 @@
             self.link, me, known, self.table, self.log, entry_hosts
         )
         self.presence.on_change = self.feed.notify
-        self.standing.said.changes.subscribe(self.presence.hear)
+        self.standing.server_notices.changes.subscribe(self.presence.hear)
 
     def _put(self, found: orders.Rollout) -> None:
         self.rollouts[found.pool] = found
@@ -111,29 +111,29 @@
         link = bed.network.join(self.host_id, address(name))
         self.watcher = _watcher(link, domain)
         clock = timers.TimerService()
-        self.said = notices.Notices(clock)
+        self.server_notices = notices.Notices(clock)
         self.coordinator = coordinator_client.CoordinatorClient(
             link,
             ids.FailureDomain(domain),
             self.watcher.hosts,
             lambda _: spending.Spent(0, {}),
-            self.said,
+            self.server_notices,
         )
         self.watcher.leaves.subscribe(
-            lambda start: self.said.hear(
+            lambda start: self.server_notices.hear(
                 notices.leaving(start, self.host_id, clock.now()),
             ),
         )
         self.pool_servers = pool_servers.PoolServers(
             self.watcher.servers,
             lambda: None,
-            said=self.said,
+            server_notices=self.server_notices,
         )
 
     def hear(self, start: notices.Start, content: notices.Content) -> None:
         """Take an answer to a request that was sent a moment ago."""
         now = asyncio.get_running_loop().time()
-        self.said.hear(
+        self.server_notices.hear(
             notices.Notice(*start, content, self.host_id, now - 0.01, now),
         )
 
--- a/libs/gateway/geraniumweir/gateway/tests/bed.py
+++ b/libs/gateway/geraniumweir/gateway/tests/bed.py
@@ -201,7 +201,7 @@
     front: serving.Front
     scheduler: Scheduler
     caller: aiohttp.ClientSession
-    said: notices.Notices
+    server_notices: notices.Notices
 
 
 @contextlib.asynccontextmanager
@@ -221,18 +221,20 @@
             server.address = ids.Address(_LOCAL, port)
         session = await stack.enter_async_context(calls.make_session())
         scheduler = Scheduler(servers)
-        said = notices.Notices(timers.TimerService())
+        server_notices = notices.Notices(timers.TimerService())
         means = forwarding.Means(
             session,
             PlainCodec(),
             scheduler,
             HOST,
-            said,
+            server_notices,
             sending.Check(
                 HOST,
-                said,
+                server_notices,
                 pool_servers.PoolServers(
-                    enrolments.Enrolments(HOST, 1), lambda: None, said=said
+                    enrolments.Enrolments(HOST, 1),
+                    lambda: None,
+                    server_notices=server_notices,
                 ),
                 timers.TimerService(),
             ),
@@ -254,7 +256,7 @@
             front,
             scheduler,
             caller,
-            said,
+            server_notices,
         )
 
 
--- a/libs/gateway/geraniumweir/gateway/tests/test_forwarding.py
+++ b/libs/gateway/geraniumweir/gateway/tests/test_forwarding.py
@@ -237,7 +237,7 @@
     async def work() -> None:
         async with bed.made(bed.Server(behave)) as made:
             await _get(made)
-            assert list(made.said.limits().values()) == limits
+            assert list(made.server_notices.limits().values()) == limits
 
     asyncio.run(work())
 
@@ -262,7 +262,7 @@
 
     async def work() -> None:
         async with bed.made(bed.Server(behave), **_STREAM) as made:
-            made.said.changes.subscribe(lambda _: is_heard.set())
+            made.server_notices.changes.subscribe(lambda _: is_heard.set())
             async with asyncio.timeout(5):
                 status, _body = await _get(made)
             assert status == 200
