--- a/libs/control/geraniumweir/control/active_document.py
+++ b/libs/control/geraniumweir/control/active_document.py
@@ -11,7 +11,7 @@
 # A host that has just started waits so long for a control host that is sure,
 # in seconds: longer than an election after a loss of all control hosts, whose
 # snapshots may be old.
-_BEGIN_SECONDS = 3.0
+_PENDING_SECONDS = 3.0
 
 Read = typing.Callable[[bytes], tables.Document]
 
@@ -30,47 +30,47 @@
         self.index: finding.Index | None = None
         self._read = read
         self._clock = timers.TimerService()
-        self._started = self._clock.now()
-        self._held: ttypes.News | None = None
+        self._started_at = self._clock.now()
+        self._pending: ttypes.News | None = None
 
     @property
     def version(self) -> ids.Version:
         """The version in force, -1 before the first."""
         return ids.Version(-1) if self.index is None else self.index.version
 
-    def offer(self, news: ttypes.News) -> bool:
+    def offer(self, update: ttypes.News) -> bool:
         """Put a newer document in force; tell whether there was one.
 
         The first one must be from a control host that is sure; one of another
-        is kept for :meth:`begin`.
+        is kept for :meth:`activate_pending`.
         """
-        if news.document is None or news.version <= self.version:
+        if update.document is None or update.version <= self.version:
             return False
-        if news.sure or self.index is not None:
-            return self._put(news)
-        if self._held is None or self._held.version < news.version:
-            self._held = news
+        if update.sure or self.index is not None:
+            return self._activate(update)
+        if self._pending is None or self._pending.version < update.version:
+            self._pending = update
         return False
 
-    def begin(self) -> bool:
+    def activate_pending(self) -> bool:
         """Begin with a document that may not be the newest.
 
         :returns: whether there was one, and nobody was sure for long.
         """
-        up_for = self._clock.now() - self._started
-        if self._held is None or up_for < _BEGIN_SECONDS:
+        uptime_seconds = self._clock.now() - self._started_at
+        if self._pending is None or uptime_seconds < _PENDING_SECONDS:
             return False
-        held = self._held
-        self._held = None
-        return self.index is None and self._put(held)
+        pending = self._pending
+        self._pending = None
+        return self.index is None and self._activate(pending)
 
-    def _put(self, news: ttypes.News) -> bool:
+    def _activate(self, update: ttypes.News) -> bool:
         try:
-            document = self._read(zlib.decompress(news.document))
+            document = self._read(zlib.decompress(update.document))
         except (errors.GeraniumweirError, zlib.error) as exc:
             eventlog.emit(
                 logevents.DOCUMENT_UNREADABLE,
-                version=news.version,
+                version=update.version,
                 reason=str(exc),
             )
             return False
@@ -78,7 +78,7 @@
         self.index = finding.Index(document)
         eventlog.emit(
             logevents.DOCUMENT_IN_FORCE,
-            version=news.version,
+            version=update.version,
             before=before,
         )
         return True
--- a/libs/control/geraniumweir/control/coordinator_client.py
+++ b/libs/control/geraniumweir/control/coordinator_client.py
@@ -18,7 +18,7 @@
 
 import reactivex
 from geraniumweir.common import eventlog, ids, timers
-from geraniumweir.control import hosts, logevents, spent, telling
+from geraniumweir.control import hosts, logevents, usage_codec, notice_exchange
 from geraniumweir.scheduling import notices, spending
 from geraniumweir.wire import errors, peers
 from geraniumweir.wire.gen.control import ttypes
@@ -26,23 +26,23 @@
 
 # How often the coordinator is asked for a sign of life, in seconds. Two
 # messages of about 150 bytes each, so 1.5 KB a second.
-_PERIOD = 0.2
+_PING_SECONDS = 0.2
 # Longest wait for it, in seconds: twice a lost packet's first repeat (0.2 s).
-_PATIENCE = 0.4
+_PING_TIMEOUT_SECONDS = 0.4
 # Who leads answers as soon as who stands in, or is silent, in seconds: some
 # ten round trips. To wait for those that are silent takes as long as a missed
 # answer, each time that a coordinator is lost.
-_LEADER_SECONDS = 0.05
+_LEADER_WAIT_SECONDS = 0.05
 # While an election is awaited, control hosts are asked this often, in seconds.
-_ELECTION_PERIOD = 0.1
+_ELECTION_PING_SECONDS = 0.1
 # The longest silence before an election, another one that came to nothing,
 # and the votes, in seconds.
 _ELECTION_SECONDS = 2.0
-_NOBODY = ids.HostId('')
+_NO_HOST = ids.HostId('')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Found:
+class _Answers:
     """Control hosts that answered.
 
     :ivar number: of all that did.
@@ -53,11 +53,11 @@
     number: int
 
 
-def _sorted_out(
+def _classify(
     answers: typing.Mapping[ids.HostId, ttypes.Pong | None],
-) -> _Found:
+) -> _Answers:
     pongs = {name: pong for name, pong in answers.items() if pong is not None}
-    return _Found(
+    return _Answers(
         [name for name, pong in pongs.items() if pong.leads],
         [name for name, pong in pongs.items() if pong.stands_in],
         len(pongs),
@@ -72,26 +72,28 @@
         link: peers.Peers,
         domain: ids.FailureDomain,
         known: hosts.ControlHosts,
-        tell_spent: typing.Callable[[ids.HostId], spending.Spent],
-        said: notices.Notices,
+        usage_for: typing.Callable[[ids.HostId], spending.Spent],
+        server_notices: notices.Notices,
     ) -> None:
         """Know of none yet.
 
         :param domain: this host's failure domain.
-        :param tell_spent: gives what this host was granted, for a coordinator
+        :param usage_for: gives what this host was granted, for a coordinator
             that is new.
-        :param said: what this host knows of what servers said.
+        :param server_notices: what this host knows of what servers said.
         """
-        self._tell_spent = tell_spent
+        self._usage_for = usage_for
         self._link = link
         self._domain = domain
         self._known = known
         self._clock = timers.TimerService()
-        self._teller = telling.Teller(link, said, self._clock)
-        self._host = _NOBODY
+        self._notice_sender = notice_exchange.NoticeSender(
+            link, server_notices, self._clock
+        )
+        self._coordinator_id = _NO_HOST
         self._lost_at: float | None = self._clock.now()
         self._awaits_election = False
-        self._hosts = 1
+        self._host_count = 1
         self._share: float | None = None
         self._changes: subject.Subject[None] = subject.Subject()
 
@@ -102,7 +104,7 @@
 
     def live(self, _domain: ids.FailureDomain) -> list[ids.HostId]:
         """Give the coordinator; none means that this host is alone."""
-        return [self._host] if self._host else []
+        return [self._coordinator_id] if self._coordinator_id else []
 
     def owners(self, _domain: ids.FailureDomain) -> list[ids.HostId]:
         """List nobody else: this host leads for itself only."""
@@ -110,7 +112,7 @@
 
     def is_alone(self) -> bool:
         """Tell whether this host coordinates its own requests."""
-        return not self._host
+        return not self._coordinator_id
 
     def awaits_election(self) -> bool:
         """Tell whether another host is about to coordinate."""
@@ -118,50 +120,60 @@
 
     def hosts(self) -> int:
         """Give how many entry hosts there are, as far as is known."""
-        return self._hosts
+        return self._host_count
 
     def share(self) -> float:
         """Give the part of capacity and quotas that a host alone may use."""
-        return self._share or 1 / max(self._hosts, 1)
+        return self._share or 1 / max(self._host_count, 1)
 
     def coordinator_id(self) -> ids.HostId:
         """Give who coordinates for this host; itself where it is alone."""
-        return self._host or self._link.host_id
+        return self._coordinator_id or self._link.host_id
 
     async def run(self) -> None:
         """Look after the coordinator until cancelled."""
         while True:
             started = self._clock.now()
-            pong = await self._ping(self._host) if self._host else None
+            pong = (
+                await self._ping(self._coordinator_id)
+                if self._coordinator_id
+                else None
+            )
             if pong is None or not pong.leads:
                 await self._search()
             took = self._clock.now() - started
-            period = _ELECTION_PERIOD if self._awaits_election else _PERIOD
+            period = (
+                _ELECTION_PING_SECONDS
+                if self._awaits_election
+                else _PING_SECONDS
+            )
             await asyncio.sleep(max(period - took, 0))
 
     async def leave(self) -> None:
         """Say farewell, so that the quota of this host goes to the others."""
-        if self._host:
+        if self._coordinator_id:
             ping = ttypes.Ping(self._domain, leaving=True)
-            self._link.send(self._host, ping)
+            self._link.send(self._coordinator_id, ping)
 
     async def _search(self) -> None:
         """Ask all control hosts at once, until one says that it leads."""
-        asked = {
+        pending_hosts = {
             asyncio.create_task(self._ping(host.host_id)): host.host_id
             for host in self._known.known()
         }
-        silent = set(asked)
+        silent = set(pending_hosts)
         candidates: list[ids.HostId] = []
         answered = 0
-        until = self._clock.now() + _PATIENCE
-        while silent and self._clock.now() < until:
+        deadline = self._clock.now() + _PING_TIMEOUT_SECONDS
+        while silent and self._clock.now() < deadline:
             done, silent = await asyncio.wait(
                 silent,
-                timeout=until - self._clock.now(),
+                timeout=deadline - self._clock.now(),
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            found = _sorted_out({asked[task]: task.result() for task in done})
+            found = _classify(
+                {pending_hosts[task]: task.result() for task in done}
+            )
             if found.leaders:
                 candidates = found.leaders
                 break
@@ -170,17 +182,19 @@
             # A leader that is busy is waited for once, one that is lost isn't
             # waited for each time.
             if candidates or (answered and self._awaits_election):
-                until = min(until, self._clock.now() + _LEADER_SECONDS)
+                deadline = min(
+                    deadline, self._clock.now() + _LEADER_WAIT_SECONDS
+                )
         for task in silent:
             task.cancel()
         if candidates:
             self._lost_at = None
             self._awaits_election = False
         else:
-            self._note_lost(answered)
-        self._settle(min(candidates, default=_NOBODY))
+            self._record_no_coordinator(answered)
+        self._set_coordinator(min(candidates, default=_NO_HOST))
 
-    def _note_lost(self, answered: int) -> None:
+    def _record_no_coordinator(self, answered: int) -> None:
         """Take that nobody coordinates.
 
         :param answered: number of control hosts that can be reached.
@@ -191,9 +205,9 @@
         awaits = bool(answered) and now - self._lost_at < _ELECTION_SECONDS
         if awaits and not self._awaits_election:
             eventlog.emit(
-                logevents.AWAITS_ELECTION,
+                logevents.ELECTION_AWAITED,
                 answered=answered,
-                before=self._host or 'this host',
+                before=self._coordinator_id or 'this host',
             )
         self._awaits_election = awaits
 
@@ -203,29 +217,29 @@
             leaving=False,
             share=self._share,
         )
-        told = self._teller.fill(host_id, ping)
+        revision = self._notice_sender.fill(host_id, ping)
         try:
-            pong = await self._link.call(host_id, ping, _PATIENCE)
+            pong = await self._link.call(host_id, ping, _PING_TIMEOUT_SECONDS)
         except errors.PeerError:
             return None
-        self._teller.answered(host_id, told, pong)
+        self._notice_sender.handle_pong(host_id, revision, pong)
         if pong.leads:
-            self._hosts = pong.hosts
+            self._host_count = pong.hosts
             self._share = pong.share
         return pong
 
-    def _settle(self, host_id: ids.HostId) -> None:
-        if host_id == self._host:
+    def _set_coordinator(self, host_id: ids.HostId) -> None:
+        if host_id == self._coordinator_id:
             return
         eventlog.emit(
             logevents.COORDINATOR,
             host=host_id or 'this host',
-            before=self._host or 'this host',
+            before=self._coordinator_id or 'this host',
             part=self.share(),
         )
-        self._host = host_id
+        self._coordinator_id = host_id
         if host_id:
             # Ahead of the requests, so that it knows when they are counted.
-            self._link.send(host_id, spent.pack(self._tell_spent(host_id)))
-        self._teller.turn_to(host_id)
+            self._link.send(host_id, usage_codec.pack(self._usage_for(host_id)))
+        self._notice_sender.set_coordinator(host_id)
         self._changes.on_next(None)
--- a/libs/control/geraniumweir/control/suspicion.py
+++ b/libs/control/geraniumweir/control/crash_cases.py
@@ -15,19 +15,19 @@
 from geraniumweir.wire.gen.scheduling import ttypes
 
 # How often the cases of the pools led here are looked through, in seconds.
-_PERIOD = 0.2
+_POLL_SECONDS = 0.2
 # Cases told at a time; a message is some kilobytes then.
-_MOST = 64
+_MAX_CASES = 64
 
 _Key = tuple[ids.Fingerprint, str, int, bool]
 Leaders = typing.Callable[[], typing.Iterable[leader.OnTimeLeader]]
 
 
-def _nobody() -> tuple[leader.OnTimeLeader, ...]:
+def _no_leaders() -> tuple[leader.OnTimeLeader, ...]:
     return ()
 
 
-class Suspicion:
+class CrashCases:
     """The cases that are known, as whoever coordinated last told them.
 
     :ivar leaders: gives the pool leaders of this host.
@@ -40,44 +40,48 @@
         clock: timers.TimerService,
     ) -> None:
         """Take what the others tell from now on."""
-        self.leaders: Leaders = _nobody
+        self.leaders: Leaders = _no_leaders
         self._link = link
         self._known = known
         self._clock = clock
         self._cases: typing.Sequence[suspects.Case] = ()
-        self._told_at = float(0)
+        self._received_at = float(0)
         self._keys: frozenset[_Key] = frozenset()
-        self._looks = clock.every(_PERIOD).subscribe(lambda _: self._look())
+        self._poll = clock.every(_POLL_SECONDS).subscribe(
+            lambda _: self._publish_changes()
+        )
         link.handle(ttypes.Cases, self._on_cases)
 
-    def inform(self, new: leader.OnTimeLeader) -> None:
+    def apply_to(self, new_leader: leader.OnTimeLeader) -> None:
         """Let a new leader know of the cases that still hold."""
         now = self._clock.now()
         aged = (
             dataclasses.replace(
                 case,
-                seconds=case.seconds - (now - self._told_at),
+                seconds=case.seconds - (now - self._received_at),
             )
             for case in self._cases
         )
-        new.suspects.merge([case for case in aged if case.seconds > 0], now)
+        new_leader.suspects.merge(
+            [case for case in aged if case.seconds > 0], now
+        )
 
     def close(self) -> None:
         """Tell no more."""
-        self._looks.dispose()
+        self._poll.dispose()
 
-    def _look(self) -> None:
+    def _publish_changes(self) -> None:
         """Tell the others when there are more cases, or fewer."""
         leaders = list(self.leaders())
         if not leaders:
             return
         now = self._clock.now()
         cases = [case for one in leaders for case in one.suspects.export(now)]
-        cases.sort(key=_gravity, reverse=True)
-        keys = frozenset(map(_key, cases[:_MOST]))
+        cases.sort(key=_severity, reverse=True)
+        keys = frozenset(map(_key, cases[:_MAX_CASES]))
         if keys == self._keys:
             return
-        self._take(cases[:_MOST])
+        self._store(cases[:_MAX_CASES])
         message = ttypes.Cases(casefiles.pack(self._cases))
         for host in self._known.known():
             if host.host_id != self._link.host_id:
@@ -88,13 +92,13 @@
         _sender: ids.HostId,
         message: ttypes.Cases,
     ) -> None:
-        self._take(casefiles.unpack(message.cases))
+        self._store(casefiles.unpack(message.cases))
         for one in self.leaders():
-            one.suspects.merge(self._cases, self._told_at)
+            one.suspects.merge(self._cases, self._received_at)
 
-    def _take(self, cases: typing.Sequence[suspects.Case]) -> None:
+    def _store(self, cases: typing.Sequence[suspects.Case]) -> None:
         self._cases = cases
-        self._told_at = self._clock.now()
+        self._received_at = self._clock.now()
         self._keys = frozenset(map(_key, cases))
 
 
@@ -102,5 +106,5 @@
     return case.fingerprint, case.origin, case.crashes, case.quarantined
 
 
-def _gravity(case: suspects.Case) -> tuple[bool, int, float]:
+def _severity(case: suspects.Case) -> tuple[bool, int, float]:
     return case.quarantined, case.crashes, case.seconds
--- a/libs/control/geraniumweir/control/usage.py
+++ b/libs/control/geraniumweir/control/demand.py
@@ -11,10 +11,10 @@
 
 # Over about so many seconds: longer than the waves in which callers come (11
 # s), so that a cut finds the usual parts.
-_SECONDS = 20.0
+_DECAY_SECONDS = 20.0
 # A host that asked for little may ask for more after a cut, when callers are
 # led to it; it gets at least this part of an even share.
-_LEAST_OF_EVEN = 0.25
+_MIN_EVEN_RATIO = 0.25
 
 
 @dataclasses.dataclass(slots=True)
@@ -27,10 +27,10 @@
         self.at = now
 
     def decayed(self, now: float) -> float:
-        return self.amount * math.exp(-max(now - self.at, 0) / _SECONDS)
+        return self.amount * math.exp(-max(now - self.at, 0) / _DECAY_SECONDS)
 
 
-class Usage:
+class Demand:
     """Decaying counts by entry host.
 
     All decay alike, so that their sum is a count of its own: a host's part is
@@ -42,12 +42,12 @@
         self._counts: dict[ids.HostId, _Count] = {}
         self._total = _Count()
 
-    def note(self, host_id: ids.HostId, amount: float, now: float) -> None:
+    def record(self, host_id: ids.HostId, amount: float, now: float) -> None:
         """Count what a host asked for."""
         self._counts.setdefault(host_id, _Count()).add(amount, now)
         self._total.add(amount, now)
 
-    def forget(self, host_id: ids.HostId) -> None:
+    def remove(self, host_id: ids.HostId) -> None:
         """Drop a host that has gone."""
         gone = self._counts.pop(host_id, None)
         if gone is not None:
@@ -58,9 +58,9 @@
 
         :param hosts: how many there are.
 
-        >>> some = Usage()
+        >>> some = Demand()
         >>> for name, amount in (('a', 30), ('b', 10)):
-        ...     some.note(ids.HostId(name), amount, 0)
+        ...     some.record(ids.HostId(name), amount, 0)
         >>> some.share(ids.HostId('a'), 2, 0)
         0.75
         """
@@ -71,4 +71,4 @@
         total = self._total.decayed(now)
         if not total:
             return even
-        return max(found.decayed(now) / total, even * _LEAST_OF_EVEN)
+        return max(found.decayed(now) / total, even * _MIN_EVEN_RATIO)
--- a/libs/control/geraniumweir/control/documents.py
+++ b/libs/control/geraniumweir/control/documents.py
@@ -73,13 +73,13 @@
         try:
             index = await self._access.barrier(_READ_SECONDS)
         except errors.NotUpToDateError as exc:
-            eventlog.emit(logevents.READ_UNSURE, reason=exc.message)
+            eventlog.emit(logevents.READ_NOT_CURRENT, reason=exc.message)
             raise
         if self._access.has_applied(index):
             return recorders.newest_of(self._log)
-        return await self._ask_others(index)
+        return await self._read_from_others(index)
 
-    async def _ask_others(
+    async def _read_from_others(
         self,
         index: int,
     ) -> published.PublishedDocument | None:
@@ -103,15 +103,15 @@
             if found.known:
                 return _unpacked(found)
         reason = 'no recorder has applied the newest entry'
-        eventlog.emit(logevents.READ_UNSURE, reason=reason)
+        eventlog.emit(logevents.READ_NOT_CURRENT, reason=reason)
         raise errors.NotUpToDateError(reason)
 
     async def _on_read(
         self,
         _sender: ids.HostId,
-        ask: ttypes.ReadNewest,
+        request: ttypes.ReadNewest,
     ) -> ttypes.Newest:
-        if not self._access.has_applied(ask.index):
+        if not self._access.has_applied(request.index):
             return ttypes.Newest(known=False, version=0, document=b'')
         newest = recorders.newest_of(self._log)
         if newest is None:
--- a/libs/control/geraniumweir/control/enrolments.py
+++ b/libs/control/geraniumweir/control/enrolments.py
@@ -22,17 +22,17 @@
 
 # A silent server that nobody heard of for so long is forgotten, in seconds.
 # Longer than any cut that was asked to be survived (7 s).
-FORGET_SECONDS = 30.0
+EVICT_SILENT_SECONDS = 30.0
 # A server that has gone is remembered, so that a report of its that was held
 # up doesn't bring it back, in seconds.
-REMEMBER_SECONDS = 120.0
+EVICT_GONE_SECONDS = 120.0
 # Digests travel as signed numbers of 64 bits.
 _DIGEST_SHIFT = 1
-_NOBODY: typing.Final[frozenset[ids.HostId]] = frozenset()
+_NO_HOSTS: typing.Final[frozenset[ids.HostId]] = frozenset()
 # What a server that doesn't say when it was started counts as: earlier than
 # any that does.
 UNKNOWN_START_MS = 0
-_NOWHERE: typing.Final = ids.Address('0.0.0.0', 0)
+_NO_ADDRESS: typing.Final = ids.Address('0.0.0.0', 0)
 
 
 class State(enum.IntEnum):
@@ -111,22 +111,22 @@
     )
 
 
-def readable(
-    told: typing.Iterable[ttypes.Enrolment],
-    teller: str,
+def parse_readable(
+    received: typing.Iterable[ttypes.Enrolment],
+    sender: str,
 ) -> list[Enrolment]:
     """Read structs; one that can't be read is told in the log and left out.
 
-    :param teller: where they come from, for the log.
+    :param sender: where they come from, for the log.
     """
     found = []
-    for one in told:
+    for one in received:
         try:
             found.append(from_wire(one))
         except (ValueError, TypeError, AttributeError) as exc:
             eventlog.emit(
                 logevents.SERVER_UNREADABLE,
-                teller=teller,
+                teller=sender,
                 reason=str(exc),
             )
     return found
@@ -137,14 +137,14 @@
     """An enrolment and what this host knows about it.
 
     :ivar revision: of its last change.
-    :ivar heard: when it was last told of, in seconds.
-    :ivar teller: the control host that hears the server itself.
+    :ivar last_seen_at: when it was last told of, in seconds.
+    :ivar sender: the control host that hears the server itself.
     """
 
     enrolment: Enrolment
     revision: int
-    heard: float
-    teller: ids.HostId
+    last_seen_at: float
+    sender: ids.HostId
 
 
 class Enrolments:
@@ -153,32 +153,32 @@
     :ivar revision: of the last change.
     """
 
-    def __init__(self, host_id: ids.HostId, lease: float) -> None:
+    def __init__(self, host_id: ids.HostId, lease_seconds: float) -> None:
         """Know of none.
 
         :param host_id: this host's.
-        :param lease: longest pause between reports, in seconds.
+        :param lease_seconds: longest pause between reports, in seconds.
         """
         self.revision = 0
         self._me = host_id
-        self._lease = lease
+        self._lease_seconds = lease_seconds
         self._rows: dict[ids.ServerId, _Row] = {}
         self._departing: set[ids.ServerId] = set()
         self._digest: int | None = None
 
-    def report(self, said: Enrolment, now: float) -> bool:
+    def report(self, reported: Enrolment, now: float) -> bool:
         """Take a server's own report.
 
         :returns: whether other control hosts must be told: of the change, or
             that the server reports here now.
         """
-        known = self._rows.get(said.server_id)
-        if known is not None and _age(known.enrolment) > _age(said):
+        known = self._rows.get(reported.server_id)
+        if known is not None and _recency(known.enrolment) > _recency(reported):
             return False
-        moved = known is None or known.teller != self._me
-        return self._take(said, now, self._me) or moved
+        moved = known is None or known.sender != self._me
+        return self._apply_report(reported, now, self._me) or moved
 
-    def leave(
+    def mark_gone(
         self,
         server_id: ids.ServerId,
         now: float,
@@ -193,13 +193,15 @@
         :returns: what others must be told, or None when there is nothing.
         """
         known = self._rows.get(server_id)
-        before = _unknown(server_id, born) if known is None else known.enrolment
+        before = (
+            _placeholder(server_id, born) if known is None else known.enrolment
+        )
         if before.state is State.gone:
             return None
         if born is not None and born != before.born:
             return None
         gone = dataclasses.replace(before, state=State.gone)
-        self._put(gone, now, self._me)
+        self._store(gone, now, self._me)
         return gone
 
     def mark_leaving(
@@ -214,16 +216,18 @@
         """
         known = self._rows.get(server_id)
         if known is None or known.enrolment.born < born:
-            before, teller = _unknown(server_id, born), self._me
+            before, sender = _placeholder(server_id, born), self._me
         else:
-            before, teller = known.enrolment, known.teller
+            before, sender = known.enrolment, known.sender
         if before.born != born or before.state is not State.ready:
             return None
         leaving = dataclasses.replace(before, state=State.leaving)
-        self._put(leaving, now, teller)
+        self._store(leaving, now, sender)
         return leaving
 
-    def merge(self, told: Enrolment, now: float, teller: ids.HostId) -> bool:
+    def merge(
+        self, received: Enrolment, now: float, sender: ids.HostId
+    ) -> bool:
         """Take what another control host knows.
 
         Within a start the higher sequence says whether the server is silent;
@@ -231,27 +235,27 @@
 
         :returns: whether it was news.
         """
-        known = self._rows.get(told.server_id)
-        if known is None or _age(told) > _age(known.enrolment):
-            return self._take(told, now, teller)
+        known = self._rows.get(received.server_id)
+        if known is None or _recency(received) > _recency(known.enrolment):
+            return self._apply_report(received, now, sender)
         before = known.enrolment
-        if told.born < before.born:
+        if received.born < before.born:
             return False
-        same = told.sequence == before.sequence
-        settled = dataclasses.replace(
+        same = received.sequence == before.sequence
+        merged = dataclasses.replace(
             before,
-            state=max(before.state, told.state),
-            silent=before.silent or (same and told.silent),
+            state=max(before.state, received.state),
+            silent=before.silent or (same and received.silent),
         )
-        if settled == before:
+        if merged == before:
             return False
-        self._put(settled, now, known.teller)
+        self._store(merged, now, known.sender)
         return True
 
     def expire(
         self,
         now: float,
-        absent: frozenset[ids.HostId] = _NOBODY,
+        absent: frozenset[ids.HostId] = _NO_HOSTS,
     ) -> list[Enrolment]:
         """Mark silent servers and forget old ones.
 
@@ -259,17 +263,17 @@
             there have had a lease's time to report elsewhere.
         :returns: those that fell silent.
         """
-        fallen = []
+        newly_silent = []
         for server_id, row in list(self._rows.items()):
-            if _is_forgotten(row, now):
-                self.forget(server_id)
-            elif self._falls_silent(row, now, absent):
+            if _is_expired(row, now):
+                self.remove(server_id)
+            elif self._is_overdue(row, now, absent):
                 silent = dataclasses.replace(row.enrolment, silent=True)
-                self._put(silent, now, row.teller)
-                fallen.append(silent)
-        return fallen
+                self._store(silent, now, row.sender)
+                newly_silent.append(silent)
+        return newly_silent
 
-    def forget(self, server_id: ids.ServerId) -> None:
+    def remove(self, server_id: ids.ServerId) -> None:
         """Drop what is known of a server."""
         self._rows.pop(server_id, None)
         self._departing.discard(server_id)
@@ -284,7 +288,7 @@
         """List all, also those that have gone, by id."""
         return [row.enrolment for _, row in sorted(self._rows.items())]
 
-    def since(self, revision: int) -> list[Enrolment]:
+    def changed_since(self, revision: int) -> list[Enrolment]:
         """List those that changed after a revision."""
         return [
             row.enrolment
@@ -305,7 +309,7 @@
             self._digest = digest >> _DIGEST_SHIFT
         return self._digest
 
-    def _falls_silent(
+    def _is_overdue(
         self,
         row: _Row,
         now: float,
@@ -314,30 +318,32 @@
         found = row.enrolment
         if found.silent or found.state is State.gone:
             return False
-        if row.teller == self._me:
-            return now - row.heard > self._lease
-        return row.teller in absent
-
-    def _take(self, said: Enrolment, now: float, teller: ids.HostId) -> bool:
-        known = self._rows.get(said.server_id)
-        if known is None or said.born > known.enrolment.born:
-            self._put(said, now, teller)
+        if row.sender == self._me:
+            return now - row.last_seen_at > self._lease_seconds
+        return row.sender in absent
+
+    def _apply_report(
+        self, reported: Enrolment, now: float, sender: ids.HostId
+    ) -> bool:
+        known = self._rows.get(reported.server_id)
+        if known is None or reported.born > known.enrolment.born:
+            self._store(reported, now, sender)
             return True
         before = known.enrolment
-        state = max(before.state, said.state)
-        settled = dataclasses.replace(said, state=state)
-        if dataclasses.replace(settled, sequence=before.sequence) != before:
-            self._put(settled, now, teller)
+        state = max(before.state, reported.state)
+        merged = dataclasses.replace(reported, state=state)
+        if dataclasses.replace(merged, sequence=before.sequence) != before:
+            self._store(merged, now, sender)
             return True
         # Only the sequence is newer: readers need not hear of it.
-        known.enrolment = settled
-        known.heard = now
-        known.teller = teller
+        known.enrolment = merged
+        known.last_seen_at = now
+        known.sender = sender
         return False
 
-    def _put(self, found: Enrolment, now: float, teller: ids.HostId) -> None:
+    def _store(self, found: Enrolment, now: float, sender: ids.HostId) -> None:
         self.revision += 1
-        self._rows[found.server_id] = _Row(found, self.revision, now, teller)
+        self._rows[found.server_id] = _Row(found, self.revision, now, sender)
         self._digest = None
         if found.state is State.ready:
             self._departing.discard(found.server_id)
@@ -345,12 +351,12 @@
             self._departing.add(found.server_id)
 
 
-def _unknown(server_id: ids.ServerId, born: int | None) -> Enrolment:
+def _placeholder(server_id: ids.ServerId, born: int | None) -> Enrolment:
     """Give what is known of a server that never reported."""
     return Enrolment(
         server_id=server_id,
         pool=ids.PoolName(''),
-        address=_NOWHERE,
+        address=_NO_ADDRESS,
         failure_domain=ids.FailureDomain(''),
         slots=0,
         sequence=-1,
@@ -358,7 +364,7 @@
     )
 
 
-def _age(found: Enrolment) -> tuple[int, int]:
+def _recency(found: Enrolment) -> tuple[int, int]:
     """Give the greater value, the newer what is known of a server."""
     return found.born, found.sequence
 
@@ -371,7 +377,9 @@
     return (found.server_id, found.born, int(found.state), found.silent)
 
 
-def _is_forgotten(row: _Row, now: float) -> bool:
+def _is_expired(row: _Row, now: float) -> bool:
     if row.enrolment.state is State.gone:
-        return now - row.heard > REMEMBER_SECONDS
-    return row.enrolment.silent and now - row.heard > FORGET_SECONDS
+        return now - row.last_seen_at > EVICT_GONE_SECONDS
+    return (
+        row.enrolment.silent and now - row.last_seen_at > EVICT_SILENT_SECONDS
+    )
--- a/libs/control/geraniumweir/control/feed.py
+++ b/libs/control/geraniumweir/control/feed.py
@@ -17,7 +17,7 @@
     enrolments,
     hosts,
     recorders,
-    standing,
+    leadership,
 )
 from geraniumweir.rollout import orders
 from geraniumweir.wire import peers
@@ -26,7 +26,7 @@
 _MS = 1000
 # A watch is answered by then, whatever its reader asked for, in seconds: the
 # reader takes silence for a lost host.
-_LONGEST_WAIT_SECONDS = 2.0
+_MAX_WAIT_SECONDS = 2.0
 # Enrolments come one by one; readers are told of those that come within this
 # time together, in seconds. It counts for nothing beside the 2 s in which a
 # leaving server must be known everywhere.
@@ -41,8 +41,8 @@
         link: peers.Peers,
         log: recorders.Recorders,
         table: enrolments.Enrolments,
-        known: hosts.ControlHosts,
-        entry_hosts: standing.EntryHosts,
+        rollouts_known: hosts.ControlHosts,
+        entry_hosts: leadership.EntryHosts,
         rollouts: typing.Callable[[], list[orders.Rollout]] = list,
     ) -> None:
         """Answer from now on.
@@ -52,21 +52,21 @@
         self._epoch = uuid.uuid4().hex
         self._log = log
         self._table = table
-        self._known = known
+        self._known = rollouts_known
         self._entry_hosts = entry_hosts
         self._rollouts = rollouts
         self._clock = timers.TimerService()
-        self._news = asyncio.Event()
+        self._changed = asyncio.Event()
         self._newest: published.PublishedDocument | None = None
-        log.documents.subscribe(self._put)
+        log.documents.subscribe(self._set_newest)
         link.handle(ttypes.Watch, self._on_watch)
 
     def notify(self) -> None:
         """Wake the watchers: an enrolment changed."""
-        self._news.set()
-        self._news = asyncio.Event()
+        self._changed.set()
+        self._changed = asyncio.Event()
 
-    def _put(self, document: published.PublishedDocument) -> None:
+    def _set_newest(self, document: published.PublishedDocument) -> None:
         # A recorder that was opened again replays what is older.
         if self._newest is None or document.version > self._newest.version:
             self._newest = document
@@ -77,29 +77,29 @@
         sender: ids.HostId,
         watch: ttypes.Watch,
     ) -> ttypes.News:
-        self._entry_hosts.heard(sender, self._clock.now())
+        self._entry_hosts.record_seen(sender, self._clock.now())
         if watch.brief:
             return self._answer(watch)
-        wait = min(watch.wait_ms / _MS, _LONGEST_WAIT_SECONDS)
+        wait_seconds = min(watch.wait_ms / _MS, _MAX_WAIT_SECONDS)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(wait):
-                await self._until_news(watch)
-        self._entry_hosts.heard(sender, self._clock.now())
+            async with asyncio.timeout(wait_seconds):
+                await self._wait_for_update(watch)
+        self._entry_hosts.record_seen(sender, self._clock.now())
         return self._answer(watch)
 
-    async def _until_news(self, watch: ttypes.Watch) -> None:
-        while not self._has_news(watch):
-            await self._news.wait()
+    async def _wait_for_update(self, watch: ttypes.Watch) -> None:
+        while not self._has_update(watch):
+            await self._changed.wait()
         await asyncio.sleep(_GATHER_SECONDS)
 
-    def _has_news(self, watch: ttypes.Watch) -> bool:
+    def _has_update(self, watch: ttypes.Watch) -> bool:
         if watch.epoch != self._epoch or watch.revision < self._table.revision:
             return True
         return self._is_newer(watch) or self._has_rollouts(watch)
 
     def _has_rollouts(self, watch: ttypes.Watch) -> bool:
-        told = watch.rollouts_progress or 0
-        if stored.progress(self._rollouts()) <= told:
+        received = watch.rollouts_progress or 0
+        if stored.progress(self._rollouts()) <= received:
             return False
         return self._log.is_current()
 
@@ -111,16 +111,16 @@
         return self._newest.version > watch.version
 
     def _answer(self, watch: ttypes.Watch) -> ttypes.News:
-        again = watch.epoch == self._epoch
-        whole = not (again or watch.brief)
+        is_same_epoch = watch.epoch == self._epoch
+        whole = not (is_same_epoch or watch.brief)
         if watch.brief:
-            revision = watch.revision if again else 0
+            revision = watch.revision if is_same_epoch else 0
             changed = self._table.departing_since(revision)
-        elif again:
-            changed = self._table.since(watch.revision)
+        elif is_same_epoch:
+            changed = self._table.changed_since(watch.revision)
         else:
             changed = self._table.known()
-        news = ttypes.News(
+        update = ttypes.News(
             epoch=self._epoch,
             revision=self._table.revision,
             version=watch.version,
@@ -130,13 +130,13 @@
             hosts=[host.to_wire() for host in self._known.known()],
         )
         if self._newest is not None and self._is_newer(watch):
-            news.version = self._newest.version
-            news.document = self._newest.packed
+            update.version = self._newest.version
+            update.document = self._newest.packed
         if self._has_rollouts(watch):
-            known = self._rollouts()
-            news.rollouts = [_to_wire(one) for one in known]
-            news.rollouts_progress = stored.progress(known)
-        return news
+            rollouts_known = self._rollouts()
+            update.rollouts = [_to_wire(one) for one in rollouts_known]
+            update.rollouts_progress = stored.progress(rollouts_known)
+        return update
 
 
 def _to_wire(found: orders.Rollout) -> ttypes.Rollout:
--- a/libs/control/geraniumweir/control/host.py
+++ b/libs/control/geraniumweir/control/host.py
@@ -16,17 +16,17 @@
     enrolments,
     errors,
     feed,
-    growing,
+    recorder_changes,
     hosts,
     active_document,
     logaccess,
     logevents,
     presence,
     recorders,
-    remembered,
+    server_store,
     rollouts,
     pool_servers,
-    standing,
+    leadership,
 )
 from geraniumweir.rollout import budget, orders
 from geraniumweir.routing import finding
@@ -41,13 +41,13 @@
 from reactivex import subject
 
 # Reports that a server may miss before it counts as silent.
-_MISSED_REPORTS = 3
+_MAX_MISSED_REPORTS = 3
 # A host that started so long ago has heard of all servers, in seconds: before,
 # those that it knows may be only the new ones.
-_SERVERS_KNOWN_SECONDS = 10.0
+_MIN_UPTIME_SECONDS = 10.0
 # Operators send an order again for so long where its answer was lost, if
 # nothing else is said, in seconds.
-_AGAIN_SECONDS = 10.0
+_RESEND_SECONDS = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
 
     :ivar seeds: peer addresses of some control hosts, by host id.
     :ivar current_seeds: gives the seeds of now, which may have changed.
-    :ivar may_create_log: whether the seeds may found a log: the first start of all.
+    :ivar may_create_log: whether the seeds may create a log (first start).
     :ivar bears: losses of recorders at once to bear.
     :ivar quota_seconds: length of the window over which quotas hold.
     :ivar tolerance: for what customers used before and isn't known.
@@ -76,7 +76,7 @@
     budget: retrybudget.Budget
     current_seeds: hosts.Seeds = dict
     exposure: budget.Bounds = budget.Bounds()
-    again_seconds: float = _AGAIN_SECONDS
+    again_seconds: float = _RESEND_SECONDS
 
 
 class ControlHost:
@@ -100,19 +100,19 @@
         self._clock = timers.TimerService()
         self._started = self._clock.now()
         self._link = channel.Channel(layer)
-        self.hosts = _known(cfg, layer, self._clock.now())
-        lease = cfg.report_seconds * _MISSED_REPORTS
+        self.hosts = _control_hosts(cfg, layer, self._clock.now())
+        lease = cfg.report_seconds * _MAX_MISSED_REPORTS
         self.servers = enrolments.Enrolments(cfg.me.host_id, lease)
         self.index: finding.Index | None = None
         self._changes: subject.Subject[None] = subject.Subject()
         self.log = recorders.Recorders(
             self._link,
-            _place(cfg),
+            _log_place(cfg),
             self.hosts,
             cfg.me,
-            growing.wanted(cfg.bears),
+            recorder_changes.voters_for(cfg.bears),
         )
-        self.standing = standing.Standing(
+        self.leadership = leadership.Leadership(
             self._link,
             self.log,
             self._clock,
@@ -132,14 +132,14 @@
             cfg.exposure,
             cfg.again_seconds,
         )
-        self.rollouts.on_completed = self._retire
+        self.rollouts.on_completed = self._remove_old_versions
         self._presence = presence.Presence(
             self._link,
             cfg.me,
             self.hosts,
             self.servers,
             self.log,
-            self.standing.entry_hosts,
+            self.leadership.entry_hosts,
             cfg.current_seeds,
         )
         self._feed = feed.Feed(
@@ -147,40 +147,42 @@
             self.log,
             self.servers,
             self.hosts,
-            self.standing.entry_hosts,
+            self.leadership.entry_hosts,
             self.rollouts.known,
         )
         self._presence.on_change = self._servers_changed
-        self.standing.server_notices.changes.subscribe(self._presence.hear)
-        self.log.documents.subscribe(self._put)
+        self.leadership.server_notices.changes.subscribe(
+            self._presence.handle_notice
+        )
+        self.log.documents.subscribe(self._activate_document)
         self.log.rollouts.subscribe(lambda _: self._servers_changed())
         self._service = pool_coordination.make_leader_service(
             pool_coordination.Dependencies(
                 link=self._link,
-                view=self.standing,
+                view=self.leadership,
                 pool_servers=pool_servers.PoolServers(
                     self.servers, lambda: self.index
                 ),
                 index=lambda: self.index,
-                share=self.standing.share,
+                share=self.leadership.share,
                 shares_slots=False,
                 quota_seconds=cfg.quota_seconds,
                 tolerance=cfg.tolerance,
-                hosts=self._number_of_entry_hosts,
+                hosts=self._count_entry_hosts,
                 budget=cfg.budget,
                 retries=retrybudget.Scope(
-                    self.standing.leads,
-                    self._number_of_entry_hosts,
+                    self.leadership.is_log_leader,
+                    self._count_entry_hosts,
                 ),
-                on_ask=self._note_usage,
+                on_slot_request=self._record_demand,
                 guide=self.rollouts.guide,
-                server_notices=self.standing.server_notices,
-                inform=self._presence.suspicion.inform,
+                server_notices=self.leadership.server_notices,
+                on_new_leader=self._presence.crash_cases.apply_to,
             ),
             self._clock,
         )
-        self._presence.suspicion.leaders = self._leaders
-        for changes in (self._changes, self.standing.server_notices.changes):
+        self._presence.crash_cases.leaders = self._leaders
+        for changes in (self._changes, self.leadership.server_notices.changes):
             pool_coordination.grant_on_changes(self._service, changes)
 
     @property
@@ -191,41 +193,41 @@
     async def run(self, stack: contextlib.AsyncExitStack) -> None:
         """Start everything; the stack stops it in the opposite order."""
         stack.push_async_callback(self._link.close)
-        stack.callback(self.standing.close)
+        stack.callback(self.leadership.close)
         stack.callback(self._service.close)
-        stack.callback(self._presence.suspicion.close)
-        remembered_now = self._remember()
-        stack.callback(remembered_now.close)
+        stack.callback(self._presence.crash_cases.close)
+        server_file = self._load_servers()
+        stack.callback(server_file.close)
         for work in (
             self.log.run(),
             self._presence.run(),
-            remembered_now.run(),
+            server_file.run(),
             self.rollouts.run(self._service.leader),
         ):
             task = asyncio.create_task(work)
-            stack.push_async_callback(_end, task)
+            stack.push_async_callback(_cancel, task)
 
-    def report(self, said: enrolments.Enrolment) -> hosts.ControlHost:
+    def report(self, report_read: enrolments.Enrolment) -> hosts.ControlHost:
         """Take a backend server's report.
 
         :returns: where it should report next: in its own failure domain.
         """
         before = self.servers.revision
-        if self.servers.report(said, self._clock.now()):
-            found = self.servers.get(said.server_id)
-            self._presence.tell([found] if found else [])
+        if self.servers.report(report_read, self._clock.now()):
+            found = self.servers.get(report_read.server_id)
+            self._presence.publish_changes([found] if found else [])
         if self.servers.revision != before:
             self._servers_changed()
-        return self._near(said.failure_domain)
+        return self._nearest_host(report_read.failure_domain)
 
     def leave(self, server_id: ids.ServerId, born: int | None) -> None:
         """Take that a backend server is going.
 
         :param born: the start that goes; None where it wasn't said.
         """
-        gone = self.servers.leave(server_id, self._clock.now(), born)
-        if gone is not None:
-            self._presence.tell([gone])
+        marked = self.servers.mark_gone(server_id, self._clock.now(), born)
+        if marked is not None:
+            self._presence.publish_changes([marked])
             self._servers_changed()
 
     async def roll_out(
@@ -262,27 +264,27 @@
             if one.pool == pool and one.state is enrolments.State.ready
         }
         up_for = self._clock.now() - self._started
-        if versions == {to} and up_for > _SERVERS_KNOWN_SECONDS:
+        if versions == {to} and up_for > _MIN_UPTIME_SECONDS:
             raise errors.NothingToRollOutError(f'{to} serves all of {pool}')
 
-    def _retire(self, rollout: orders.Rollout) -> None:
+    def _remove_old_versions(self, rollout: orders.Rollout) -> None:
         """Take that the servers of old versions stop now, without a word."""
         for one in self.servers.known():
             if one.pool == rollout.pool and one.version != rollout.to:
                 self.leave(one.server_id, one.born)
 
-    def _remember(self) -> remembered.Remembered:
+    def _load_servers(self) -> server_store.ServerStore:
         """Take the servers of before the start."""
-        kept = remembered.Remembered(
+        store = server_store.ServerStore(
             self._cfg.folder.with_name('servers'),
             self.servers,
         )
         now = self._clock.now()
-        for found in kept.load():
+        for found in store.load():
             self.servers.merge(found, now, self._cfg.me.host_id)
-        return kept
+        return store
 
-    def _near(self, domain: ids.FailureDomain) -> hosts.ControlHost:
+    def _nearest_host(self, domain: ids.FailureDomain) -> hosts.ControlHost:
         if domain == self._cfg.me.failure_domain:
             return self._cfg.me
         now = self._clock.now()
@@ -290,7 +292,8 @@
             host
             for host in self.hosts.known()
             if host.failure_domain == domain
-            and self.hosts.silence(host.host_id, now) < self._cfg.report_seconds
+            and self.hosts.seconds_unseen(host.host_id, now)
+            < self._cfg.report_seconds
         ]
         return near[0] if near else self._cfg.me
 
@@ -299,13 +302,13 @@
         found = map(self._service.leader, self._service.pools())
         return [one for one in found if isinstance(one, leader.OnTimeLeader)]
 
-    def _number_of_entry_hosts(self) -> int:
-        return self.standing.entry_hosts.number(self._clock.now())
+    def _count_entry_hosts(self) -> int:
+        return self.leadership.entry_hosts.count(self._clock.now())
 
-    def _note_usage(self, ask: requests.Ask) -> None:
-        self.standing.entry_hosts.usage.note(
-            ask.owner,
-            max(ask.quota_cost, 1),
+    def _record_demand(self, slot_request: requests.Ask) -> None:
+        self.leadership.entry_hosts.demand.record(
+            slot_request.owner,
+            max(slot_request.quota_cost, 1),
             self._clock.now(),
         )
 
@@ -313,7 +316,7 @@
         self._feed.notify()
         self._changes.on_next(None)
 
-    def _put(self, document: published.PublishedDocument) -> None:
+    def _activate_document(self, document: published.PublishedDocument) -> None:
         if self.index is not None and document.version <= self.index.version:
             return
         before = -1 if self.index is None else self.index.version
@@ -334,26 +337,26 @@
         self._changes.on_next(None)
 
 
-def _known(
+def _control_hosts(
     cfg: Settings,
     layer: tcp.TcpPeers,
     now: float,
 ) -> hosts.ControlHosts:
     known = hosts.ControlHosts()
-    known.learn(cfg.me, now)
+    known.register(cfg.me, now)
     for host_id, address in cfg.seeds.items():
         if host_id != cfg.me.host_id:
             layer.learn(host_id, address)
-            known.learn(hosts.seed(host_id, address), now)
+            known.register(hosts.seed(host_id, address), now)
     return known
 
 
-def _place(cfg: Settings) -> recordings.Place:
+def _log_place(cfg: Settings) -> recordings.Place:
     first = dict(cfg.seeds) if cfg.may_create_log else {}
     return recordings.Place(cfg.me.host_id, cfg.folder, first)
 
 
-async def _end(task: asyncio.Task[None]) -> None:
+async def _cancel(task: asyncio.Task[None]) -> None:
     task.cancel()
     with contextlib.suppress(asyncio.CancelledError):
         await task
--- a/libs/control/geraniumweir/control/searching.py
+++ b/libs/control/geraniumweir/control/host_search.py
@@ -15,10 +15,10 @@
 # The next control host is asked after so long without an answer, in seconds:
 # some fifty round trips between failure domains. With seven control hosts of
 # which one answers, it is asked within 0.6 s.
-_NEXT_SECONDS = 0.1
+_STAGGER_SECONDS = 0.1
 # Where some answered and none is sure, the silent ones are waited for so much
 # longer, in seconds.
-_LAST_SECONDS = 0.2
+_SILENT_WAIT_SECONDS = 0.2
 
 
 class Verdict(enum.Enum):
@@ -29,14 +29,14 @@
     silent = 'silent'
 
 
-Ask = typing.Callable[
+Probe = typing.Callable[
     [ids.HostId],
     typing.Coroutine[typing.Any, typing.Any, Verdict],
 ]
 
 
 @dataclasses.dataclass(slots=True)
-class Found:
+class SearchResult:
     """What a search found.
 
     :ivar sure: the first host that is sure, or empty.
@@ -46,66 +46,68 @@
     sure: ids.HostId = ids.HostId('')
     unsure: list[ids.HostId] = dataclasses.field(default_factory=list)
 
-    def best(self, before: ids.HostId) -> ids.HostId:
+    def best(self, current_id: ids.HostId) -> ids.HostId:
         """Give the host to watch, or empty where none answered.
 
-        :param before: is kept where none is sure and it answered.
+        :param current_id: is kept where none is sure and it answered.
         """
         if self.sure:
             return self.sure
-        if before in self.unsure:
-            return before
+        if current_id in self.unsure:
+            return current_id
         return next(iter(self.unsure), ids.HostId(''))
 
 
-class Search:
+class HostSearch:
     """One search.
 
     :ivar found: what it has found so far.
     """
 
-    def __init__(self, ask: Ask) -> None:
+    def __init__(self, probe: Probe) -> None:
         """Ask nobody yet.
 
-        :param ask: asks one host.
+        :param probe: asks one host.
         """
-        self.found = Found()
-        self._ask = ask
-        self._asked: dict[asyncio.Task[Verdict], ids.HostId] = {}
+        self.found = SearchResult()
+        self._probe = probe
+        self._pending: dict[asyncio.Task[Verdict], ids.HostId] = {}
 
-    async def run(self, ranked: typing.Iterable[ids.HostId]) -> Found:
+    async def run(
+        self, candidates: typing.Iterable[ids.HostId]
+    ) -> SearchResult:
         """Ask until one is sure or all have answered.
 
-        :param ranked: whom to ask, the first one first.
+        :param candidates: whom to ask, the first one first.
         """
         try:
-            await self._ask_all(ranked)
+            await self._probe_all(candidates)
         finally:
-            for task in self._asked:
+            for task in self._pending:
                 task.cancel()
         return self.found
 
-    async def _ask_all(self, ranked: typing.Iterable[ids.HostId]) -> None:
-        for host_id in ranked:
-            task = asyncio.create_task(self._ask(host_id))
-            self._asked[task] = host_id
-            await self._wait(_NEXT_SECONDS)
+    async def _probe_all(self, candidates: typing.Iterable[ids.HostId]) -> None:
+        for host_id in candidates:
+            task = asyncio.create_task(self._probe(host_id))
+            self._pending[task] = host_id
+            await self._wait(_STAGGER_SECONDS)
             if self.found.sure:
                 return
-        while self._asked and not self.found.sure:
-            seconds = _LAST_SECONDS if self.found.unsure else None
+        while self._pending and not self.found.sure:
+            seconds = _SILENT_WAIT_SECONDS if self.found.unsure else None
             if not await self._wait(seconds):
                 return
 
     async def _wait(self, seconds: float | None) -> bool:
         """Take the next answers; tell whether any came in time."""
         done, _ = await asyncio.wait(
-            self._asked,
+            self._pending,
             timeout=seconds,
             return_when=asyncio.FIRST_COMPLETED,
         )
         for task in done:
-            host_id = self._asked.pop(task)
+            host_id = self._pending.pop(task)
             match task.result():
                 case Verdict.sure:
                     self.found.sure = self.found.sure or host_id
--- a/libs/control/geraniumweir/control/hosts.py
+++ b/libs/control/geraniumweir/control/hosts.py
@@ -13,7 +13,7 @@
 # A control host that isn't heard for so long is asked no more, in seconds.
 # Hosts that were replaced stay away for good; cuts of some seconds must not
 # make a host forget the way back.
-FORGET_SECONDS = 60.0
+EVICT_SECONDS = 60.0
 
 # Gives some control hosts by id; they may change from call to call.
 Seeds = typing.Callable[[], typing.Mapping[ids.HostId, ids.Address]]
@@ -67,41 +67,43 @@
     def __init__(self) -> None:
         """Know of none."""
         self._known: dict[ids.HostId, ControlHost] = {}
-        self._heard: dict[ids.HostId, float] = {}
+        self._last_seen: dict[ids.HostId, float] = {}
 
-    def learn(self, host: ControlHost, now: float) -> bool:
+    def register(self, host: ControlHost, now: float) -> bool:
         """Take that there is such a host; tell whether it was news.
 
         One that is known in full stays so where only its address is told.
         """
         known = self._known.get(host.host_id)
-        bare = known is not None and not host.failure_domain
-        news = known != host and not bare
-        if news:
+        is_address_only = known is not None and not host.failure_domain
+        is_new = known != host and not is_address_only
+        if is_new:
             self._known[host.host_id] = host
-        self._heard.setdefault(host.host_id, now)
-        return news
+        self._last_seen.setdefault(host.host_id, now)
+        return is_new
 
-    def heard(self, host_id: ids.HostId, now: float) -> None:
+    def record_seen(self, host_id: ids.HostId, now: float) -> None:
         """Note a sign of life."""
         if host_id in self._known:
-            self._heard[host_id] = now
+            self._last_seen[host_id] = now
 
-    def silence(self, host_id: ids.HostId, now: float) -> float:
+    def seconds_unseen(self, host_id: ids.HostId, now: float) -> float:
         """Give the seconds since the last sign of life."""
-        return now - self._heard.get(host_id, float('-inf'))
+        return now - self._last_seen.get(host_id, float('-inf'))
 
-    def absent(self, now: float, seconds: float) -> frozenset[ids.HostId]:
+    def unseen_for(self, now: float, seconds: float) -> frozenset[ids.HostId]:
         """List those that weren't heard for some seconds."""
         return frozenset(
-            host_id for host_id, at in self._heard.items() if now - at > seconds
+            host_id
+            for host_id, seen_at in self._last_seen.items()
+            if now - seen_at > seconds
         )
 
-    def forget_old(self, now: float) -> None:
+    def evict_old(self, now: float) -> None:
         """Forget those that weren't heard for very long."""
-        for host_id in self.absent(now, FORGET_SECONDS):
+        for host_id in self.unseen_for(now, EVICT_SECONDS):
             self._known.pop(host_id)
-            self._heard.pop(host_id)
+            self._last_seen.pop(host_id)
 
     def get(self, host_id: ids.HostId) -> ControlHost | None:
         """Give one that is known."""
@@ -111,7 +113,7 @@
         """List them by id."""
         return [host for _, host in sorted(self._known.items())]
 
-    def near_first(
+    def nearest_first(
         self,
         domain: ids.FailureDomain,
     ) -> typing.Sequence[ControlHost]:
--- a/libs/control/geraniumweir/control/looking.py
+++ b/libs/control/geraniumweir/control/leave_collector.py
@@ -12,7 +12,7 @@
 from reactivex import subject
 
 
-class Looks:
+class LeaveCollector:
     """Takes leaves from control hosts that are only looked at."""
 
     def __init__(self, servers: enrolments.Enrolments) -> None:
@@ -21,7 +21,7 @@
         :param servers: takes what they tell.
         """
         self._servers = servers
-        self._seen: dict[ids.HostId, tuple[str, int]] = {}
+        self._positions: dict[ids.HostId, tuple[str, int]] = {}
         self._leaves: subject.Subject[notices.Start] = subject.Subject()
 
     @property
@@ -29,18 +29,20 @@
         """Gives servers that were thought ready."""
         return self._leaves
 
-    def seen(self, host_id: ids.HostId) -> tuple[str, int]:
+    def position(self, host_id: ids.HostId) -> tuple[str, int]:
         """Give the run and the revision of a host that was seen last."""
-        return self._seen.get(host_id, ('', 0))
+        return self._positions.get(host_id, ('', 0))
 
-    def take(self, sender: ids.HostId, news: ttypes.News, now: float) -> bool:
+    def apply(
+        self, sender: ids.HostId, update: ttypes.News, now: float
+    ) -> bool:
         """Take what a host told.
 
         :returns: whether it was news.
         """
-        self._seen[sender] = (news.epoch, news.revision)
+        self._positions[sender] = (update.epoch, update.revision)
         changed = False
-        for found in enrolments.readable(news.servers, sender):
+        for found in enrolments.parse_readable(update.servers, sender):
             before = self._servers.get(found.server_id)
             if not self._servers.merge(found, now, sender):
                 continue
--- a/libs/control/geraniumweir/control/logevents.py
+++ b/libs/control/geraniumweir/control/logevents.py
@@ -7,7 +7,7 @@
 _Event = logevents.Event
 _Level = logevents.Level
 
-SERVER_KNOWN: typing.Final = _Event(
+SERVER_CHANGED: typing.Final = _Event(
     750,
     _Level.notice,
     'server {server} of {pool} at {address}, started {born}, is {state},'
@@ -16,7 +16,7 @@
 RECORDER_OPENED: typing.Final = _Event(
     751, _Level.notice, 'recorder {identity} runs'
 )
-RECORDER_REOPENS: typing.Final = _Event(
+RECORDER_REOPENED: typing.Final = _Event(
     752, _Level.warning, 'the recorder stopped and is opened again: {reason}'
 )
 RECORDERS_CHANGE: typing.Final = _Event(
@@ -25,10 +25,10 @@
 RECORDERS_UNCHANGED: typing.Final = _Event(
     754, _Level.warning, 'recorders could not change: {change}: {reason}'
 )
-COORDINATES: typing.Final = _Event(
+COORDINATION_STARTED: typing.Final = _Event(
     755, _Level.notice, 'this host coordinates; leads the log: {leads}'
 )
-COORDINATES_NO_MORE: typing.Final = _Event(
+COORDINATION_ENDED: typing.Final = _Event(
     756, _Level.notice, 'this host coordinates no more'
 )
 DOCUMENT_PUBLISHED: typing.Final = _Event(
@@ -55,29 +55,29 @@
 DOCUMENT_UNREADABLE: typing.Final = _Event(
     764, _Level.error, 'version {version} can not be read: {reason}'
 )
-READ_UNSURE: typing.Final = _Event(
+READ_NOT_CURRENT: typing.Final = _Event(
     765, _Level.warning, 'the newest document is not sure: {reason}'
 )
-CONTROL_HOST_SILENT: typing.Final = _Event(
+CONTROL_HOST_UNREACHABLE: typing.Final = _Event(
     766, _Level.warning, 'control host {host} is not heard: {reason}'
 )
-CONTROL_HOST_HEARD: typing.Final = _Event(
+CONTROL_HOST_REACHABLE: typing.Final = _Event(
     767, _Level.notice, 'control host {host} is heard'
 )
-AWAITS_ELECTION: typing.Final = _Event(
+ELECTION_AWAITED: typing.Final = _Event(
     775,
     _Level.notice,
     'an election is under way: {answered} control hosts answer, none leads',
 )
-SLEPT: typing.Final = _Event(
+HOST_STALLED: typing.Final = _Event(
     776,
     _Level.warning,
     'this host did nothing for {seconds} s; it coordinates once it is sure',
 )
-SERVERS_NOT_KEPT: typing.Final = _Event(
+SERVERS_NOT_SAVED: typing.Final = _Event(
     768, _Level.warning, 'the servers could not be kept or read: {reason}'
 )
-QUOTA_PART: typing.Final = _Event(
+QUOTA_SHARE: typing.Final = _Event(
     769,
     _Level.notice,
     'grants {part} of each quota, hears {heard} of {hosts} entry hosts',
@@ -104,23 +104,23 @@
     _Level.notice,
     'rollout of {pool} to {to}: {step} at {exposure} of {requests} requests',
 )
-ROLLOUT_NOT_NOTED: typing.Final = _Event(
+ROLLOUT_NOT_RECORDED: typing.Final = _Event(
     779, _Level.warning, 'rollout of {pool} could not be noted: {reason}'
 )
 ROLLOUT_ENDED: typing.Final = _Event(
     780, _Level.notice, 'rollout of {pool} to {to} {state}: {reason}'
 )
-WATCH_UNSURE: typing.Final = _Event(
+WATCH_NOT_CURRENT: typing.Final = _Event(
     774,
     _Level.notice,
     'control host {host} is not sure of the newest document; {version} here',
 )
-SURE_AGAIN: typing.Final = _Event(
+CONFIRMED_AGAIN: typing.Final = _Event(
     781,
     _Level.warning,
     'no control host was sure for {seconds} s; version {version} in force',
 )
-NOTICE_LEFT_OUT: typing.Final = _Event(
+NOTICE_DISCARDED: typing.Final = _Event(
     782,
     _Level.warning,
     'what server {server} said, told by {teller}, is left out',
--- a/libs/control/geraniumweir/control/telling.py
+++ b/libs/control/geraniumweir/control/notice_exchange.py
@@ -17,12 +17,12 @@
 
 _MS = 1000
 # Durations go as 32-bit numbers; a longer one is told as this one.
-_LONGEST_MS = 2_000_000_000
-_NOBODY = ids.HostId('')
-_Told = ttypes.RateLimit | ttypes.Leaving | ttypes.Pause
+_MAX_MS = 2_000_000_000
+_NO_HOST = ids.HostId('')
+_NoticeStruct = ttypes.RateLimit | ttypes.Leaving | ttypes.Pause
 
 
-class Teller:
+class NoticeSender:
     """What an entry host tells its coordinator, and hears from it."""
 
     def __init__(
@@ -35,16 +35,16 @@
         self._known = known
         self._link = link
         self._clock = clock
-        self._host = _NOBODY
-        self._told = 0
-        self._heard = 0
-        known.changes.subscribe(self._tell)
+        self._coordinator_id = _NO_HOST
+        self._acknowledged_revision = 0
+        self._received_revision = 0
+        known.changes.subscribe(self._send_notice)
 
-    def turn_to(self, host_id: ids.HostId) -> None:
+    def set_coordinator(self, host_id: ids.HostId) -> None:
         """Take that another host coordinates; tell it all that is known."""
-        self._host = host_id
-        self._told = 0
-        self._heard = 0
+        self._coordinator_id = host_id
+        self._acknowledged_revision = 0
+        self._received_revision = 0
         known = self._known.since(0)
         if host_id and known:
             self._link.send(host_id, pack(known, self._clock.now()))
@@ -54,42 +54,42 @@
 
         :returns: how far the host knows all once it has answered.
         """
-        if host_id == self._host:
-            ping.notices = self._untold()
-            ping.notices_revision = self._heard
+        if host_id == self._coordinator_id:
+            ping.notices = self._unacknowledged()
+            ping.notices_revision = self._received_revision
         return self._known.revision
 
-    def answered(
+    def handle_pong(
         self,
         host_id: ids.HostId,
-        told: int,
+        received: int,
         pong: ttypes.Pong,
     ) -> None:
         """Take the answer to a ping.
 
-        :param told: what :meth:`fill` gave.
+        :param received: what :meth:`fill` gave.
         """
-        if host_id != self._host:
+        if host_id != self._coordinator_id:
             return
-        self._told = max(self._told, told)
+        self._acknowledged_revision = max(self._acknowledged_revision, received)
         if pong.notices is not None:
-            take(self._known, pong.notices, host_id, self._clock.now())
-        self._heard = pong.notices_revision or 0
+            apply(self._known, pong.notices, host_id, self._clock.now())
+        self._received_revision = pong.notices_revision or 0
 
-    def _tell(self, notice: notices.Notice) -> None:
+    def _send_notice(self, notice: notices.Notice) -> None:
         """Tell what was heard here ahead of the asks that follow."""
-        if self._host and notice.host_id != self._host:
+        if self._coordinator_id and notice.host_id != self._coordinator_id:
             now = self._clock.now()
-            self._link.send(self._host, pack([notice], now))
+            self._link.send(self._coordinator_id, pack([notice], now))
 
-    def _untold(self) -> ttypes.Notices | None:
-        if self._told == self._known.revision:
+    def _unacknowledged(self) -> ttypes.Notices | None:
+        if self._acknowledged_revision == self._known.revision:
             return None
-        found = self._known.since(self._told)
+        found = self._known.since(self._acknowledged_revision)
         return pack(found, self._clock.now()) if found else None
 
 
-class Listener:
+class NoticeReceiver:
     """What a coordinator hears from entry hosts, and tells them."""
 
     def __init__(
@@ -103,10 +103,10 @@
         self._clock = clock
         link.handle(ttypes.Notices, self._on_notices)
 
-    def take(self, sender: ids.HostId, ping: ttypes.Ping) -> None:
+    def apply(self, sender: ids.HostId, ping: ttypes.Ping) -> None:
         """Take what came with a ping."""
         if ping.notices is not None:
-            take(self._known, ping.notices, sender, self._clock.now())
+            apply(self._known, ping.notices, sender, self._clock.now())
 
     def fill(self, ping: ttypes.Ping, pong: ttypes.Pong) -> None:
         """Put into an answer what the asker doesn't have."""
@@ -118,9 +118,9 @@
             known = 0
         # Leaving servers are told of with the enrolments, and a pause concerns
         # the host that was asked for it alone.
-        news = self._known.limits_since(known)
-        if news:
-            pong.notices = pack(news, self._clock.now())
+        updates = self._known.limits_since(known)
+        if updates:
+            pong.notices = pack(updates, self._clock.now())
         pong.notices_revision = self._known.revision
 
     async def _on_notices(
@@ -128,7 +128,7 @@
         sender: ids.HostId,
         message: ttypes.Notices,
     ) -> None:
-        take(self._known, message, sender, self._clock.now())
+        apply(self._known, message, sender, self._clock.now())
 
 
 def pack(
@@ -160,34 +160,36 @@
     return message
 
 
-def take(
+def apply(
     known: notices.Notices,
-    told: ttypes.Notices,
-    teller: ids.HostId,
+    received: ttypes.Notices,
+    from_host: ids.HostId,
     now: float,
 ) -> None:
     """Take what another host told; what can't be read is left out.
 
     :param now: in seconds.
     """
-    for one in itertools.chain(*_lists(told)):
+    for one in itertools.chain(*_notice_lists(received)):
         if _is_readable(one):
-            known.hear(_notice(one, teller, now))
+            known.hear(_notice(one, from_host, now))
         else:
             eventlog.emit(
-                logevents.NOTICE_LEFT_OUT,
-                teller=teller,
+                logevents.NOTICE_DISCARDED,
+                teller=from_host,
                 server=one.server_id or '',
             )
 
 
-def _lists(told: ttypes.Notices) -> typing.Iterator[typing.Iterable[_Told]]:
-    yield told.limits or ()
-    yield told.leaving or ()
-    yield told.pauses or ()
+def _notice_lists(
+    received: ttypes.Notices,
+) -> typing.Iterator[typing.Iterable[_NoticeStruct]]:
+    yield received.limits or ()
+    yield received.leaving or ()
+    yield received.pauses or ()
 
 
-def _is_readable(one: _Told) -> bool:
+def _is_readable(one: _NoticeStruct) -> bool:
     if one.server_id is None or one.incarnation is None:
         return False
     match one:
@@ -206,7 +208,9 @@
     return rate is None or (math.isfinite(rate) and rate >= 0)
 
 
-def _notice(one: _Told, teller: ids.HostId, now: float) -> notices.Notice:
+def _notice(
+    one: _NoticeStruct, from_host: ids.HostId, now: float
+) -> notices.Notice:
     content: notices.Content
     match one:
         case ttypes.RateLimit():
@@ -225,11 +229,11 @@
         ids.ServerId(one.server_id),
         ids.Incarnation(one.incarnation),
         content,
-        teller,
+        from_host,
         sent_at,
         heard_at,
     )
 
 
 def _to_ms(seconds: float) -> int:
-    return min(max(int(seconds * _MS), 0), _LONGEST_MS)
+    return min(max(int(seconds * _MS), 0), _MAX_MS)
--- a/libs/control/geraniumweir/control/pool_coordination.py
+++ b/libs/control/geraniumweir/control/pool_coordination.py
@@ -5,7 +5,7 @@
 
 import reactivex
 from geraniumweir.common import ids, timers
-from geraniumweir.control import pool_servers, spent
+from geraniumweir.control import pool_servers, usage_codec
 from geraniumweir.rollout import guiding
 from geraniumweir.routing import finding
 from geraniumweir.scheduling import (
@@ -29,17 +29,17 @@
 
 # All pools of the hosts that reach each other are led from one place, so that
 # unlike servers of several failure domains are one capacity.
-AREA = ids.FailureDomain('all')
+ALL_DOMAINS = ids.FailureDomain('all')
 # A new leader grants nothing for so long, in seconds, while entry hosts hand
 # over what they have; they do so as soon as they see it, a few milliseconds.
 # What comes later is taken over all the same.
-_SETTLE_SECONDS = 0.1
+_TAKEOVER_SECONDS = 0.1
 # Entry hosts that turn here before this host knows that it coordinates do so
 # within a look at the log (0.1 s) and a ping (0.2 s), in seconds.
-_EARLY_SECONDS = 1.0
+_EARLY_REPORT_SECONDS = 1.0
 
 Index = typing.Callable[[], finding.Index | None]
-OnAsk = typing.Callable[[requests.Ask], None]
+OnSlotRequest = typing.Callable[[requests.Ask], None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -54,10 +54,10 @@
         cut off along with the coordinator before.
     :ivar budget: what all hosts together may send again.
     :ivar retries: whom the retries of that are counted for.
-    :ivar on_ask: told of each ask that comes.
+    :ivar on_slot_request: told of each ask that comes.
     :ivar guide: makes what decides about versions of a pool's servers.
     :ivar server_notices: what is known of what servers said.
-    :ivar inform: told of each new leader of a pool.
+    :ivar on_new_leader: told of each new leader of a pool.
     """
 
     link: channel.Channel
@@ -70,11 +70,11 @@
     hosts: typing.Callable[[], int]
     budget: retrybudget.Budget
     retries: retrybudget.Scope
-    on_ask: OnAsk | None = None
+    on_slot_request: OnSlotRequest | None = None
     tolerance: quotas.Tolerance = quotas.Tolerance()
     guide: typing.Callable[[ids.PoolName], guiding.Guide] | None = None
     server_notices: notices.Notices | None = None
-    inform: typing.Callable[[leader.OnTimeLeader], None] | None = None
+    on_new_leader: typing.Callable[[leader.OnTimeLeader], None] | None = None
 
     def rates(self) -> dict[notices.Start, float]:
         """Give what may be granted here of the limits of servers."""
@@ -99,62 +99,65 @@
         )
 
 
-class Counting:
+class UsageAccounting:
     """Counts quotas and retries here, anew whenever others coordinated.
 
     :ivar quotas: of customers.
     :ivar retries: of pools.
     """
 
-    def __init__(self, parts: Dependencies, clock: timers.TimerService) -> None:
+    def __init__(self, deps: Dependencies, clock: timers.TimerService) -> None:
         """Follow who coordinates."""
         self.quotas = quotas.Quotas(
-            lambda customer: _allowance(parts.index(), customer),
-            parts.share,
-            parts.quota_seconds,
+            lambda customer: _allowance(deps.index(), customer),
+            deps.share,
+            deps.quota_seconds,
             clock.now(),
-            parts.hosts,
-            parts.tolerance,
+            deps.hosts,
+            deps.tolerance,
         )
         self.retries = retrybudget.RetryBudgets(
-            parts.budget,
-            parts.retries,
+            deps.budget,
+            deps.retries,
             clock.now(),
         )
-        self._parts = parts
+        self._deps = deps
         self._clock = clock
-        self._coordinates = _coordinates(parts)
-        self._leads = parts.retries.leads()
-        self._told: dict[ids.HostId, tuple[spending.Spent, float]] = {}
-        parts.view.changes.subscribe(lambda _: self._look())
-        parts.link.handle(ttypes.Spent, self._on_spent)
+        self._is_coordinator = _is_coordinator(deps)
+        self._is_log_leader = deps.retries.leads()
+        self._reports: dict[ids.HostId, tuple[spending.Spent, float]] = {}
+        deps.view.changes.subscribe(lambda _: self._restart_windows())
+        deps.link.handle(ttypes.Spent, self._on_spent)
 
-    def _look(self) -> None:
+    def _restart_windows(self) -> None:
         """Count from now on, with what entry hosts have told already.
 
         They may see that this host coordinates before it does itself.
         """
-        coordinated, led = self._coordinates, self._leads
-        self._coordinates = _coordinates(self._parts)
-        self._leads = self._parts.retries.leads()
+        was_coordinator, was_log_leader = (
+            self._is_coordinator,
+            self._is_log_leader,
+        )
+        self._is_coordinator = _is_coordinator(self._deps)
+        self._is_log_leader = self._deps.retries.leads()
         now = self._clock.now()
-        begins = self._coordinates and not coordinated
+        begins = self._is_coordinator and not was_coordinator
         if begins:
             self.quotas.begin(now)
-            for sender, told, at in self._told_lately(now):
-                self.quotas.learn(sender, told, at)
-        if begins or (self._leads and not led):
+            for sender, usage, received_at in self._recent_reports(now):
+                self.quotas.learn(sender, usage, received_at)
+        if begins or (self._is_log_leader and not was_log_leader):
             self.retries.begin(now)
-            for sender, told, at in self._told_lately(now):
-                self.retries.learn(sender, told.retries, at)
+            for sender, usage, received_at in self._recent_reports(now):
+                self.retries.learn(sender, usage.retries, received_at)
 
-    def _told_lately(
+    def _recent_reports(
         self,
         now: float,
     ) -> typing.Iterator[tuple[ids.HostId, spending.Spent, float]]:
-        for sender, (told, at) in self._told.items():
-            if now - at <= _EARLY_SECONDS:
-                yield sender, told, at
+        for sender, (usage, received_at) in self._reports.items():
+            if now - received_at <= _EARLY_REPORT_SECONDS:
+                yield sender, usage, received_at
 
     async def _on_spent(
         self,
@@ -162,39 +165,39 @@
         message: ttypes.Spent,
     ) -> None:
         now = self._clock.now()
-        told = spent.unpack(message)
-        self._told = {
+        usage = usage_codec.unpack(message)
+        self._reports = {
             host: found
-            for host, found in self._told.items()
-            if now - found[1] <= _EARLY_SECONDS
+            for host, found in self._reports.items()
+            if now - found[1] <= _EARLY_REPORT_SECONDS
         }
-        self._told[sender] = (told, now)
-        self.quotas.learn(sender, told, now)
-        self.retries.learn(sender, told.retries, now)
+        self._reports[sender] = (usage, now)
+        self.quotas.learn(sender, usage, now)
+        self.retries.learn(sender, usage.retries, now)
 
 
-def _coordinates(parts: Dependencies) -> bool:
-    live = parts.view.live(AREA)
-    return not live or parts.link.host_id in live
+def _is_coordinator(deps: Dependencies) -> bool:
+    live = deps.view.live(ALL_DOMAINS)
+    return not live or deps.link.host_id in live
 
 
 def make_leader_service(
-    parts: Dependencies,
+    deps: Dependencies,
     clock: timers.TimerService,
 ) -> remote.LeaderService:
     """Lead pools whenever this host coordinates."""
-    counting = Counting(parts, clock)
+    counting = UsageAccounting(deps, clock)
     return remote.LeaderService(
-        parts.link,
-        parts.view,
-        AREA,
-        lambda pool, _on_preempt: _leader(parts, pool, clock),
+        deps.link,
+        deps.view,
+        ALL_DOMAINS,
+        lambda pool, _on_preempt: _leader(deps, pool, clock),
         clock,
         gating.Gate(
             counting.quotas,
             counting.retries,
             clock.now,
-            parts.on_ask,
+            deps.on_slot_request,
         ),
     )
 
@@ -211,9 +214,9 @@
     """
     return broker.Broker(
         link,
-        AREA,
+        ALL_DOMAINS,
         view,
-        _NoOthers(),
+        _NoRemotePools(),
         clock,
         awaits_election,
     )
@@ -224,10 +227,10 @@
     changes: reactivex.Observable[typing.Any],
 ) -> abc.DisposableBase:
     """Let leaders look again whenever servers or the document change."""
-    return changes.subscribe(lambda _: _look_again(service))
+    return changes.subscribe(lambda _: _grant_all(service))
 
 
-def _look_again(service: remote.LeaderService) -> None:
+def _grant_all(service: remote.LeaderService) -> None:
     for pool in service.pools():
         found = service.leader(pool)
         if found is not None:
@@ -235,29 +238,29 @@
 
 
 def _leader(
-    parts: Dependencies,
+    deps: Dependencies,
     pool: ids.PoolName,
     clock: timers.TimerService,
 ) -> leader.OnTimeLeader:
-    cfg = settings.LeaderSettings(
+    leader_settings = settings.LeaderSettings(
         pool,
-        f'{parts.link.host_id}/{pool}',
-        settle_seconds=_SETTLE_SECONDS,
+        f'{deps.link.host_id}/{pool}',
+        settle_seconds=_TAKEOVER_SECONDS,
     )
-    made = leader.OnTimeLeader(
-        cfg,
+    new_leader = leader.OnTimeLeader(
+        leader_settings,
         clock.now,
-        lambda: parts.pool_servers.of_pool(
+        lambda: deps.pool_servers.of_pool(
             pool,
-            parts.share() if parts.shares_slots else 1,
+            deps.share() if deps.shares_slots else 1,
         ),
-        parts.guide(pool) if parts.guide else None,
-        parts.rates,
-        parts.pauses,
+        deps.guide(pool) if deps.guide else None,
+        deps.rates,
+        deps.pauses,
     )
-    if parts.inform is not None:
-        parts.inform(made)
-    return made
+    if deps.on_new_leader is not None:
+        deps.on_new_leader(new_leader)
+    return new_leader
 
 
 def _allowance(
@@ -271,7 +274,7 @@
     return quotas.Allowance(quota.per_second, quota.burst)
 
 
-class _NoOthers:
+class _NoRemotePools:
     """There are no pools elsewhere; see :class:`views.PoolDirectory`."""
 
     def others(
--- a/libs/control/geraniumweir/control/pool_servers.py
+++ b/libs/control/geraniumweir/control/pool_servers.py
@@ -15,30 +15,30 @@
 from geraniumweir.routing import finding, tables
 from geraniumweir.scheduling import notices, rendezvous
 
-_ANY_HOST = ids.HostId('')
-_ANY_DOMAIN = ids.FailureDomain('')
+_NO_HOST = ids.HostId('')
+_NO_DOMAIN = ids.FailureDomain('')
 # A host that has more than this part of a slot of a server uses one: all
 # together at most twice as many as there are.
-_LEAST_PART = 0.5
+_MIN_SLOT_FRACTION = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Part:
+class _SlotShare:
     """The part of a server's slots that this host may use.
 
-    :ivar whole: slots.
+    :ivar whole_slots: slots.
     :ivar draw: of a slot more, drawn between 0 and 1: the least goes first.
-    :ivar drawn: that slot is this host's too.
+    :ivar has_extra_slot: that slot is this host's too.
     """
 
-    whole: int
+    whole_slots: int
     draw: float
-    drawn: bool
+    has_extra_slot: bool
 
     @property
     def slots(self) -> int:
         """Give how many these are."""
-        return self.whole + self.drawn
+        return self.whole_slots + self.has_extra_slot
 
 
 class PoolServers:
@@ -48,8 +48,8 @@
         self,
         table: enrolments.Enrolments,
         index: typing.Callable[[], finding.Index | None],
-        host_id: ids.HostId = _ANY_HOST,
-        domain: ids.FailureDomain = _ANY_DOMAIN,
+        host_id: ids.HostId = _NO_HOST,
+        domain: ids.FailureDomain = _NO_DOMAIN,
         server_notices: notices.Notices | None = None,
     ) -> None:
         """Look at what a host knows.
@@ -60,18 +60,20 @@
         :param server_notices: what servers said in their answers.
         """
         self._table = table
-        self._said = server_notices
+        self._server_notices = server_notices
         self._host_id = host_id
         self._domain = domain
         self._index = index
-        self._made: dict[
+        self._announcements: dict[
             ids.ServerId,
             tuple[enrolments.Enrolment, int, servers.Announcement],
         ] = {}
 
     def is_leaving(self, start: notices.Start) -> bool:
         """Tell whether a start of a server is known to leave or to be gone."""
-        if self._said is not None and self._said.is_leaving(start):
+        if self._server_notices is not None and self._server_notices.is_leaving(
+            start
+        ):
             return True
         found = self._table.get(start[0])
         if found is None or found.born != start[1]:
@@ -102,10 +104,10 @@
             ]
         return [
             self._announcement(found, pool, slots)
-            for found, slots in self._parts(ready, share)
+            for found, slots in self._standalone_slots(ready, share)
         ]
 
-    def _parts(
+    def _standalone_slots(
         self,
         ready: typing.Sequence[enrolments.Enrolment],
         share: float,
@@ -118,7 +120,7 @@
         together they use as many as there are. One slot of each server for
         each host would be twenty times that.
         """
-        if share * _slots(ready) > _LEAST_PART * len(ready):
+        if share * _slots(ready) > _MIN_SLOT_FRACTION * len(ready):
             return [
                 (one, max(math.floor(one.slots * share), 1)) for one in ready
             ]
@@ -126,7 +128,8 @@
         near = near or list(ready)
         scale = _slots(ready) / max(_slots(near), 1)
         drawn = {
-            found.server_id: self._part(found, share * scale) for found in near
+            found.server_id: self._slot_share(found, share * scale)
+            for found in near
         }
         found = [
             (one, drawn[one.server_id].slots)
@@ -137,11 +140,13 @@
             return found
         return [(min(near, key=lambda one: drawn[one.server_id].draw), 1)]
 
-    def _part(self, found: enrolments.Enrolment, share: float) -> _Part:
+    def _slot_share(
+        self, found: enrolments.Enrolment, share: float
+    ) -> _SlotShare:
         slots = found.slots * share
-        whole = math.floor(slots)
+        whole_slots = math.floor(slots)
         draw = rendezvous.lot(self._host_id, found.server_id)
-        return _Part(whole, draw, draw < slots - whole)
+        return _SlotShare(whole_slots, draw, draw < slots - whole_slots)
 
     def _announcement(
         self,
@@ -150,10 +155,10 @@
         slots: int,
     ) -> servers.Announcement:
         """Make an announcement, the same object while nothing changed."""
-        made = self._made.get(found.server_id)
+        cached = self._announcements.get(found.server_id)
         slots = max(slots, 1)
-        if made is not None and made[0] is found and made[1] == slots:
-            return made[2]
+        if cached is not None and cached[0] is found and cached[1] == slots:
+            return cached[2]
         engine = pool.engine
         announcement = servers.Announcement(
             server_id=found.server_id,
@@ -168,9 +173,9 @@
             version=found.version,
             cold=found.cold,
         )
-        if made is not None and made[2] == announcement:
-            announcement = made[2]
-        self._made[found.server_id] = (found, slots, announcement)
+        if cached is not None and cached[2] == announcement:
+            announcement = cached[2]
+        self._announcements[found.server_id] = (found, slots, announcement)
         return announcement
 
 
--- a/libs/control/geraniumweir/control/presence.py
+++ b/libs/control/geraniumweir/control/presence.py
@@ -15,8 +15,8 @@
     hosts,
     logevents,
     recorders,
-    standing,
-    suspicion,
+    leadership,
+    crash_cases,
 )
 from geraniumweir.scheduling import notices
 from geraniumweir.wire import errors, peers
@@ -24,9 +24,9 @@
 
 # Control hosts compare what they know this often, in seconds: an enrolment
 # that got lost between them is made good within a second.
-_PERIOD = 0.5
+_EXCHANGE_SECONDS = 0.5
 # Answers between domains take a few milliseconds, in seconds.
-_TIMEOUT = 0.5
+_TIMEOUT_SECONDS = 0.5
 # A control host that isn't heard for so long is absent, in seconds: the
 # servers that report there have turned to another one by then (they report
 # about once a second and give up after one more).
@@ -37,7 +37,7 @@
     """The exchange between control hosts.
 
     :ivar on_change: told when enrolments changed.
-    :ivar suspicion: what they tell of requests that crash servers.
+    :ivar crash_cases: what they tell of requests that crash servers.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         known: hosts.ControlHosts,
         table: enrolments.Enrolments,
         log: recorders.Recorders,
-        entry_hosts: standing.EntryHosts,
+        entry_hosts: leadership.EntryHosts,
         seeds: hosts.Seeds = dict,
     ) -> None:
         """Answer the others from now on.
@@ -55,7 +55,7 @@
         :param seeds: gives some control hosts to ask while none of those
             that are known is heard.
         """
-        self._seeds = seeds
+        self._current_seeds = seeds
         self._link = link
         self._me = me
         self._known = known
@@ -63,9 +63,9 @@
         self._log = log
         self._entry_hosts = entry_hosts
         self._clock = timers.TimerService()
-        self.suspicion = suspicion.Suspicion(link, known, self._clock)
-        self._silent: set[ids.HostId] = set()
-        self.on_change: typing.Callable[[], None] = _nothing
+        self.crash_cases = crash_cases.CrashCases(link, known, self._clock)
+        self._unreachable: set[ids.HostId] = set()
+        self.on_change: typing.Callable[[], None] = _ignore
         link.handle(ttypes.Presence, self._on_presence)
         link.handle(ttypes.Enrolled, self._on_enrolled)
         link.handle(ttypes.AskEnrolled, self._on_ask_enrolled)
@@ -74,35 +74,39 @@
         """Exchange until cancelled."""
         while True:
             others = self._others()
-            await asyncio.gather(*(self._meet(host) for host in others))
+            await asyncio.gather(
+                *(self._exchange_with(host) for host in others)
+            )
             now = self._clock.now()
-            self._known.heard(self._me.host_id, now)
-            self._known.forget_old(now)
-            absent = self._known.absent(now, _ABSENT_SECONDS)
+            self._known.record_seen(self._me.host_id, now)
+            self._known.evict_old(now)
+            absent = self._known.unseen_for(now, _ABSENT_SECONDS)
             if absent.issuperset(self._others()):
-                self._meet_seeds(now)
-            fallen = self._table.expire(now, absent)
-            self.tell(fallen)
-            if fallen:
+                self._add_seeds(now)
+            newly_silent = self._table.expire(now, absent)
+            self.publish_changes(newly_silent)
+            if newly_silent:
                 self.on_change()
-            await asyncio.sleep(_PERIOD)
+            await asyncio.sleep(_EXCHANGE_SECONDS)
 
-    def hear(self, notice: notices.Notice) -> None:
+    def handle_notice(self, notice: notices.Notice) -> None:
         """Take that a server told an entry host that it leaves."""
         if not isinstance(notice.content, notices.Leaving):
             return
         now = self._clock.now()
         found = self._table.mark_leaving(*notice.start, now)
         if found is not None:
-            self.tell([found])
+            self.publish_changes([found])
             self.on_change()
 
-    def tell(self, changed: typing.Sequence[enrolments.Enrolment]) -> None:
+    def publish_changes(
+        self, changed: typing.Sequence[enrolments.Enrolment]
+    ) -> None:
         """Tell the other control hosts of changed enrolments."""
         if not changed:
             return
-        for news in changed:
-            log_server(news)
+        for enrolment in changed:
+            log_server(enrolment)
         message = ttypes.Enrolled([found.to_wire() for found in changed])
         for host_id in self._others():
             self._link.send(host_id, message)
@@ -114,70 +118,72 @@
             if host.host_id != self._me.host_id
         ]
 
-    async def _meet(self, host_id: ids.HostId) -> None:
+    async def _exchange_with(self, host_id: ids.HostId) -> None:
         try:
-            answer = await self._link.call(host_id, self._card(), _TIMEOUT)
+            answer = await self._link.call(
+                host_id, self._own_report(), _TIMEOUT_SECONDS
+            )
         except errors.PeerError as exc:
-            self._note_silence(host_id, exc.message)
+            self._record_unreachable(host_id, exc.message)
             return
-        self._take(host_id, answer)
+        self._apply(host_id, answer)
         if answer.digest != self._table.digest():
-            await self._compare(host_id)
+            await self._fetch_enrolments(host_id)
 
-    def _meet_seeds(self, now: float) -> None:
+    def _add_seeds(self, now: float) -> None:
         """Ask the seeds of now from the next exchange on."""
-        for host_id, address in self._seeds().items():
-            if self._known.learn(hosts.seed(host_id, address), now):
+        for host_id, address in self._current_seeds().items():
+            if self._known.register(hosts.seed(host_id, address), now):
                 self._link.learn(host_id, address)
 
-    async def _compare(self, host_id: ids.HostId) -> None:
+    async def _fetch_enrolments(self, host_id: ids.HostId) -> None:
         try:
-            told = await self._link.call(
+            received = await self._link.call(
                 host_id,
                 ttypes.AskEnrolled(),
-                _TIMEOUT,
+                _TIMEOUT_SECONDS,
             )
         except errors.PeerError as exc:
-            self._note_silence(host_id, exc.message)
+            self._record_unreachable(host_id, exc.message)
             return
-        await self._on_enrolled(host_id, told)
+        await self._on_enrolled(host_id, received)
 
-    def _card(self) -> ttypes.Presence:
+    def _own_report(self) -> ttypes.Presence:
         return ttypes.Presence(
             me=self._me.to_wire(),
             hosts=[host.to_wire() for host in self._known.known()],
             digest=self._table.digest(),
-            entry_hosts=self._entry_hosts.number(self._clock.now()),
+            entry_hosts=self._entry_hosts.count(self._clock.now()),
             leads=self._log.is_leading(),
         )
 
     async def _on_presence(
         self,
         sender: ids.HostId,
-        card: ttypes.Presence,
+        report: ttypes.Presence,
     ) -> ttypes.Presence:
-        self._take(sender, card)
-        return self._card()
+        self._apply(sender, report)
+        return self._own_report()
 
-    def _take(self, sender: ids.HostId, card: ttypes.Presence) -> None:
+    def _apply(self, sender: ids.HostId, report: ttypes.Presence) -> None:
         now = self._clock.now()
-        for told in (card.me, *card.hosts):
-            host = hosts.from_wire(told)
-            if self._known.learn(host, now):
+        for received in (report.me, *report.hosts):
+            host = hosts.from_wire(received)
+            if self._known.register(host, now):
                 self._link.learn(host.host_id, host.address)
-        self._known.heard(sender, now)
-        if card.leads:
-            self._log.tell_leader(sender)
-            self._entry_hosts.told(card.entry_hosts, now)
-        if sender in self._silent:
-            self._silent.discard(sender)
-            eventlog.emit(logevents.CONTROL_HOST_HEARD, host=sender)
-
-    def _note_silence(self, host_id: ids.HostId, reason: str) -> None:
-        if host_id not in self._silent:
-            self._silent.add(host_id)
+        self._known.record_seen(sender, now)
+        if report.leads:
+            self._log.record_leader(sender)
+            self._entry_hosts.set_reported_count(report.entry_hosts, now)
+        if sender in self._unreachable:
+            self._unreachable.discard(sender)
+            eventlog.emit(logevents.CONTROL_HOST_REACHABLE, host=sender)
+
+    def _record_unreachable(self, host_id: ids.HostId, reason: str) -> None:
+        if host_id not in self._unreachable:
+            self._unreachable.add(host_id)
             eventlog.emit(
-                logevents.CONTROL_HOST_SILENT,
+                logevents.CONTROL_HOST_UNREACHABLE,
                 host=host_id,
                 reason=reason,
             )
@@ -189,7 +195,7 @@
     ) -> None:
         now = self._clock.now()
         before = self._table.revision
-        for found in enrolments.readable(message.servers, sender):
+        for found in enrolments.parse_readable(message.servers, sender):
             if self._table.merge(found, now, sender):
                 log_server(found)
         if self._table.revision != before:
@@ -205,14 +211,14 @@
         )
 
 
-def _nothing() -> None:
+def _ignore() -> None:
     """Do nothing when nobody wants to know of changes."""
 
 
 def log_server(found: enrolments.Enrolment) -> None:
     """Log what is believed of a server."""
     eventlog.emit(
-        logevents.SERVER_KNOWN,
+        logevents.SERVER_CHANGED,
         server=found.server_id,
         pool=found.pool,
         address=str(found.address),
--- a/libs/control/geraniumweir/control/growing.py
+++ b/libs/control/geraniumweir/control/recorder_changes.py
@@ -20,27 +20,27 @@
 LOST_SECONDS = 1.5
 # A learner that didn't follow for so long is dropped, in seconds; it costs no
 # majority, so a host that is only restarted keeps its place.
-DROP_SECONDS = 15.0
+REMOVE_LEARNER_SECONDS = 15.0
 # A join is asked for every half second; one that is older is withdrawn.
-JOIN_SECONDS = 2.0
+JOIN_EXPIRY_SECONDS = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Join:
     """A host that wants to be a recorder.
 
-    :ivar at: when it last said so, in seconds.
+    :ivar requested_at: when it last said so, in seconds.
     """
 
     host_id: ids.HostId
     address: str
     identity: members.RecorderId
     failure_domain: ids.FailureDomain
-    at: float
+    requested_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seat:
+class RecorderStatus:
     """One of the present recorders.
 
     :ivar silence: seconds since it last followed.
@@ -95,91 +95,95 @@
     failure_domain: ids.FailureDomain
 
 
-def wanted(machines: int) -> int:
+def voters_for(failures: int) -> int:
     """Give the number of voters for a number of losses at once.
 
-    >>> wanted(1), wanted(2)
+    >>> voters_for(1), voters_for(2)
     (3, 5)
     """
-    return 2 * machines + 1
+    return 2 * failures + 1
 
 
 def decide(
-    seats: typing.Sequence[Seat],
+    recorders: typing.Sequence[RecorderStatus],
     joins: typing.Sequence[Join],
-    number: int,
+    voter_count: int,
 ) -> Change | None:
     """Choose the next change of the recorders, or None.
 
     :param joins: hosts that want in now.
-    :param number: of voters wanted.
+    :param voter_count: of voters wanted.
     """
-    voters = [seat for seat in seats if seat.member.voter]
-    learners = [seat for seat in seats if not seat.member.voter]
-    known = {seat.member.identity for seat in seats}
-    new = [join for join in joins if join.identity not in known]
-    emptied = _emptied(voters, new)
-    if emptied is not None:
-        return Add(emptied.host_id, emptied.address)
-    change = _fill(voters, _candidates(learners, new), number)
+    voters = [recorder for recorder in recorders if recorder.member.voter]
+    learners = [recorder for recorder in recorders if not recorder.member.voter]
+    known = {recorder.member.identity for recorder in recorders}
+    new_joins = [join for join in joins if join.identity not in known]
+    reset_voter = _find_reset_voter(voters, new_joins)
+    if reset_voter is not None:
+        return Add(reset_voter.host_id, reset_voter.address)
+    change = _add_or_replace(
+        voters, _candidates(learners, new_joins), voter_count
+    )
     if change is not None:
         return change
-    for seat in learners:
-        if seat.silence > DROP_SECONDS:
-            return Remove(seat.member.host_id)
-    if new:
-        return Learn(new[0].host_id, new[0].address)
+    for recorder in learners:
+        if recorder.silence > REMOVE_LEARNER_SECONDS:
+            return Remove(recorder.member.host_id)
+    if new_joins:
+        return Learn(new_joins[0].host_id, new_joins[0].address)
     return None
 
 
-def _emptied(
-    voters: typing.Sequence[Seat],
-    new: typing.Sequence[Join],
+def _find_reset_voter(
+    voters: typing.Sequence[RecorderStatus],
+    new_joins: typing.Sequence[Join],
 ) -> Join | None:
     """Find a voter's host that came back with another folder."""
-    hosts = {seat.member.host_id for seat in voters}
-    return next((join for join in new if join.host_id in hosts), None)
+    hosts = {recorder.member.host_id for recorder in voters}
+    return next((join for join in new_joins if join.host_id in hosts), None)
 
 
 def _candidates(
-    learners: typing.Sequence[Seat],
-    new: typing.Sequence[Join],
+    learners: typing.Sequence[RecorderStatus],
+    new_joins: typing.Sequence[Join],
 ) -> list[_Candidate]:
     live = [
         _Candidate(
-            seat.member.host_id,
-            seat.member.address,
-            seat.failure_domain,
+            recorder.member.host_id,
+            recorder.member.address,
+            recorder.failure_domain,
         )
-        for seat in learners
-        if seat.silence <= LOST_SECONDS
+        for recorder in learners
+        if recorder.silence <= LOST_SECONDS
     ]
     return live or [
         _Candidate(join.host_id, join.address, join.failure_domain)
-        for join in new
+        for join in new_joins
     ]
 
 
-def _fill(
-    voters: typing.Sequence[Seat],
+def _add_or_replace(
+    voters: typing.Sequence[RecorderStatus],
     candidates: typing.Sequence[_Candidate],
-    number: int,
+    voter_count: int,
 ) -> Change | None:
     """Add a voter that is missing, or replace one that is lost."""
-    spread = collections.Counter(
-        seat.failure_domain for seat in voters if seat.silence <= LOST_SECONDS
+    domain_counts = collections.Counter(
+        recorder.failure_domain
+        for recorder in voters
+        if recorder.silence <= LOST_SECONDS
     )
     best = min(
         candidates,
-        key=lambda one: (spread[one.failure_domain], one.host_id),
+        key=lambda one: (domain_counts[one.failure_domain], one.host_id),
         default=None,
     )
     if best is None:
         return None
-    if len(voters) < number:
+    if len(voters) < voter_count:
         return Add(best.host_id, best.address)
-    lost = [seat for seat in voters if seat.silence > LOST_SECONDS]
+    lost = [recorder for recorder in voters if recorder.silence > LOST_SECONDS]
     if not lost:
         return None
-    worst = max(lost, key=lambda seat: seat.silence)
+    worst = max(lost, key=lambda recorder: recorder.silence)
     return Replace(best.host_id, best.address, worst.member.host_id)
--- a/libs/control/geraniumweir/control/recorders.py
+++ b/libs/control/geraniumweir/control/recorders.py
@@ -13,7 +13,7 @@
 from geraniumweir.common import eventlog, ids, timers
 from geraniumweir.configuration import published, recordings, state
 from geraniumweir.consensus import errors, serving
-from geraniumweir.control import growing, hosts, logevents
+from geraniumweir.control import recorder_changes, hosts, logevents
 from geraniumweir.rollout import orders
 from geraniumweir.wire import errors as wire_errors
 from geraniumweir.wire import peers
@@ -22,7 +22,7 @@
 
 # Looks at the recorder this often, in seconds: half of the shortest election
 # timeout, so that a change is seen before anyone could act on the old state.
-_LOOK_SECONDS = 0.25
+_POLL_SECONDS = 0.25
 # A disk that was full or failing is tried again this often, in seconds.
 _REOPEN_SECONDS = 0.5
 # A change of the recorders takes two rounds of the log; it is tried again
@@ -30,9 +30,9 @@
 _CHANGE_SECONDS = 3.0
 # A host's word that it leads counts for so long, in seconds: three of the
 # exchanges in which it says so.
-_TOLD_SECONDS = 1.5
+_LEADER_REPORT_SECONDS = 1.5
 # Answers between domains take a few milliseconds, in seconds.
-_ASK_SECONDS = 0.5
+_JOIN_TIMEOUT_SECONDS = 0.5
 
 
 class Recorders:
@@ -44,26 +44,26 @@
     def __init__(
         self,
         link: peers.Peers,
-        place: recordings.Place,
+        log_place: recordings.Place,
         known: hosts.ControlHosts,
         me: hosts.ControlHost,
-        number: int,
+        voter_count: int,
     ) -> None:
         """Start nothing yet.
 
-        :param number: of recorders wanted.
+        :param voter_count: of recorders wanted.
         """
         self.running: recordings.Recording | None = None
         self._link = link
-        self._place = place
+        self._log_place = log_place
         self._known = known
         self._me = me
-        self._number = number
+        self._voter_count = voter_count
         self._clock = timers.TimerService()
-        self._told = ids.HostId('')
-        self._told_at = float('-inf')
+        self._reported_leader = ids.HostId('')
+        self._reported_at = float('-inf')
         self._was_current = False
-        self._joins: dict[ids.HostId, growing.Join] = {}
+        self._joins: dict[ids.HostId, recorder_changes.Join] = {}
         self._documents: subject.Subject[published.PublishedDocument] = (
             subject.Subject()
         )
@@ -84,31 +84,31 @@
         """Give the host that leads the log and is heard, or empty."""
         if self.running is not None and self.running.recorder.leader():
             return self.running.recorder.leader()
-        if self._clock.now() - self._told_at > _TOLD_SECONDS:
+        if self._clock.now() - self._reported_at > _LEADER_REPORT_SECONDS:
             return ids.HostId('')
-        return self._told
+        return self._reported_leader
 
-    def tell_leader(self, host_id: ids.HostId) -> None:
+    def record_leader(self, host_id: ids.HostId) -> None:
         """Take a host's word that it leads.
 
         It counts where the recorder here hears no leader: it may be a new
         one that isn't in the log yet.
         """
-        self._told = host_id
-        self._told_at = self._clock.now()
+        self._reported_leader = host_id
+        self._reported_at = self._clock.now()
 
     def is_leading(self) -> bool:
         """Tell whether this host leads the log."""
         return self.running is not None and self.running.recorder.is_leading()
 
-    def leads_since(self, at: float) -> bool:
+    def leads_since(self, since: float) -> bool:
         """Tell whether a majority followed this host's lead since a time.
 
-        :param at: in seconds.
+        :param since: in seconds.
         """
         if self.running is None:
             return False
-        return serving.leads_since(self.running.recorder.core, at)
+        return serving.leads_since(self.running.recorder.core, since)
 
     def is_current(self) -> bool:
         """Tell whether all that was committed a moment ago is applied here."""
@@ -120,32 +120,32 @@
             try:
                 await self._run_once()
             except common_errors.GeraniumweirError as exc:
-                eventlog.emit(logevents.RECORDER_REOPENS, reason=exc.message)
+                eventlog.emit(logevents.RECORDER_REOPENED, reason=exc.message)
             except OSError as exc:
-                eventlog.emit(logevents.RECORDER_REOPENS, reason=str(exc))
+                eventlog.emit(logevents.RECORDER_REOPENED, reason=str(exc))
             await asyncio.sleep(_REOPEN_SECONDS)
 
     async def _run_once(self) -> None:
-        async with recordings.opened(self._place, self._link) as running:
+        async with recordings.opened(self._log_place, self._link) as running:
             self.running = running
-            news = self._follow(running.state)
+            subscription = self._forward_changes(running.state)
             eventlog.emit(
                 logevents.RECORDER_OPENED,
                 identity=running.recorder.identity,
             )
             try:
-                await self._watch(running)
+                await self._supervise(running)
             finally:
                 self.running = None
-                news.dispose()
+                subscription.dispose()
             eventlog.emit(
-                logevents.RECORDER_REOPENS,
+                logevents.RECORDER_REOPENED,
                 reason=running.recorder.failure,
             )
 
-    def _follow(self, found: state.SystemState) -> abc.DisposableBase:
+    def _forward_changes(self, found: state.SystemState) -> abc.DisposableBase:
         """Tell of what is stored, and of what is from now on."""
-        news = disposable.CompositeDisposable(
+        subscription = disposable.CompositeDisposable(
             found.published.changes.subscribe(self._documents.on_next),
             found.rollouts.changes.subscribe(self._rollouts.on_next),
         )
@@ -154,18 +154,18 @@
             self._documents.on_next(newest)
         for rollout in found.rollouts.known():
             self._rollouts.on_next(rollout)
-        return news
+        return subscription
 
-    async def _watch(self, running: recordings.Recording) -> None:
+    async def _supervise(self, running: recordings.Recording) -> None:
         while not running.recorder.failure:
-            await asyncio.sleep(_LOOK_SECONDS)
-            self._tell_behind(running)
+            await asyncio.sleep(_POLL_SECONDS)
+            self._log_lag(running)
             if running.recorder.is_leading():
-                await self._grow(running)
+                await self._change_recorders(running)
             elif not running.recorder.leader():
-                await self._ask_in(running)
+                await self._request_join(running)
 
-    def _tell_behind(self, running: recordings.Recording) -> None:
+    def _log_lag(self, running: recordings.Recording) -> None:
         """Log when this host falls behind and when it has caught up."""
         if self.is_current() == self._was_current:
             return
@@ -180,17 +180,18 @@
             committed=found.heard.committed,
         )
 
-    async def _grow(self, running: recordings.Recording) -> None:
+    async def _change_recorders(self, running: recordings.Recording) -> None:
         now = self._clock.now()
         joins = [
             join
             for join in self._joins.values()
-            if now - join.at <= growing.JOIN_SECONDS
+            if now - join.requested_at <= recorder_changes.JOIN_EXPIRY_SECONDS
         ]
-        seats = [
-            self._seat(row, now) for row in serving.rows(running.recorder.core)
+        statuses = [
+            self._status_of(row, now)
+            for row in serving.rows(running.recorder.core)
         ]
-        change = growing.decide(seats, joins, self._number)
+        change = recorder_changes.decide(statuses, joins, self._voter_count)
         if change is None:
             return
         eventlog.emit(logevents.RECORDERS_CHANGE, change=str(change))
@@ -203,14 +204,16 @@
                 reason=exc.message,
             )
 
-    def _seat(self, row: serving.RecorderRow, now: float) -> growing.Seat:
+    def _status_of(
+        self, row: serving.RecorderRow, now: float
+    ) -> recorder_changes.RecorderStatus:
         known = self._known.get(row.member.host_id)
         domain = ids.FailureDomain('')
         if known is not None:
             domain = known.failure_domain
-        return growing.Seat(row.member, domain, row.silence)
+        return recorder_changes.RecorderStatus(row.member, domain, row.silence)
 
-    async def _ask_in(self, running: recordings.Recording) -> None:
+    async def _request_join(self, running: recordings.Recording) -> None:
         """Ask for a place in the log, whoever leads it."""
         join = ttypes.JoinLog(
             self._me.host_id,
@@ -220,16 +223,16 @@
         )
         others = [host for host in self._known.known() if host != self._me]
         await asyncio.gather(
-            *(self._ask_in_at(host.host_id, join) for host in others),
+            *(self._request_join_at(host.host_id, join) for host in others),
         )
 
-    async def _ask_in_at(
+    async def _request_join_at(
         self,
         host_id: ids.HostId,
         join: ttypes.JoinLog,
     ) -> None:
         with contextlib.suppress(wire_errors.PeerError):
-            await self._link.call(host_id, join, _ASK_SECONDS)
+            await self._link.call(host_id, join, _JOIN_TIMEOUT_SECONDS)
 
     async def _on_join(
         self,
@@ -238,7 +241,7 @@
     ) -> ttypes.JoinReply:
         host_id = ids.HostId(message.host_id)
         self._link.learn(host_id, ids.parse_address(message.address))
-        self._joins[host_id] = growing.Join(
+        self._joins[host_id] = recorder_changes.Join(
             host_id,
             message.address,
             message.identity,
@@ -250,19 +253,19 @@
 
 async def _carry_out(
     running: recordings.Recording,
-    change: growing.Change,
+    change: recorder_changes.Change,
 ) -> None:
-    keeper = running.recorder
+    log_recorder = running.recorder
     seconds = _CHANGE_SECONDS
     match change:
-        case growing.Add(host_id, address):
-            await keeper.add_recorder(host_id, address, seconds)
-        case growing.Replace(host_id, address, lost):
-            await keeper.replace_recorder(host_id, address, lost, seconds)
-        case growing.Learn(host_id, address):
-            await keeper.add_learner(host_id, address, seconds)
-        case growing.Remove(host_id):
-            await keeper.remove_recorder(host_id, seconds)
+        case recorder_changes.Add(host_id, address):
+            await log_recorder.add_recorder(host_id, address, seconds)
+        case recorder_changes.Replace(host_id, address, lost):
+            await log_recorder.replace_recorder(host_id, address, lost, seconds)
+        case recorder_changes.Learn(host_id, address):
+            await log_recorder.add_learner(host_id, address, seconds)
+        case recorder_changes.Remove(host_id):
+            await log_recorder.remove_recorder(host_id, seconds)
 
 
 def newest_of(
--- a/libs/control/geraniumweir/control/rollouts.py
+++ b/libs/control/geraniumweir/control/rollouts.py
@@ -22,22 +22,22 @@
 _READ_SECONDS = 0.8
 # A read waits for this host to apply what it must contain, looking again
 # after so many seconds.
-_LOOK_SECONDS = 0.02
+_POLL_SECONDS = 0.02
 # A rollout is looked at this often, in seconds.
 _STEP_SECONDS = 0.1
 # Wall clocks of hosts differ by less; an order seen for the first time that is
 # older was given before this host started, in seconds.
-_CLOCK_SECONDS = 1.0
+_MAX_CLOCK_SKEW_SECONDS = 1.0
 
 
-class PoolAtWork(typing.Protocol):
+class RolloutLeader(typing.Protocol):
     """A pool's leader, as far as a rollout needs it."""
 
     def rollout_load(self) -> guiding.Load:
         """Tell how the pool does."""
 
 
-LeaderOf = typing.Callable[[ids.PoolName], PoolAtWork | None]
+LeaderOf = typing.Callable[[ids.PoolName], RolloutLeader | None]
 OnCompleted = typing.Callable[[orders.Rollout], None]
 
 
@@ -50,22 +50,22 @@
         log: recorders.Recorders,
         clock: timers.TimerService,
         bounds: budget.Bounds,
-        again_seconds: float,
+        resend_seconds: float,
     ) -> None:
         """Follow the log.
 
         :param bounds: what a bad version may get.
-        :param again_seconds: how long operators may send an order again.
+        :param resend_seconds: how long operators may send an order again.
         """
-        self.on_completed: OnCompleted = _nothing
+        self.on_completed: OnCompleted = _ignore
         self._access = access
         self._log = log
         self._clock = clock
         self._bounds = bounds
-        self._again_ms = int(again_seconds * _MS)
+        self._resend_ms = int(resend_seconds * _MS)
         self._known: dict[ids.PoolName, guiding.Sighted] = {}
         self._guides: dict[ids.PoolName, guiding.Guide] = {}
-        log.rollouts.subscribe(self._put)
+        log.rollouts.subscribe(self._apply)
 
     def known(self) -> list[orders.Rollout]:
         """List the newest order of each pool that was applied here."""
@@ -90,7 +90,7 @@
         """
         now_ms = int(time.time() * _MS)
         command = commands.order_rollout(
-            pool, to, int(seconds * _MS), self._again_ms, now_ms
+            pool, to, int(seconds * _MS), self._resend_ms, now_ms
         )
         answers = await self._access.propose(command, _ORDER_SECONDS)
         result = stored.Result(answers[0].rollout.result)
@@ -111,12 +111,12 @@
 
         :raises errors.UnsureError: when this host can't be sure.
         """
-        until = self._clock.now() + _READ_SECONDS
+        deadline = self._clock.now() + _READ_SECONDS
         index = await self._access.barrier(_READ_SECONDS)
         while not self._access.has_applied(index):
-            if self._clock.now() > until:
+            if self._clock.now() > deadline:
                 raise errors.NotUpToDateError(f'entry {index} is not here yet')
-            await asyncio.sleep(_LOOK_SECONDS)
+            await asyncio.sleep(_POLL_SECONDS)
         return self.of_pool(pool)
 
     def guide(self, pool: ids.PoolName) -> guiding.Guide:
@@ -162,11 +162,11 @@
             logevents.ROLLOUT_STEP,
             pool=rollout.pool,
             to=rollout.to,
-            step=_named(step),
+            step=_step_name(step),
             old_running=load.old_running,
             **guide.outline(),
         )
-        note = _note(rollout, step)
+        note = _to_command(rollout, step)
         now_ms = int(time.time() * _MS)
         try:
             await self._access.propose(
@@ -175,20 +175,22 @@
             )
         except errors.NotStoredError as exc:
             eventlog.emit(
-                logevents.ROLLOUT_NOT_NOTED,
+                logevents.ROLLOUT_NOT_RECORDED,
                 pool=rollout.pool,
                 reason=exc.message,
             )
 
-    def _put(self, rollout: orders.Rollout) -> None:
+    def _apply(self, rollout: orders.Rollout) -> None:
         before = self._known.get(rollout.pool)
-        if before is not None and _order(before.rollout) > _order(rollout):
+        if before is not None and _progress_key(before.rollout) > _progress_key(
+            rollout
+        ):
             # A recorder that was opened again replays what is older.
             return
         if before is not None and before.rollout.number == rollout.number:
             started = before.started
         else:
-            started = self._clock.now() - _age(rollout)
+            started = self._clock.now() - _seconds_since_order(rollout)
         self._known[rollout.pool] = guiding.Sighted(rollout, started)
         if rollout.state is orders.State.running:
             return
@@ -205,7 +207,7 @@
             self.on_completed(rollout)
 
 
-def _order(rollout: orders.Rollout) -> tuple[int, ...]:
+def _progress_key(rollout: orders.Rollout) -> tuple[int, ...]:
     """Give what grows with each change of a pool's rollouts."""
     return (
         rollout.number,
@@ -216,13 +218,17 @@
     )
 
 
-def _age(rollout: orders.Rollout) -> float:
+def _seconds_since_order(rollout: orders.Rollout) -> float:
     """Give the seconds since an order, as far as wall clocks tell."""
-    age = time.time() - rollout.ordered_ms / _MS
-    return min(age, rollout.seconds) if age > _CLOCK_SECONDS else 0
+    elapsed_seconds = time.time() - rollout.ordered_ms / _MS
+    return (
+        min(elapsed_seconds, rollout.seconds)
+        if elapsed_seconds > _MAX_CLOCK_SKEW_SECONDS
+        else 0
+    )
 
 
-def _note(
+def _to_command(
     rollout: orders.Rollout,
     step: guiding.Advance | guiding.End,
 ) -> ttypes.NoteRollout:
@@ -243,7 +249,7 @@
             )
 
 
-def _named(step: guiding.Advance | guiding.End) -> str:
+def _step_name(step: guiding.Advance | guiding.End) -> str:
     match step:
         case guiding.End(state):
             return state.name
@@ -251,5 +257,5 @@
             return phase.name
 
 
-def _nothing(_rollout: orders.Rollout) -> None:
+def _ignore(_rollout: orders.Rollout) -> None:
     """Do nothing where nobody waits for rollouts to complete."""
--- a/libs/control/geraniumweir/control/remembered.py
+++ b/libs/control/geraniumweir/control/server_store.py
@@ -21,10 +21,10 @@
 _FILE = 'servers'
 # Changes are kept this often at most, in seconds: a sync takes 5 ms on the
 # users' disks and releases bring several changes a second.
-_PERIOD = 0.5
+_SAVE_SECONDS = 0.5
 
 
-class Remembered:
+class ServerStore:
     """The file of the enrolled servers."""
 
     def __init__(
@@ -35,7 +35,7 @@
         """Keep a table in a folder, which is made when missing."""
         self._medium: typing.Final[disk.Disk] = disk.RealDisk(folder)
         self._table = table
-        self._kept = table.digest()
+        self._saved_digest = table.digest()
 
     def load(self) -> list[enrolments.Enrolment]:
         """Read what was kept; a file that can't be read counts for nothing."""
@@ -43,18 +43,18 @@
             content = wholefiles.load(self._medium, _FILE)
             if content is None:
                 return []
-            told = framing.decode(ttypes.Enrolled, content)
+            stored = framing.decode(ttypes.Enrolled, content)
         except (store_errors.StoreError, wire_errors.FrameError) as exc:
-            eventlog.emit(logevents.SERVERS_NOT_KEPT, reason=str(exc))
+            eventlog.emit(logevents.SERVERS_NOT_SAVED, reason=str(exc))
             return []
-        return enrolments.readable(told.servers or (), _FILE)
+        return enrolments.parse_readable(stored.servers or (), _FILE)
 
     async def run(self) -> None:
         """Keep changes until cancelled."""
         while True:
-            await asyncio.sleep(_PERIOD)
+            await asyncio.sleep(_SAVE_SECONDS)
             digest = self._table.digest()
-            if digest != self._kept:
+            if digest != self._saved_digest:
                 await self._save(digest)
 
     def close(self) -> None:
@@ -72,6 +72,6 @@
                 content,
             )
         except (OSError, store_errors.StoreError) as exc:
-            eventlog.emit(logevents.SERVERS_NOT_KEPT, reason=str(exc))
+            eventlog.emit(logevents.SERVERS_NOT_SAVED, reason=str(exc))
             return
-        self._kept = digest
+        self._saved_digest = digest
--- a/libs/control/geraniumweir/control/waking.py
+++ b/libs/control/geraniumweir/control/stall_detector.py
@@ -13,10 +13,10 @@
 
 # A leader that is silent for so long may be replaced, in seconds: the
 # shortest election timeout.
-_SLEPT_SECONDS = 0.5
+_MIN_STALL_SECONDS = 0.5
 # A host that hears no leader for so long after it woke stands in, in seconds:
 # the longest election timeout.
-_WAKING_SECONDS = 1.0
+_RECOVERY_SECONDS = 1.0
 _SECONDS_DIGITS = 2
 
 
@@ -29,11 +29,11 @@
     def is_leading(self) -> bool:
         """Tell whether this host leads, as far as it knows."""
 
-    def leads_since(self, at: float) -> bool:
+    def leads_since(self, since: float) -> bool:
         """Tell whether a majority followed this host since a time."""
 
 
-class Waking:
+class StallDetector:
     """Whether this host may trust what it knows."""
 
     def __init__(
@@ -46,28 +46,28 @@
         self._host_id = host_id
         self._log = log
         self._clock = clock
-        self._looked = clock.now()
-        self._woke_at: float | None = None
+        self._checked_at = clock.now()
+        self._stall_ended_at: float | None = None
 
-    def is_over(self) -> bool:
+    def is_recovered(self) -> bool:
         """Tell whether this host is awake; it is asked often."""
         now = self._clock.now()
-        slept = now - self._looked
-        self._looked = now
-        if slept > _SLEPT_SECONDS:
-            self._woke_at = now
+        stall_seconds = now - self._checked_at
+        self._checked_at = now
+        if stall_seconds > _MIN_STALL_SECONDS:
+            self._stall_ended_at = now
             eventlog.emit(
-                logevents.SLEPT,
-                seconds=round(slept, _SECONDS_DIGITS),
+                logevents.HOST_STALLED,
+                seconds=round(stall_seconds, _SECONDS_DIGITS),
             )
-        if self._woke_at is not None and self._knows_again(now):
-            self._woke_at = None
-        return self._woke_at is None
+        if self._stall_ended_at is not None and self._is_confirmed(now):
+            self._stall_ended_at = None
+        return self._stall_ended_at is None
 
-    def _knows_again(self, now: float) -> bool:
-        woke_at = self._woke_at or now
-        if now - woke_at > _WAKING_SECONDS:
+    def _is_confirmed(self, now: float) -> bool:
+        ended_at = self._stall_ended_at or now
+        if now - ended_at > _RECOVERY_SECONDS:
             return True
         if self._log.is_leading():
-            return self._log.leads_since(woke_at)
+            return self._log.leads_since(ended_at)
         return self._log.leader() not in {'', self._host_id}
--- a/libs/control/geraniumweir/control/tests/bed.py
+++ b/libs/control/geraniumweir/control/tests/bed.py
@@ -20,7 +20,7 @@
     presence,
     recorders,
     pool_servers,
-    standing,
+    leadership,
     watching,
 )
 from geraniumweir.rollout import orders
@@ -63,7 +63,7 @@
         me = card(domain)
         known = hosts.ControlHosts()
         for other in DOMAINS:
-            known.learn(card(other), 0)
+            known.register(card(other), 0)
         first = {ids.HostId(name): address(name) for name in DOMAINS}
         place = recordings.Place(self.host_id, pathlib.Path(domain), first)
         self.known = known
@@ -73,10 +73,10 @@
         access = logaccess.LogAccess(self.link, self.log, known)
         self.documents = documents.Documents(self.link, self.log, known, access)
         self.table = enrolments.Enrolments(self.host_id, _LEASE_SECONDS)
-        self.standing = standing.Standing(
+        self.leadership = leadership.Leadership(
             self.link, self.log, timers.TimerService(), _QUOTA_SECONDS
         )
-        entry_hosts = self.standing.entry_hosts
+        entry_hosts = self.leadership.entry_hosts
         self.rollouts: dict[ids.PoolName, orders.Rollout] = {}
         self.log.rollouts.subscribe(self._put)
         self.feed = feed.Feed(
@@ -91,7 +91,9 @@
             self.link, me, known, self.table, self.log, entry_hosts
         )
         self.presence.on_change = self.feed.notify
-        self.standing.server_notices.changes.subscribe(self.presence.hear)
+        self.leadership.server_notices.changes.subscribe(
+            self.presence.handle_notice
+        )
 
     def _put(self, found: orders.Rollout) -> None:
         self.rollouts[found.pool] = found
@@ -190,7 +192,7 @@
             lost = f'a{number}'
             self.network.join(ids.HostId(lost), address(lost))
             self.network.cut(host_id, ids.HostId(lost))
-            watcher.hosts.learn(card(lost), 0)
+            watcher.hosts.register(card(lost), 0)
         self._running.append(asyncio.create_task(watcher.run()))
         return watcher
 
@@ -233,7 +235,7 @@
         read,
     )
     for one in DOMAINS:
-        watcher.hosts.learn(card(one), 0)
+        watcher.hosts.register(card(one), 0)
     return watcher
 
 
--- a/libs/control/geraniumweir/control/tests/test_coordinator_client.py
+++ b/libs/control/geraniumweir/control/tests/test_coordinator_client.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from geraniumweir.common import ids, timers, virtual
-from geraniumweir.control import coordinator_client, hosts, spent
+from geraniumweir.control import coordinator_client, hosts, usage_codec
 from geraniumweir.scheduling import notices, retrycounts, spending
 from geraniumweir.wire import memory
 from geraniumweir.wire.gen.control import ttypes
@@ -45,7 +45,7 @@
         _sender: ids.HostId,
         message: ttypes.Spent,
     ) -> None:
-        self.spent.append(spent.unpack(message))
+        self.spent.append(usage_codec.unpack(message))
 
     async def _answer(
         self,
@@ -71,7 +71,7 @@
             address = _address(control.host_id)
             layer.learn(control.host_id, address)
             card = hosts.ControlHost(control.host_id, address, address, _DOMAIN)
-            known.learn(card, 0)
+            known.register(card, 0)
         self.said = notices.Notices(timers.TimerService())
         self.seen = coordinator_client.CoordinatorClient(
             layer,
--- a/libs/control/geraniumweir/control/tests/test_suspicion.py
+++ b/libs/control/geraniumweir/control/tests/test_crash_cases.py
@@ -4,7 +4,7 @@
 import typing
 
 from geraniumweir.common import ids, timers, virtual
-from geraniumweir.control import hosts, suspicion
+from geraniumweir.control import hosts, crash_cases
 from geraniumweir.scheduling import settings, suspects
 from geraniumweir.scheduling.ontime import leader
 from geraniumweir.wire import memory
@@ -22,25 +22,25 @@
         self.address = ids.Address(f'10.0.0.{number}', 1)
         self.link = network.join(self.host_id, self.address)
         self.known = hosts.ControlHosts()
-        self.suspicion = suspicion.Suspicion(
+        self.crash_cases = crash_cases.CrashCases(
             self.link,
             self.known,
             self.clock,
         )
         self.led: list[leader.OnTimeLeader] = []
-        self.suspicion.leaders = lambda: self.led
+        self.crash_cases.leaders = lambda: self.led
 
     def meet(self, other: '_Control') -> None:
         """Learn of another one."""
         self.link.learn(other.host_id, other.address)
         found = hosts.seed(other.host_id, other.address)
-        self.known.learn(found, self.clock.now())
+        self.known.register(found, self.clock.now())
 
     def coordinate(self) -> None:
         """Lead the pool, with what is known here."""
         cfg = settings.LeaderSettings(_POOL, f'{self.host_id}/{_POOL}')
         made = leader.OnTimeLeader(cfg, self.clock.now, list)
-        self.suspicion.inform(made)
+        self.crash_cases.apply_to(made)
         self.led = [made]
 
     def crash(self) -> None:
--- a/libs/control/geraniumweir/control/tests/test_usage.py
+++ b/libs/control/geraniumweir/control/tests/test_demand.py
@@ -4,12 +4,12 @@
 
 import pytest
 from geraniumweir.common import ids
-from geraniumweir.control import usage
+from geraniumweir.control import demand
 from hypothesis import given
 from hypothesis import strategies as st
 
 _NAMES = ('a', 'b', 'c')
-_SECONDS = 20
+_DECAY_SECONDS = 20
 _LEAST = 0.25
 
 
@@ -27,16 +27,16 @@
     steps: list[tuple[str, float, float | None]],
 ) -> None:
     """Whatever was noted when, and whoever was forgotten."""
-    counted = usage.Usage()
+    counted = demand.Demand()
     noted: dict[str, list[tuple[float, float]]] = {}
     now: float = 0
     for name, pause, amount in steps:
         now += pause
         if amount is None:
-            counted.forget(ids.HostId(name))
+            counted.remove(ids.HostId(name))
             noted.pop(name, None)
         else:
-            counted.note(ids.HostId(name), amount, now)
+            counted.record(ids.HostId(name), amount, now)
             noted.setdefault(name, []).append((amount, now))
     left = {host: _decayed(notes, now) for host, notes in noted.items()}
     for one, used in left.items():
@@ -46,4 +46,6 @@
 
 
 def _decayed(notes: list[tuple[float, float]], now: float) -> float:
-    return sum(amount * math.exp((at - now) / _SECONDS) for amount, at in notes)
+    return sum(
+        amount * math.exp((at - now) / _DECAY_SECONDS) for amount, at in notes
+    )
--- a/libs/control/geraniumweir/control/tests/test_enrolments.py
+++ b/libs/control/geraniumweir/control/tests/test_enrolments.py
@@ -50,7 +50,7 @@
     """It came after the farewell and was sent before it."""
     table = _table()
     table.report(_report(1), 0)
-    assert table.leave(ids.ServerId('s'), 1) is not None
+    assert table.mark_gone(ids.ServerId('s'), 1) is not None
     table.report(_report(2), 5)
     assert table.get(ids.ServerId('s')).state is enrolments.State.gone
 
@@ -71,7 +71,7 @@
     table = _table()
     table.report(_report(1), 0)
     table.expire(_LEASE + 1)
-    table.expire(_LEASE + 2 + enrolments.FORGET_SECONDS)
+    table.expire(_LEASE + 2 + enrolments.EVICT_SILENT_SECONDS)
     assert table.get(ids.ServerId('s')) is None
 
 
@@ -99,9 +99,9 @@
     table.report(_report(1), 0)
     seen = table.revision
     table.report(_report(2), 1)
-    assert not table.since(seen)
+    assert not table.changed_since(seen)
     table.report(_report(3, slots=2), 2)
-    assert [found.slots for found in table.since(seen)] == [2]
+    assert [found.slots for found in table.changed_since(seen)] == [2]
 
 
 class Agreement(stateful.RuleBasedStateMachine):
@@ -127,7 +127,7 @@
     @stateful.rule(host=st.sampled_from([_ONE, _TWO]))
     def leave(self, host: ids.HostId) -> None:
         """The server says farewell to one of them."""
-        self.tables[host].leave(ids.ServerId('s'), self.now)
+        self.tables[host].mark_gone(ids.ServerId('s'), self.now)
 
     @stateful.rule(seconds=st.floats(0, 10))
     def wait(self, seconds: float) -> None:
--- a/libs/control/geraniumweir/control/tests/test_starts.py
+++ b/libs/control/geraniumweir/control/tests/test_incarnations.py
@@ -57,8 +57,8 @@
     """One of the start before comes late, after the next one reported."""
     table = _table()
     table.report(_report(2, 1), 0)
-    assert table.leave(_SERVER, 1, 1) is None
-    assert table.leave(_SERVER, 1, 2) is not None
+    assert table.mark_gone(_SERVER, 1, 1) is None
+    assert table.mark_gone(_SERVER, 1, 2) is not None
     assert table.report(_report(3, 1), 2)
     assert table.get(_SERVER).state is enrolments.State.ready
 
@@ -66,7 +66,7 @@
 def test_first_report_that_comes_after_the_leave_brings_nobody_back() -> None:
     """A cut held it up; new work would reach a server that is going."""
     table, other = _table(), enrolments.Enrolments(_HOSTS[1], _LEASE)
-    gone = table.leave(_SERVER, 0, None)
+    gone = table.mark_gone(_SERVER, 0, None)
     assert gone is not None
     other.merge(gone, 0, _HOSTS[0])
     for host in (table, other):
@@ -87,7 +87,7 @@
     good = _report(1, 1).to_wire()
     bad = ttypes.Enrolment(server_id='t', address='nowhere', state=1)
     worse = ttypes.Enrolment()
-    found = enrolments.readable([bad, good, worse], 'b')
+    found = enrolments.parse_readable([bad, good, worse], 'b')
     assert found == [_report(1, 1)]
 
 
@@ -128,7 +128,7 @@
     @stateful.rule(host=st.sampled_from(_HOSTS), born=_STARTS)
     def leave(self, host: ids.HostId, born: int) -> None:
         """A farewell of some start reaches a host."""
-        if self.tables[host].leave(_SERVER, self.now, born):
+        if self.tables[host].mark_gone(_SERVER, self.now, born):
             self.left.add(born)
             self.newest = max(self.newest, born)
 
@@ -146,14 +146,14 @@
         """A host starts again with what it kept."""
         kept = [found.to_wire() for found in self.tables[host].known()]
         table = enrolments.Enrolments(host, 5.0)
-        for found in enrolments.readable(kept, 'file'):
+        for found in enrolments.parse_readable(kept, 'file'):
             table.merge(found, self.now, host)
         self.tables[host] = table
 
     @stateful.rule(seconds=st.floats(0, 2))
     def wait(self, seconds: float) -> None:
         """Time goes by; nobody is forgotten within the play."""
-        self.now = min(self.now + seconds, enrolments.FORGET_SECONDS)
+        self.now = min(self.now + seconds, enrolments.EVICT_SILENT_SECONDS)
         for table in self.tables.values():
             table.expire(self.now)
 
--- a/libs/control/geraniumweir/control/tests/test_standing.py
+++ b/libs/control/geraniumweir/control/tests/test_leadership.py
@@ -2,21 +2,21 @@
 
 import pytest
 from geraniumweir.common import ids
-from geraniumweir.control import standing
+from geraniumweir.control import leadership
 
 _LOST = ids.HostId('lost')
 _NEAR = ids.HostId('near')
 _CUT_SECONDS = 7
 
 
-def _at_cut() -> tuple[standing.EntryHosts, float]:
+def _at_cut() -> tuple[leadership.EntryHosts, float]:
     """Give two hosts with half of all requests each, and what one was told."""
-    hosts = standing.EntryHosts(quota_seconds=8)
+    hosts = leadership.EntryHosts(quota_seconds=8)
     for name in (_LOST, _NEAR):
-        hosts.heard(name, 0)
-        hosts.usage.note(name, 100, 0)
+        hosts.record_seen(name, 0)
+        hosts.demand.record(name, 100, 0)
     share = hosts.share_of(_LOST, 0)
-    hosts.said(_LOST, share)
+    hosts.set_share(_LOST, share)
     return hosts, share
 
 
@@ -25,31 +25,31 @@
     """However much comes by the others meanwhile."""
     hosts, share = _at_cut()
     for now in range(1, seconds + 1):
-        hosts.heard(_NEAR, now)
-        hosts.usage.note(_NEAR, 50, now)
-    assert hosts.share_left(seconds) + share == pytest.approx(1)
+        hosts.record_seen(_NEAR, now)
+        hosts.demand.record(_NEAR, 50, now)
+    assert hosts.reachable_share(seconds) + share == pytest.approx(1)
 
 
 def test_hosts_that_only_another_heard_keep_their_part() -> None:
     """A cut took them along with the coordinator before."""
-    hosts = standing.EntryHosts(quota_seconds=8)
-    hosts.told(4, 10)
-    hosts.coordinates_from(10)
+    hosts = leadership.EntryHosts(quota_seconds=8)
+    hosts.set_reported_count(4, 10)
+    hosts.start_term(10)
     for now, part in ((10.2, 0.2), (11.2, 1 / 3)):
         for name in (_NEAR, ids.HostId('second'), ids.HostId('third')):
-            hosts.heard(name, now)
-            hosts.said(name, part)
-    assert hosts.share_left(10.2) == 1
-    assert hosts.share_left(11.2) == pytest.approx(0.6)
+            hosts.record_seen(name, now)
+            hosts.set_share(name, part)
+    assert hosts.reachable_share(10.2) == 1
+    assert hosts.reachable_share(11.2) == pytest.approx(0.6)
 
 
 def test_only_silent_hosts_count_as_such() -> None:
     """In whatever order they were heard, first and last."""
-    hosts = standing.EntryHosts(quota_seconds=8)
+    hosts = leadership.EntryHosts(quota_seconds=8)
     first, second, third = map(ids.HostId, ('first', 'second', 'third'))
     for now, name in ((0, first), (0.5, second), (1, third), (2, first)):
-        hosts.heard(name, now)
-    assert hosts.number_heard(2) == 2
-    assert hosts.number_heard(2.5) == 1
-    assert hosts.number(15.9) == 2
-    assert hosts.number(16.5) == 1
+        hosts.record_seen(name, now)
+    assert hosts.count_reachable(2) == 2
+    assert hosts.count_reachable(2.5) == 1
+    assert hosts.count(15.9) == 2
+    assert hosts.count(16.5) == 1
--- a/libs/control/geraniumweir/control/tests/test_leaving.py
+++ b/libs/control/geraniumweir/control/tests/test_leaving.py
@@ -53,7 +53,7 @@
     said = _enrolment(domain, state, sequence)
     now = asyncio.get_running_loop().time()
     if control.table.report(said, now):
-        control.presence.tell([said])
+        control.presence.publish_changes([said])
     control.feed.notify()
 
 
--- a/libs/control/geraniumweir/control/tests/test_limits.py
+++ b/libs/control/geraniumweir/control/tests/test_notice_exchange.py
@@ -4,7 +4,7 @@
 
 import pytest
 from geraniumweir.common import ids, timers, virtual
-from geraniumweir.control import coordinator_client, hosts, telling
+from geraniumweir.control import coordinator_client, hosts, notice_exchange
 from geraniumweir.scheduling import notices, spending
 from geraniumweir.wire import memory
 from geraniumweir.wire.gen.control import ttypes
@@ -24,7 +24,7 @@
         self.card = bed.card(name)
         link = bed.network.join(self.host_id, self.card.address)
         self.known = notices.Notices(timers.TimerService())
-        self._listener = telling.Listener(
+        self._notice_receiver = notice_exchange.NoticeReceiver(
             link, self.known, timers.TimerService()
         )
         self.before_asks: dict[notices.Start, float] = {}
@@ -37,9 +37,9 @@
         sender: ids.HostId,
         ping: ttypes.Ping,
     ) -> ttypes.Pong:
-        self._listener.take(sender, ping)
+        self._notice_receiver.apply(sender, ping)
         pong = ttypes.Pong(self.leads, False, 2, 2, 0.5)
-        self._listener.fill(ping, pong)
+        self._notice_receiver.fill(ping, pong)
         return pong
 
     async def _on_spent(
@@ -61,7 +61,7 @@
         link = bed.network.join(card.host_id, card.address)
         known = hosts.ControlHosts()
         for control in bed.controls:
-            known.learn(control.card, 0)
+            known.register(control.card, 0)
         self.known = notices.Notices(timers.TimerService())
         self.seen = coordinator_client.CoordinatorClient(
             link,
@@ -216,7 +216,7 @@
             ttypes.RateLimit('d', 1, 2, 0, 0),
         ]
         message = ttypes.Notices(told, [], [])
-        telling.take(known, message, ids.HostId('e1'), now)
+        notice_exchange.apply(known, message, ids.HostId('e1'), now)
         assert list(known.limits()) == [('d', 1)]
 
     virtual.run(work())
--- a/libs/control/geraniumweir/control/tests/test_pool_coordination.py
+++ b/libs/control/geraniumweir/control/tests/test_pool_coordination.py
@@ -9,7 +9,7 @@
     pool_coordination,
     enrolments,
     pool_servers,
-    spent,
+    usage_codec,
 )
 from geraniumweir.routing import finding, tables
 from geraniumweir.scheduling import channel, retrybudget, spending
@@ -70,7 +70,7 @@
 def _spent(amount: float) -> ttypes.Spent:
     """Tell what was granted a second ago."""
     told = spending.Spent(_SECONDS, {_NAME: {5: amount}})
-    return spent.pack(told)
+    return usage_codec.pack(told)
 
 
 class _Bed:
@@ -88,7 +88,7 @@
             budget=retrybudget.Budget(ratio=0, window=_SECONDS, slack=20),
             retries=retrybudget.Scope(lambda: self.leads, lambda: 1),
         )
-        counting = pool_coordination.Counting(parts, self.clock)
+        counting = pool_coordination.UsageAccounting(parts, self.clock)
         self.quotas = counting.quotas
         self.retries = counting.retries
         self._entry = network.join(_ENTRY, ids.Address('10.0.0.2', 1))
--- a/libs/control/geraniumweir/control/tests/test_presence.py
+++ b/libs/control/geraniumweir/control/tests/test_presence.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from geraniumweir.common import ids, virtual
-from geraniumweir.control import enrolments, hosts, presence, standing
+from geraniumweir.control import enrolments, hosts, presence, leadership
 from geraniumweir.control.tests import bed
 from geraniumweir.wire import memory
 
@@ -24,8 +24,8 @@
     network: memory.MemoryNetwork, me: str, other: str
 ) -> tuple[hosts.ControlHosts, presence.Presence]:
     known = hosts.ControlHosts()
-    known.learn(bed.card(me), 0)
-    known.learn(_seed(other), 0)
+    known.register(bed.card(me), 0)
+    known.register(_seed(other), 0)
     link = network.join(ids.HostId(me), bed.address(me))
     table = enrolments.Enrolments(ids.HostId(me), 1)
     met = presence.Presence(
@@ -34,7 +34,7 @@
         known,
         table,
         _NoLog(),
-        standing.EntryHosts(8),
+        leadership.EntryHosts(8),
         lambda: {ids.HostId('cow'): bed.address('cow')},
     )
     return known, met
@@ -60,8 +60,8 @@
 def test_host_that_is_known_in_full_is_not_replaced_by_its_address() -> None:
     """A control host that met it as a seed tells no more."""
     known = hosts.ControlHosts()
-    known.learn(bed.card('ant'), 0)
-    known.learn(_seed('ant'), 1)
+    known.register(bed.card('ant'), 0)
+    known.register(_seed('ant'), 1)
     assert known.get(ids.HostId('ant')) == bed.card('ant')
 
 
--- a/libs/control/geraniumweir/control/tests/test_quota_over_changes.py
+++ b/libs/control/geraniumweir/control/tests/test_quota_over_changes.py
@@ -9,7 +9,7 @@
 
 import hypothesis
 from geraniumweir.common import ids
-from geraniumweir.control import standing
+from geraniumweir.control import leadership
 from geraniumweir.scheduling import quotas, spending, windows
 from hypothesis import stateful
 from hypothesis import strategies as st
@@ -60,13 +60,13 @@
     """A control host."""
 
     def __init__(self, now: float, clock: typing.Callable[[], float]) -> None:
-        self.hosts = standing.EntryHosts(_SECONDS)
+        self.hosts = leadership.EntryHosts(_SECONDS)
         self.quotas = quotas.Quotas(
             lambda _: _ALLOWANCE,
-            lambda: self.hosts.share_left(clock()),
+            lambda: self.hosts.reachable_share(clock()),
             _SECONDS,
             now,
-            lambda: self.hosts.number(clock()),
+            lambda: self.hosts.count(clock()),
         )
 
 
@@ -81,7 +81,7 @@
         self.grants = windows.Window(_SECONDS)
         self.controls = [_Control(self.now, self._clock) for _ in range(2)]
         self.leader = 0
-        self.controls[0].hosts.coordinates_from(self.now)
+        self.controls[0].hosts.start_term(self.now)
         self.entries = [self._started(name) for name in _NAMES]
         self.most: float = 0
         self.let_pass(1)
@@ -119,8 +119,8 @@
         before = self.controls[self.leader].hosts
         self.leader = 1 - self.leader
         found = self.controls[self.leader]
-        found.hosts.told(before.number(self.now), self.now)
-        found.hosts.coordinates_from(self.now)
+        found.hosts.set_reported_count(before.count(self.now), self.now)
+        found.hosts.start_term(self.now)
         found.quotas.begin(self.now)
 
     @stateful.invariant()
@@ -155,13 +155,13 @@
                     self._grant(entry)
 
     def _meet(self, found: _Control, entry: _Entry) -> None:
-        found.hosts.heard(entry.host_id, self.now)
-        found.hosts.said(entry.host_id, entry.told)
+        found.hosts.record_seen(entry.host_id, self.now)
+        found.hosts.set_share(entry.host_id, entry.told)
         if entry.turned_to != self.leader:
             entry.turned_to = self.leader
             told = entry.spent(self.now)
             found.quotas.learn(entry.host_id, told, self.now)
-        entry.told = found.hosts.part_for(entry.host_id, self.now)
+        entry.told = found.hosts.standalone_share_for(entry.host_id, self.now)
 
     def _take_in_turn(self, found: _Control, near: list[_Entry]) -> None:
         """Take all that may be had, by the hosts in turn."""
@@ -170,7 +170,7 @@
                 return
             entry = near[self.turn % len(near)]
             self.turn += 1
-            found.hosts.usage.note(entry.host_id, _COST, self.now)
+            found.hosts.demand.record(entry.host_id, _COST, self.now)
             self._grant(entry)
 
     def _grant(self, entry: _Entry) -> None:
--- a/libs/control/geraniumweir/control/tests/test_quota_over_cuts.py
+++ b/libs/control/geraniumweir/control/tests/test_quota_over_partitions.py
@@ -8,7 +8,7 @@
 
 import pytest
 from geraniumweir.common import ids
-from geraniumweir.control import standing
+from geraniumweir.control import leadership
 from geraniumweir.scheduling import quotas
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -38,11 +38,11 @@
     cut_at: float | None = None
 
     def __post_init__(self) -> None:
-        self.hosts = standing.EntryHosts(_SECONDS)
-        self.hosts.coordinates_from(self.now)
+        self.hosts = leadership.EntryHosts(_SECONDS)
+        self.hosts.start_term(self.now)
         self.granted: list[tuple[float, float]] = []
         self.central = self._quotas(
-            lambda: self.hosts.share_left(self.now),
+            lambda: self.hosts.reachable_share(self.now),
         )
         self.alone = self._quotas(lambda: self.told)
 
@@ -69,7 +69,7 @@
         return most
 
     def _step(self) -> None:
-        self.hosts.heard(_NEAR, self.now)
+        self.hosts.record_seen(_NEAR, self.now)
         if self.cut_at is None:
             self._meet()
             self._take_all(self.central, (_NEAR, _CUT_OFF))
@@ -79,9 +79,9 @@
             self._take_all(self.alone, ())
 
     def _meet(self) -> None:
-        self.hosts.heard(_CUT_OFF, self.now)
+        self.hosts.record_seen(_CUT_OFF, self.now)
         self.told = self.hosts.share_of(_CUT_OFF, self.now)
-        self.hosts.said(_CUT_OFF, self.told)
+        self.hosts.set_share(_CUT_OFF, self.told)
 
     def _take_all(
         self,
@@ -92,7 +92,7 @@
             self.granted.append((self.now, _COST))
             for host_id in askers:
                 part = _COST / len(askers)
-                self.hosts.usage.note(host_id, part, self.now)
+                self.hosts.demand.record(host_id, part, self.now)
 
     def _quotas(self, share: quotas.Share) -> quotas.Quotas:
         return quotas.Quotas(lambda _: _ALLOWANCE, share, _SECONDS, self.now)
@@ -126,13 +126,13 @@
     bed.play(10, cut=False)
     bed.play(cut, cut=True)
     bed.play(_SECONDS + _STEP, cut=False)
-    assert bed.hosts.share_left(bed.now) == pytest.approx(1)
+    assert bed.hosts.reachable_share(bed.now) == pytest.approx(1)
 
 
 def test_new_coordinator_takes_no_host_for_returned() -> None:
     """What it heard of hosts before it coordinated says nothing of cuts."""
-    hosts = standing.EntryHosts(_SECONDS)
-    hosts.heard(_NEAR, 0)
-    hosts.coordinates_from(5)
-    hosts.heard(_NEAR, 5.1)
-    assert hosts.share_left(5.1) == 1
+    hosts = leadership.EntryHosts(_SECONDS)
+    hosts.record_seen(_NEAR, 0)
+    hosts.start_term(5)
+    hosts.record_seen(_NEAR, 5.1)
+    assert hosts.reachable_share(5.1) == 1
--- a/libs/control/geraniumweir/control/tests/test_part_of_quotas.py
+++ b/libs/control/geraniumweir/control/tests/test_quota_shares.py
@@ -4,7 +4,7 @@
 
 import pytest
 from geraniumweir.common import ids, timers, virtual
-from geraniumweir.control import standing
+from geraniumweir.control import leadership
 from geraniumweir.wire import memory
 from geraniumweir.wire.gen.control import ttypes
 
@@ -41,7 +41,7 @@
         address = ids.Address('10.0.0.1', 1)
         layer = network.join(_HERE, address)
         self.log = _Log(ids.HostId(leader))
-        self.standing = standing.Standing(
+        self.leadership = leadership.Leadership(
             layer,
             self.log,
             timers.TimerService(),
@@ -75,14 +75,14 @@
         await bed.let_ping(2, *_ENTRY_HOSTS)
         bed.log.told = _HERE
         await bed.let_ping(2, *_ENTRY_HOSTS)
-        assert bed.standing.share() == 1
+        assert bed.leadership.share() == 1
         await bed.let_ping(6, 'e1')
-        assert bed.standing.share() == pytest.approx(0.5)
+        assert bed.leadership.share() == pytest.approx(0.5)
         await bed.let_ping(0.4, *_ENTRY_HOSTS)
-        assert bed.standing.share() * 10 < 7
+        assert bed.leadership.share() * 10 < 7
         await bed.let_ping(_SECONDS, *_ENTRY_HOSTS)
-        assert bed.standing.share() == 1
-        bed.standing.close()
+        assert bed.leadership.share() == 1
+        bed.leadership.close()
 
     virtual.run(work())
 
@@ -97,7 +97,7 @@
         bed.log.told = _HERE
         await asyncio.sleep(0.2)
         await bed.let_ping(0.4, *_ENTRY_HOSTS)
-        assert bed.standing.share() == 1
-        bed.standing.close()
+        assert bed.leadership.share() == 1
+        bed.leadership.close()
 
     virtual.run(work())
--- a/libs/control/geraniumweir/control/tests/test_retries_over_changes.py
+++ b/libs/control/geraniumweir/control/tests/test_retries_over_changes.py
@@ -10,7 +10,7 @@
 
 import hypothesis
 from geraniumweir.common import ids
-from geraniumweir.control import standing
+from geraniumweir.control import leadership
 from geraniumweir.scheduling import (
     requests,
     retrybudget,
@@ -79,12 +79,12 @@
     ) -> None:
         self.host_id = ids.HostId(name)
         self.leads = False
-        self.hosts = standing.EntryHosts(_QUOTA_SECONDS)
+        self.hosts = leadership.EntryHosts(_QUOTA_SECONDS)
         self.budgets = retrybudget.RetryBudgets(
             _BUDGET,
             retrybudget.Scope(
                 lambda: self.leads,
-                lambda: self.hosts.number(clock()),
+                lambda: self.hosts.count(clock()),
             ),
             now,
         )
@@ -161,7 +161,7 @@
         self.leader = 1 - self.leader
         found = self.controls[self.leader]
         found.leads = True
-        found.hosts.told(before.hosts.number(self.now), self.now)
+        found.hosts.set_reported_count(before.hosts.count(self.now), self.now)
         found.budgets.begin(self.now)
         for entry in self.entries:
             entry.stays = False
@@ -222,7 +222,7 @@
                 self._offer(entry, entry.alone)
 
     def _meet(self, found: _Control, entry: _Entry) -> None:
-        found.hosts.heard(entry.host_id, self.now)
+        found.hosts.record_seen(entry.host_id, self.now)
         if entry.turned_to is not found:
             entry.turned_to = found
             counts = entry.counting.told_to(found.host_id, self.now)
--- a/libs/control/geraniumweir/control/tests/test_waking.py
+++ b/libs/control/geraniumweir/control/tests/test_stall_detector.py
@@ -5,7 +5,7 @@
 
 import pytest
 from geraniumweir.common import ids, timers, virtual
-from geraniumweir.control import pool_coordination, standing
+from geraniumweir.control import pool_coordination, leadership
 from geraniumweir.wire import memory
 from geraniumweir.wire.gen.control import ttypes
 
@@ -43,7 +43,7 @@
     def __init__(self) -> None:
         network = memory.MemoryNetwork()
         self.log = _Log()
-        self.standing = standing.Standing(
+        self.leadership = leadership.Leadership(
             network.join(_HERE, _ADDRESS),
             typing.cast(typing.Any, self.log),
             timers.TimerService(),
@@ -65,7 +65,7 @@
 
     def coordinator(self) -> ids.HostId:
         """Give whom the control host takes for the coordinator."""
-        return self.standing.live(pool_coordination.AREA)[0]
+        return self.leadership.live(pool_coordination.ALL_DOMAINS)[0]
 
 
 def _run(work: typing.Callable[[_Bed], typing.Awaitable[None]]) -> None:
@@ -73,7 +73,7 @@
         bed = _Bed()
         await asyncio.sleep(1)
         await work(bed)
-        bed.standing.close()
+        bed.leadership.close()
 
     virtual.run(on_bed())
 
@@ -112,7 +112,7 @@
 
     async def work(bed: _Bed) -> None:
         seen = []
-        bed.standing.changes.subscribe(
+        bed.leadership.changes.subscribe(
             lambda _: seen.append(bed.coordinator()),
         )
         bed.freeze(6)
--- a/libs/control/geraniumweir/control/tests/test_watching.py
+++ b/libs/control/geraniumweir/control/tests/test_watching.py
@@ -50,8 +50,8 @@
 
     async def work() -> None:
         watcher = _watcher()
-        watcher.take(_CONTROL, _news(version=7))
-        watcher.take(_OTHER, _news(version=5, epoch='b'))
+        watcher.apply(_CONTROL, _news(version=7))
+        watcher.apply(_OTHER, _news(version=5, epoch='b'))
         assert watcher.version == 7
 
     virtual.run(work())
@@ -64,9 +64,9 @@
 
     async def work() -> None:
         watcher = _watcher()
-        watcher.take(_CONTROL, _news(version=7, sure=False))
+        watcher.apply(_CONTROL, _news(version=7, sure=False))
         assert watcher.confirmed_at == float('-inf')
-        watcher.take(_CONTROL, _news(version=7))
+        watcher.apply(_CONTROL, _news(version=7))
         assert watcher.confirmed_at >= 0
 
     virtual.run(work())
@@ -77,8 +77,8 @@
 
     async def work() -> None:
         watcher = _watcher()
-        watcher.take(_CONTROL, _news(_server('s')))
-        watcher.take(_OTHER, _news(epoch='b'))
+        watcher.apply(_CONTROL, _news(_server('s')))
+        watcher.apply(_OTHER, _news(epoch='b'))
         assert watcher.servers.get(ids.ServerId('s')) is not None
 
     virtual.run(work())
@@ -90,8 +90,8 @@
     async def work() -> None:
         watcher = _watcher()
         leaving = int(enrolments.State.leaving)
-        watcher.take(_CONTROL, _news(_server('s', 5, leaving)))
-        watcher.take(_OTHER, _news(_server('s', 4), epoch='b'))
+        watcher.apply(_CONTROL, _news(_server('s', 5, leaving)))
+        watcher.apply(_OTHER, _news(_server('s', 4), epoch='b'))
         found = watcher.servers.get(ids.ServerId('s'))
         assert found is not None
         assert found.state is enrolments.State.leaving
--- a/libs/control/geraniumweir/control/choosing.py
+++ b/libs/control/geraniumweir/control/watch_target.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from geraniumweir.common import eventlog, ids, timers
-from geraniumweir.control import hosts, logevents, searching
+from geraniumweir.control import hosts, logevents, host_search
 from geraniumweir.wire.gen.control import ttypes
 
 # A control host that failed or wasn't sure is asked after the others for so
@@ -11,8 +11,8 @@
 _AVOID_SECONDS = 2.0
 # One of the own failure domain is looked at this often all the same, in
 # seconds: it may know of servers that leave and not reach the others.
-_LOOK_SECONDS = 1.0
-_NOBODY = ids.HostId('')
+_PROBE_SECONDS = 1.0
+_NO_HOST = ids.HostId('')
 
 
 class Ranking:
@@ -24,20 +24,20 @@
         :param domain: whose control hosts come first.
         """
         self._domain = domain
-        self._avoided: dict[ids.HostId, float] = {}
+        self._failed_at: dict[ids.HostId, float] = {}
 
-    def note(
-        self, host_id: ids.HostId, verdict: searching.Verdict, now: float
+    def record(
+        self, host_id: ids.HostId, verdict: host_search.Verdict, now: float
     ) -> None:
         """Take what came of asking a host."""
-        self._avoided.pop(host_id, None)
-        if verdict is not searching.Verdict.sure:
-            self._avoided[host_id] = now
+        self._failed_at.pop(host_id, None)
+        if verdict is not host_search.Verdict.sure:
+            self._failed_at[host_id] = now
 
-    def avoids(self, host_id: ids.HostId, now: float) -> bool:
+    def is_avoided(self, host_id: ids.HostId, now: float) -> bool:
         """Tell whether a host comes after the others for now."""
-        since = self._avoided.get(host_id, float('-inf'))
-        return now - since < _AVOID_SECONDS
+        failed_at = self._failed_at.get(host_id, float('-inf'))
+        return now - failed_at < _AVOID_SECONDS
 
     def ranked(
         self,
@@ -45,41 +45,41 @@
         now: float,
     ) -> list[ids.HostId]:
         """List the hosts that are known, those to ask first first."""
-        near = [host.host_id for host in known.near_first(self._domain)]
-        self._forget(frozenset(near))
+        near = [host.host_id for host in known.nearest_first(self._domain)]
+        self._evict(frozenset(near))
         return sorted(near, key=lambda host_id: self._rank(host_id, now))
 
     def nearer(
         self,
         known: hosts.ControlHosts,
-        place: ids.HostId,
+        current_id: ids.HostId,
         now: float,
     ) -> ids.HostId | None:
         """Give a host of this failure domain to look at beside another."""
         near = [
             host.host_id
-            for host in known.near_first(self._domain)
+            for host in known.nearest_first(self._domain)
             if host.failure_domain == self._domain
         ]
-        if not near or place in near:
+        if not near or current_id in near:
             return None
         return next((one for one in near if self._is_due(one, now)), None)
 
     def _is_due(self, host_id: ids.HostId, now: float) -> bool:
-        since = self._avoided.get(host_id, float('-inf'))
-        return now - since >= _LOOK_SECONDS
+        failed_at = self._failed_at.get(host_id, float('-inf'))
+        return now - failed_at >= _PROBE_SECONDS
 
     def _rank(self, host_id: ids.HostId, now: float) -> float:
-        if not self.avoids(host_id, now):
+        if not self.is_avoided(host_id, now):
             return float('-inf')
-        return self._avoided[host_id]
+        return self._failed_at[host_id]
 
-    def _forget(self, known: frozenset[ids.HostId]) -> None:
-        for host_id in set(self._avoided) - known:
-            self._avoided.pop(host_id)
+    def _evict(self, known: frozenset[ids.HostId]) -> None:
+        for host_id in set(self._failed_at) - known:
+            self._failed_at.pop(host_id)
 
 
-class Choice:
+class WatchTarget:
     """The control host that is watched, and the search for another one.
 
     :ivar host_id: the one that is watched, or empty.
@@ -89,45 +89,47 @@
         self,
         domain: ids.FailureDomain,
         known: hosts.ControlHosts,
-        look: searching.Ask,
+        probe: host_search.Probe,
     ) -> None:
         """Watch nobody yet.
 
         :param domain: whose control hosts come first.
-        :param look: asks a host whether it is sure.
+        :param probe: asks a host whether it is sure.
         """
-        self.host_id = _NOBODY
+        self.host_id = _NO_HOST
         self._ranking = Ranking(domain)
         self._known = known
-        self._look = look
+        self._probe = probe
         self._clock = timers.TimerService()
-        self._trial: asyncio.Task[None] | None = None
+        self._probe_task: asyncio.Task[None] | None = None
 
     def close(self) -> None:
         """Ask nobody any more."""
-        if self._trial is not None:
-            self._trial.cancel()
+        if self._probe_task is not None:
+            self._probe_task.cancel()
 
     def judge(
         self,
         host_id: ids.HostId,
-        news: ttypes.News | None,
+        update: ttypes.News | None,
         version: ids.Version,
-    ) -> searching.Verdict:
+    ) -> host_search.Verdict:
         """Take a host's answer, or that there was none.
 
         :param version: that is in force here.
         """
-        verdict = searching.Verdict.silent
-        if news is not None:
-            verdict = searching.Verdict.unsure
-            if news.sure:
-                verdict = searching.Verdict.sure
+        verdict = host_search.Verdict.silent
+        if update is not None:
+            verdict = host_search.Verdict.unsure
+            if update.sure:
+                verdict = host_search.Verdict.sure
         now = self._clock.now()
-        avoided = self._ranking.avoids(host_id, now)
-        self._ranking.note(host_id, verdict, now)
-        if verdict is searching.Verdict.unsure and not avoided:
-            eventlog.emit(logevents.WATCH_UNSURE, host=host_id, version=version)
+        avoided = self._ranking.is_avoided(host_id, now)
+        self._ranking.record(host_id, verdict, now)
+        if verdict is host_search.Verdict.unsure and not avoided:
+            eventlog.emit(
+                logevents.WATCH_NOT_CURRENT, host=host_id, version=version
+            )
         return verdict
 
     async def search(self) -> bool:
@@ -136,13 +138,13 @@
         :returns: whether any answered.
         """
         ranked = self._ranking.ranked(self._known, self._clock.now())
-        found = await searching.Search(self._look).run(ranked)
-        self._settle(found.best(self.host_id))
+        found = await host_search.HostSearch(self._probe).run(ranked)
+        self._set_host(found.best(self.host_id))
         return bool(self.host_id)
 
-    def try_nearer(self) -> None:
+    def probe_nearer(self) -> None:
         """Ask a host of the own failure domain beside the one watched."""
-        if self._trial is not None and not self._trial.done():
+        if self._probe_task is not None and not self._probe_task.done():
             return
         host_id = self._ranking.nearer(
             self._known,
@@ -150,13 +152,15 @@
             self._clock.now(),
         )
         if host_id is not None:
-            self._trial = asyncio.create_task(self._turn_to(host_id))
+            self._probe_task = asyncio.create_task(
+                self._switch_if_current(host_id)
+            )
 
-    async def _turn_to(self, host_id: ids.HostId) -> None:
-        if await self._look(host_id) is searching.Verdict.sure:
-            self._settle(host_id)
+    async def _switch_if_current(self, host_id: ids.HostId) -> None:
+        if await self._probe(host_id) is host_search.Verdict.sure:
+            self._set_host(host_id)
 
-    def _settle(self, host_id: ids.HostId) -> None:
+    def _set_host(self, host_id: ids.HostId) -> None:
         if host_id == self.host_id:
             return
         self.host_id = host_id
--- a/libs/control/geraniumweir/control/watching.py
+++ b/libs/control/geraniumweir/control/watching.py
@@ -13,13 +13,13 @@
 import reactivex
 from geraniumweir.common import eventlog, ids, timers
 from geraniumweir.control import (
-    choosing,
+    watch_target,
     enrolments,
     hosts,
     active_document,
     logevents,
-    looking,
-    searching,
+    leave_collector,
+    host_search,
 )
 from geraniumweir.rollout import guiding, orders
 from geraniumweir.routing import finding
@@ -33,24 +33,24 @@
 # force 2 s after it was acknowledged.
 _WAIT_SECONDS = 0.5
 # While no control host is sure they are all asked this often, in seconds.
-_UNSURE_SECONDS = 0.25
+_RETRY_SECONDS = 0.25
 # The answer may take so much longer, in seconds: a lost packet is sent again
 # after 0.2 s. A host that is only late still answers the search that follows.
-_LATE_SECONDS = 0.25
+_GRACE_SECONDS = 0.25
 # Longest wait for an answer that is due at once, in seconds.
 _ANSWER_SECONDS = 0.9
 _MS = 1000
 # Between two searches while no control host answers, in seconds.
-_PAUSE_SECONDS = 0.05
+_SEARCH_PAUSE_SECONDS = 0.05
 # A time without a sure answer is told from so long on, in seconds: twice a
 # watch that has nothing to tell.
-_BLIND_SECONDS = 1.0
-_DIGITS = 3
+_MIN_LOGGED_GAP_SECONDS = 1.0
+_SECONDS_DIGITS = 3
 # A server that the control host doesn't list is kept for so long, in seconds:
 # servers report every 1 to 2 s, so one that is there is listed by then.
 _UNLISTED_SECONDS = 8.0
 # Servers hear nothing of a host's lease here; only control hosts hold one.
-_NO_LEASE = float('inf')
+_NO_LEASE_SECONDS = float('inf')
 
 
 class Watcher:
@@ -75,19 +75,19 @@
         :param read: reads a document that was checked when it was published.
         """
         self.hosts = hosts.ControlHosts()
-        self.servers = enrolments.Enrolments(link.host_id, _NO_LEASE)
+        self.servers = enrolments.Enrolments(link.host_id, _NO_LEASE_SECONDS)
         self.confirmed_at = float('-inf')
         self._link = link
         self._seeds = seeds
         self._document = active_document.ActiveDocument(read)
         self._clock = timers.TimerService()
-        self._choice = choosing.Choice(domain, self.hosts, self._look)
-        self._silent: set[ids.HostId] = set()
-        self._is_sure = False
-        self._told_by = ids.HostId('')
+        self._target = watch_target.WatchTarget(domain, self.hosts, self._probe)
+        self._unreachable: set[ids.HostId] = set()
+        self._is_confirmed = False
+        self._source = ids.HostId('')
         self._epoch = ''
         self._revision = 0
-        self._looks = looking.Looks(self.servers)
+        self._leave_collector = leave_collector.LeaveCollector(self.servers)
         self._unlisted: dict[ids.ServerId, float] = {}
         self._rollouts: dict[ids.PoolName, guiding.Sighted] = {}
         self._rollouts_progress = 0
@@ -99,7 +99,7 @@
 
         It may be cut off from the others, which don't know of it then.
         """
-        return self._looks.leaves
+        return self._leave_collector.leaves
 
     @property
     def changes(self) -> reactivex.Observable[None]:
@@ -127,19 +127,19 @@
                 if not await self._watch():
                     await self._search()
         finally:
-            self._choice.close()
+            self._target.close()
 
-    def take(self, sender: ids.HostId, news: ttypes.News) -> None:
+    def apply(self, sender: ids.HostId, update: ttypes.News) -> None:
         """Take what a control host told."""
         now = self._clock.now()
-        changed = self._take_servers(sender, news, now)
-        changed = self._drop_unlisted(now) or changed
-        self._take_rest(sender, news, now, changed)
+        changed = self._apply_servers(sender, update, now)
+        changed = self._evict_unlisted(now) or changed
+        self._apply_rest(sender, update, now, changed)
 
-    def _take_rest(
+    def _apply_rest(
         self,
         sender: ids.HostId,
-        news: ttypes.News,
+        update: ttypes.News,
         now: float,
         changed: bool,
     ) -> None:
@@ -147,56 +147,56 @@
 
         :param changed: something did already.
         """
-        self._learn_hosts(sender, news, now)
-        changed = self._document.offer(news) or changed
-        changed = self._take_rollouts(news) or changed
-        if news.sure and news.version <= self.version:
-            self._note_sure(now)
+        self._add_hosts(sender, update, now)
+        changed = self._document.offer(update) or changed
+        changed = self._apply_rollouts(update) or changed
+        if update.sure and update.version <= self.version:
+            self._record_confirmed(now)
         if changed:
             self._changes.on_next(None)
 
-    def _note_sure(self, now: float) -> None:
-        blind = now - self.confirmed_at
-        if _BLIND_SECONDS < blind < float('inf'):
+    def _record_confirmed(self, now: float) -> None:
+        unconfirmed_seconds = now - self.confirmed_at
+        if _MIN_LOGGED_GAP_SECONDS < unconfirmed_seconds < float('inf'):
             eventlog.emit(
-                logevents.SURE_AGAIN,
-                seconds=round(blind, _DIGITS),
+                logevents.CONFIRMED_AGAIN,
+                seconds=round(unconfirmed_seconds, _SECONDS_DIGITS),
                 version=self.version,
             )
         self.confirmed_at = now
 
     async def _watch(self) -> bool:
         """Watch the chosen host once; tell whether it is sure."""
-        host_id = self._choice.host_id
+        host_id = self._target.host_id
         if not host_id:
             return False
-        wait = _WAIT_SECONDS if self._is_sure else _UNSURE_SECONDS
+        wait_seconds = _WAIT_SECONDS if self._is_confirmed else _RETRY_SECONDS
         watch = ttypes.Watch(
             self.version,
-            self._epoch if host_id == self._told_by else '',
+            self._epoch if host_id == self._source else '',
             self._revision,
-            int(wait * _MS),
+            int(wait_seconds * _MS),
             self._rollouts_progress,
         )
-        news = await self._call(host_id, watch, wait + _LATE_SECONDS)
-        if news is not None:
-            self.take(host_id, news)
-        self._choice.try_nearer()
-        verdict = self._choice.judge(host_id, news, self.version)
-        self._is_sure = verdict is searching.Verdict.sure
-        return self._is_sure
+        update = await self._call(host_id, watch, wait_seconds + _GRACE_SECONDS)
+        if update is not None:
+            self.apply(host_id, update)
+        self._target.probe_nearer()
+        verdict = self._target.judge(host_id, update, self.version)
+        self._is_confirmed = verdict is host_search.Verdict.sure
+        return self._is_confirmed
 
     async def _search(self) -> None:
-        answered = await self._choice.search()
-        if self._document.begin():
+        answered = await self._target.search()
+        if self._document.activate_pending():
             self._changes.on_next(None)
         if not answered:
-            await self._meet_seeds()
-            await asyncio.sleep(_PAUSE_SECONDS)
+            await self._query_seeds()
+            await asyncio.sleep(_SEARCH_PAUSE_SECONDS)
 
-    async def _look(self, host_id: ids.HostId) -> searching.Verdict:
+    async def _probe(self, host_id: ids.HostId) -> host_search.Verdict:
         """Ask a host for the document, and for servers that leave."""
-        epoch, revision = self._looks.seen(host_id)
+        epoch, revision = self._leave_collector.position(host_id)
         watch = ttypes.Watch(
             self.version,
             epoch,
@@ -205,12 +205,12 @@
             self._rollouts_progress,
             brief=True,
         )
-        news = await self._call(host_id, watch, _ANSWER_SECONDS)
-        if news is not None:
+        update = await self._call(host_id, watch, _ANSWER_SECONDS)
+        if update is not None:
             now = self._clock.now()
-            changed = self._looks.take(host_id, news, now)
-            self._take_rest(host_id, news, now, changed)
-        return self._choice.judge(host_id, news, self.version)
+            changed = self._leave_collector.apply(host_id, update, now)
+            self._apply_rest(host_id, update, now, changed)
+        return self._target.judge(host_id, update, self.version)
 
     async def _call(
         self,
@@ -219,27 +219,27 @@
         timeout: float,
     ) -> ttypes.News | None:
         try:
-            news = await self._link.call(host_id, watch, timeout)
+            update = await self._link.call(host_id, watch, timeout)
         except errors.PeerError as exc:
-            if host_id not in self._silent:
-                self._silent.add(host_id)
+            if host_id not in self._unreachable:
+                self._unreachable.add(host_id)
                 eventlog.emit(
                     logevents.WATCH_LOST,
                     host=host_id,
                     reason=exc.message,
                 )
             return None
-        self._silent.discard(host_id)
-        return news
+        self._unreachable.discard(host_id)
+        return update
 
-    async def _meet_seeds(self) -> None:
+    async def _query_seeds(self) -> None:
         """Ask all seeds who they are; the first answer is enough.
 
         One after another, a seed that is down would keep a host that starts
         from those that are up.
         """
         asked = [
-            asyncio.create_task(self._meet(address))
+            asyncio.create_task(self._query_seed(address))
             for address in self._seeds().values()
         ]
         try:
@@ -250,77 +250,77 @@
             for task in asked:
                 task.cancel()
 
-    async def _meet(self, address: ids.Address) -> bool:
+    async def _query_seed(self, address: ids.Address) -> bool:
         try:
             host_id = await self._link.introduce(address)
         except errors.PeerError:
             return False
         # Its full card comes with its first answer.
-        self.hosts.learn(hosts.seed(host_id, address), self._clock.now())
+        self.hosts.register(hosts.seed(host_id, address), self._clock.now())
         return True
 
-    def _learn_hosts(
+    def _add_hosts(
         self,
         sender: ids.HostId,
-        news: ttypes.News,
+        update: ttypes.News,
         now: float,
     ) -> None:
-        for told in news.hosts:
-            host = hosts.from_wire(told)
-            self.hosts.learn(host, now)
-            self.hosts.heard(host.host_id, now)
+        for struct in update.hosts:
+            host = hosts.from_wire(struct)
+            self.hosts.register(host, now)
+            self.hosts.record_seen(host.host_id, now)
             self._link.learn(host.host_id, host.address)
-        self.hosts.forget_old(now)
+        self.hosts.evict_old(now)
 
-    def _take_rollouts(self, news: ttypes.News) -> bool:
-        if (news.rollouts_progress or 0) <= self._rollouts_progress:
+    def _apply_rollouts(self, update: ttypes.News) -> bool:
+        if (update.rollouts_progress or 0) <= self._rollouts_progress:
             return False
-        self._rollouts_progress = news.rollouts_progress
+        self._rollouts_progress = update.rollouts_progress
         now = self._clock.now()
-        for one in news.rollouts:
+        for one in update.rollouts:
             rollout = _rollout(one)
             self._rollouts[rollout.pool] = guiding.Sighted(rollout, now)
         return True
 
-    def _take_servers(
+    def _apply_servers(
         self,
         sender: ids.HostId,
-        news: ttypes.News,
+        update: ttypes.News,
         now: float,
     ) -> bool:
-        self._told_by = sender
-        self._epoch = news.epoch
-        self._revision = news.revision
-        listed = enrolments.readable(news.servers, sender)
+        self._source = sender
+        self._epoch = update.epoch
+        self._revision = update.revision
+        listed = enrolments.parse_readable(update.servers, sender)
         merged = [self.servers.merge(found, now, sender) for found in listed]
         for one in listed:
             self._unlisted.pop(one.server_id, None)
-        if news.whole:
+        if update.whole:
             names = {found.server_id for found in listed}
             for known in self.servers.known():
                 if known.server_id not in names:
                     self._unlisted.setdefault(known.server_id, now)
         return any(merged)
 
-    def _drop_unlisted(self, now: float) -> bool:
-        old = [
+    def _evict_unlisted(self, now: float) -> bool:
+        expired = [
             server_id
-            for server_id, since in self._unlisted.items()
-            if now - since > _UNLISTED_SECONDS
+            for server_id, unlisted_at in self._unlisted.items()
+            if now - unlisted_at > _UNLISTED_SECONDS
         ]
-        for server_id in old:
+        for server_id in expired:
             self._unlisted.pop(server_id)
-            self.servers.forget(server_id)
-        return bool(old)
+            self.servers.remove(server_id)
+        return bool(expired)
 
 
-def _rollout(told: ttypes.Rollout) -> orders.Rollout:
+def _rollout(struct: ttypes.Rollout) -> orders.Rollout:
     """Read what a host needs that doesn't move the traffic itself."""
     return orders.Rollout(
-        ids.PoolName(told.pool),
-        told.number,
-        ids.SoftwareVersion(told.to),
+        ids.PoolName(struct.pool),
+        struct.number,
+        ids.SoftwareVersion(struct.to),
         0,
-        orders.State(told.state),
-        orders.Phase(told.phase),
+        orders.State(struct.state),
+        orders.Phase(struct.phase),
     )
