--- a/libs/control/geraniumweir/control/tests/bed.py
+++ b/libs/control/geraniumweir/control/tests/bed.py
@@ -11,7 +11,7 @@
 from geraniumweir.configuration import recordings, state
 from geraniumweir.consensus import core, recorder, settings
 from geraniumweir.control import (
-    coordinating,
+    coordinator_client,
     documents,
     enrolments,
     feed,
@@ -19,8 +19,8 @@
     logaccess,
     presence,
     recorders,
-    roster,
-    standing,
+    pool_servers,
+    leadership,
     watching,
 )
 from geraniumweir.rollout import orders
@@ -63,7 +63,7 @@
         me = card(domain)
         known = hosts.ControlHosts()
         for other in DOMAINS:
-            known.learn(card(other), 0)
+            known.register(card(other), 0)
         first = {ids.HostId(name): address(name) for name in DOMAINS}
         place = recordings.Place(self.host_id, pathlib.Path(domain), first)
         self.known = known
@@ -73,10 +73,10 @@
         access = logaccess.LogAccess(self.link, self.log, known)
         self.documents = documents.Documents(self.link, self.log, known, access)
         self.table = enrolments.Enrolments(self.host_id, _LEASE_SECONDS)
-        self.standing = standing.Standing(
+        self.leadership = leadership.Leadership(
             self.link, self.log, timers.TimerService(), _QUOTA_SECONDS
         )
-        entry_hosts = self.standing.entry_hosts
+        entry_hosts = self.leadership.entry_hosts
         self.rollouts: dict[ids.PoolName, orders.Rollout] = {}
         self.log.rollouts.subscribe(self._put)
         self.feed = feed.Feed(
@@ -91,7 +91,9 @@
             self.link, me, known, self.table, self.log, entry_hosts
         )
         self.presence.on_change = self.feed.notify
-        self.standing.said.changes.subscribe(self.presence.hear)
+        self.leadership.server_notices.changes.subscribe(
+            self.presence.handle_notice
+        )
 
     def _put(self, found: orders.Rollout) -> None:
         self.rollouts[found.pool] = found
@@ -111,23 +113,23 @@
         link = bed.network.join(self.host_id, address(name))
         self.watcher = _watcher(link, domain)
         clock = timers.TimerService()
-        self.said = notices.Notices(clock)
-        self.coordinator = coordinating.Coordinator(
+        self.server_notices = notices.Notices(clock)
+        self.coordinator = coordinator_client.CoordinatorClient(
             link,
             ids.FailureDomain(domain),
             self.watcher.hosts,
             lambda _: recent_usage.RecentUsage(0, {}),
-            self.said,
+            self.server_notices,
         )
         self.watcher.leaves.subscribe(
-            lambda start: self.said.apply(
+            lambda start: self.server_notices.apply(
                 notices.leaving(start, self.host_id, clock.now()),
             ),
         )
-        self.roster = roster.Roster(
+        self.pool_servers = pool_servers.PoolServers(
             self.watcher.servers,
             lambda: None,
-            said=self.said,
+            server_notices=self.server_notices,
         )
 
     def hear(
@@ -135,7 +137,7 @@
     ) -> None:
         """Take an answer to a request that was sent a moment ago."""
         now = asyncio.get_running_loop().time()
-        self.said.apply(
+        self.server_notices.apply(
             notices.Notice(*start, content, self.host_id, now - 0.01, now),
         )
 
@@ -192,7 +194,7 @@
             lost = f'a{number}'
             self.network.join(ids.HostId(lost), address(lost))
             self.network.cut(host_id, ids.HostId(lost))
-            watcher.hosts.learn(card(lost), 0)
+            watcher.hosts.register(card(lost), 0)
         self._running.append(asyncio.create_task(watcher.run()))
         return watcher
 
@@ -235,7 +237,7 @@
         read,
     )
     for one in DOMAINS:
-        watcher.hosts.learn(card(one), 0)
+        watcher.hosts.register(card(one), 0)
     return watcher
 
 
--- a/libs/control/geraniumweir/control/tests/test_coordination.py
+++ b/libs/control/geraniumweir/control/tests/test_pool_coordination.py
@@ -5,7 +5,12 @@
 import typing
 
 from geraniumweir.common import ids, timers, virtual
-from geraniumweir.control import coordination, enrolments, roster, spent
+from geraniumweir.control import (
+    pool_coordination,
+    enrolments,
+    pool_servers,
+    usage_codec,
+)
 from geraniumweir.routing import finding, tables
 from geraniumweir.scheduling import channel, recent_usage, retrybudget
 from geraniumweir.wire import memory
@@ -38,7 +43,9 @@
         return []
 
 
-def _parts(view: _View, layer: memory.MemoryPeers) -> coordination.Parts:
+def _parts(
+    view: _View, layer: memory.MemoryPeers
+) -> pool_coordination.Dependencies:
     index = finding.Index(
         tables.Document(
             version=ids.Version(1),
@@ -46,10 +53,10 @@
         ),
     )
     known = enrolments.Enrolments(_HERE, 3)
-    return coordination.Parts(
+    return pool_coordination.Dependencies(
         link=channel.Channel(layer),
         view=view,
-        roster=roster.Roster(known, lambda: index),
+        pool_servers=pool_servers.PoolServers(known, lambda: index),
         index=lambda: index,
         share=lambda: 1,
         shares_slots=False,
@@ -63,7 +70,7 @@
 def _spent(amount: float) -> ttypes.Spent:
     """Tell what was granted a second ago."""
     told = recent_usage.RecentUsage(_SECONDS, {_NAME: {5: amount}})
-    return spent.pack(told)
+    return usage_codec.pack(told)
 
 
 class _Bed:
@@ -81,7 +88,7 @@
             budget=retrybudget.Budget(ratio=0, window=_SECONDS, slack=20),
             retries=retrybudget.Scope(lambda: self.leads, lambda: 1),
         )
-        counting = coordination.Counting(parts, self.clock)
+        counting = pool_coordination.UsageAccounting(parts, self.clock)
         self.quotas = counting.quotas
         self.retries = counting.retries
         self._entry = network.join(_ENTRY, ids.Address('10.0.0.2', 1))
--- a/libs/gateway/geraniumweir/gateway/host.py
+++ b/libs/gateway/geraniumweir/gateway/host.py
@@ -10,11 +10,11 @@
 from geraniumweir.backends import calls
 from geraniumweir.common import eventlog, ids, starting, timers
 from geraniumweir.control import (
-    coordinating,
-    coordination,
+    coordinator_client,
+    pool_coordination,
     hosts,
-    inforce,
-    roster,
+    active_document,
+    pool_servers,
     watching,
 )
 from geraniumweir.gateway import (
@@ -89,7 +89,7 @@
         cfg: Settings,
         layer: tcp.TcpPeers,
         names: codec.Codec,
-        read: inforce.Read,
+        read: active_document.Read,
         meter: metrics.Metrics,
     ) -> None:
         """Put them together; :meth:`run` starts them."""
@@ -103,25 +103,25 @@
             read,
         )
         self._said = notices.Notices(self._clock)
-        self._coordinator = coordinating.Coordinator(
+        self._coordinator = coordinator_client.CoordinatorClient(
             self._link,
             cfg.failure_domain,
             self.watcher.hosts,
             self._spent,
             self._said,
         )
-        self._roster = roster.Roster(
+        self._roster = pool_servers.PoolServers(
             self.watcher.servers,
             self._index,
             cfg.host_id,
             cfg.failure_domain,
             self._said,
         )
-        self._service = coordination.serve(
-            coordination.Parts(
+        self._service = pool_coordination.make_leader_service(
+            pool_coordination.Dependencies(
                 link=self._link,
                 view=self._coordinator,
-                roster=self._roster,
+                pool_servers=self._roster,
                 index=self._index,
                 share=self._coordinator.share,
                 shares_slots=True,
@@ -131,7 +131,7 @@
                 budget=cfg.budget,
                 retries=retrybudget.ALONE,
                 guide=self._guide,
-                said=self._said,
+                server_notices=self._said,
             ),
             self._clock,
         )
@@ -141,8 +141,8 @@
             ),
         )
         for changes in (self.watcher.changes, self._said.changes):
-            coordination.follow(self._service, changes)
-        self._broker = coordination.ask_through(
+            pool_coordination.grant_on_changes(self._service, changes)
+        self._broker = pool_coordination.make_broker(
             self._link,
             self._coordinator,
             self._clock,
@@ -156,7 +156,7 @@
             retrycounts.RetryCounter(
                 cfg.budget.window,
                 starting.AT,
-                self._coordinator.coordinator,
+                self._coordinator.coordinator_id,
             ),
         )
         self._names = names
@@ -167,7 +167,7 @@
 
     def knowledge(self) -> admission.Knowledge:
         """Give what this host decides by now."""
-        age = self._clock.now() - self.watcher.sure_at
+        age = self._clock.now() - self.watcher.confirmed_at
         return admission.Knowledge(
             self.watcher.index,
             age <= self._cfg.sure_seconds,
