--- a/libs/control/geraniumweir/control/coordination.py
+++ b/libs/control/geraniumweir/control/coordination.py
@@ -74,7 +74,7 @@
     tolerance: quotas.Tolerance = quotas.Tolerance()
     guide: typing.Callable[[ids.PoolName], guiding.Guide] | None = None
     said: notices.Notices | None = None
-    inform: typing.Callable[[leader.OnTimeLeader], None] | None = None
+    inform: typing.Callable[[leader.OnTimePoolLeader], None] | None = None
 
     def rates(self) -> dict[notices.Start, float]:
         """Give what may be granted here of the limits of servers."""
@@ -236,13 +236,13 @@
     parts: Parts,
     pool: ids.PoolName,
     clock: timers.TimerService,
-) -> leader.OnTimeLeader:
+) -> leader.OnTimePoolLeader:
     cfg = settings.LeaderSettings(
         pool,
         f'{parts.link.host_id}/{pool}',
         settle_seconds=_SETTLE_SECONDS,
     )
-    made = leader.OnTimeLeader(
+    made = leader.OnTimePoolLeader(
         cfg,
         clock.now,
         lambda: parts.roster.of_pool(
--- a/libs/control/geraniumweir/control/host.py
+++ b/libs/control/geraniumweir/control/host.py
@@ -292,10 +292,12 @@
         ]
         return near[0] if near else self._cfg.me
 
-    def _leaders(self) -> list[leader.OnTimeLeader]:
+    def _leaders(self) -> list[leader.OnTimePoolLeader]:
         """List the leaders of the pools that are coordinated here."""
         found = map(self._service.leader, self._service.pools())
-        return [one for one in found if isinstance(one, leader.OnTimeLeader)]
+        return [
+            one for one in found if isinstance(one, leader.OnTimePoolLeader)
+        ]
 
     def _number_of_entry_hosts(self) -> int:
         return self.standing.entry_hosts.number(self._clock.now())
--- a/libs/control/geraniumweir/control/suspicion.py
+++ b/libs/control/geraniumweir/control/suspicion.py
@@ -20,10 +20,10 @@
 _MOST = 64
 
 _Key = tuple[ids.Fingerprint, str, int, bool]
-Leaders = typing.Callable[[], typing.Iterable[leader.OnTimeLeader]]
+Leaders = typing.Callable[[], typing.Iterable[leader.OnTimePoolLeader]]
 
 
-def _nobody() -> tuple[leader.OnTimeLeader, ...]:
+def _nobody() -> tuple[leader.OnTimePoolLeader, ...]:
     return ()
 
 
@@ -50,7 +50,7 @@
         self._looks = clock.every(_PERIOD).subscribe(lambda _: self._look())
         link.handle(ttypes.Cases, self._on_cases)
 
-    def inform(self, new: leader.OnTimeLeader) -> None:
+    def inform(self, new: leader.OnTimePoolLeader) -> None:
         """Let a new leader know of the cases that still hold."""
         now = self._clock.now()
         aged = (
--- a/libs/control/geraniumweir/control/tests/test_suspicion.py
+++ b/libs/control/geraniumweir/control/tests/test_suspicion.py
@@ -27,7 +27,7 @@
             self.known,
             self.clock,
         )
-        self.led: list[leader.OnTimeLeader] = []
+        self.led: list[leader.OnTimePoolLeader] = []
         self.suspicion.leaders = lambda: self.led
 
     def meet(self, other: '_Control') -> None:
@@ -39,7 +39,7 @@
     def coordinate(self) -> None:
         """Lead the pool, with what is known here."""
         cfg = settings.LeaderSettings(_POOL, f'{self.host_id}/{_POOL}')
-        made = leader.OnTimeLeader(cfg, self.clock.now, list)
+        made = leader.OnTimePoolLeader(cfg, self.clock.now, list)
         self.suspicion.inform(made)
         self.led = [made]
 
--- a/libs/fakes/geraniumweir/fakes/rollouts/playing.py
+++ b/libs/fakes/geraniumweir/fakes/rollouts/playing.py
@@ -135,7 +135,7 @@
             spends=lambda: True,
             judge=self._plan.judge,
         )
-        self._leader = leader.OnTimeLeader(
+        self._leader = leader.OnTimePoolLeader(
             settings.LeaderSettings(POOL),
             self._now,
             lambda: list(self._known.values()),
--- a/libs/fakes/geraniumweir/fakes/surge/playing.py
+++ b/libs/fakes/geraniumweir/fakes/surge/playing.py
@@ -89,8 +89,8 @@
             tasks.append(asyncio.create_task(self._freeze(self._shape.freeze)))
         await asyncio.gather(*tasks)
 
-    def _new_leader(self) -> leader.OnTimeLeader:
-        return leader.OnTimeLeader(
+    def _new_leader(self) -> leader.OnTimePoolLeader:
+        return leader.OnTimePoolLeader(
             settings.LeaderSettings(_POOL, 'surge', settle_seconds=0.1),
             self._loop.time,
             lambda: self._announced,
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -38,7 +38,7 @@
     return {}
 
 
-class OnTimeLeader:
+class OnTimePoolLeader:
     """Grants the capacity of one pool."""
 
     def __init__(
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/play.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/play.py
@@ -50,9 +50,9 @@
 def make(
     *known: servers.Announcement,
     now: typing.Callable[[], float],
-) -> leader.OnTimeLeader:
+) -> leader.OnTimePoolLeader:
     """Make a leader of some servers."""
-    return leader.OnTimeLeader(
+    return leader.OnTimePoolLeader(
         settings.LeaderSettings(POOL), now, lambda: known
     )
 
@@ -135,7 +135,7 @@
 
 
 async def _caller(
-    pool: leader.OnTimeLeader,
+    pool: leader.OnTimePoolLeader,
     load: Load,
     result: Result,
     name: str,
@@ -178,7 +178,7 @@
 
 
 async def _patient(
-    pool: leader.OnTimeLeader,
+    pool: leader.OnTimePoolLeader,
     made: requests.Ask,
 ) -> requests.Grant | requests.Denial | None:
     try:
@@ -189,7 +189,7 @@
 
 
 async def _serve(
-    pool: leader.OnTimeLeader,
+    pool: leader.OnTimePoolLeader,
     load: Load,
     grant: requests.Grant,
 ) -> None:
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_crashes.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_crashes.py
@@ -20,7 +20,7 @@
         self._number = 0
         self._now = asyncio.get_running_loop().time
         cfg = leader.settings.LeaderSettings(play.POOL)
-        self.leader = leader.OnTimeLeader(
+        self.leader = leader.OnTimePoolLeader(
             cfg,
             self._now,
             lambda: list(self._live.values()),
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_leader.py
@@ -85,7 +85,7 @@
 
 
 async def _granted(
-    pool: play.leader.OnTimeLeader,
+    pool: play.leader.OnTimePoolLeader,
     name: str,
     **changes: object,
 ) -> requests.Grant:
@@ -222,7 +222,7 @@
 _AT_ONCE = 0.01
 
 
-async def _taught(pool: play.leader.OnTimeLeader, seconds: float) -> None:
+async def _taught(pool: play.leader.OnTimePoolLeader, seconds: float) -> None:
     """Let a pool learn that a thousand tokens are read in some seconds."""
     for number in range(20):
         tokens = 1000 + 500 * (number % 4)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_look_cost.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_look_cost.py
@@ -45,7 +45,7 @@
         self.number += event == 'call'
 
 
-async def _slow_servers(pool: leader.OnTimeLeader) -> list[requests.Grant]:
+async def _slow_servers(pool: leader.OnTimePoolLeader) -> list[requests.Grant]:
     """Fill all slots but one of each server, with slow first tokens."""
     now = asyncio.get_running_loop().time
     grants = []
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_paths.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_paths.py
@@ -29,7 +29,7 @@
 
 
 async def _caller(
-    pool: leader.OnTimeLeader,
+    pool: leader.OnTimePoolLeader,
     chance: random.Random,
     name: str,
 ) -> bool:
@@ -94,7 +94,7 @@
 
 
 async def _keep_busy(
-    pool: leader.OnTimeLeader,
+    pool: leader.OnTimePoolLeader,
     near: servers.Announcement,
 ) -> None:
     """Take a slot, so that the other domain has more of them free."""
@@ -105,7 +105,7 @@
     pool.progress(requests.Progress(busy.request_id, 0.06, 1))
 
 
-async def _sent_to(pool: leader.OnTimeLeader, name: str) -> ids.ServerId:
+async def _sent_to(pool: leader.OnTimePoolLeader, name: str) -> ids.ServerId:
     now = asyncio.get_running_loop().time()
     made = play.ask(name, now, failure_domain=_DOMAINS[0])
     grant = await pool.ask(made)
@@ -115,7 +115,7 @@
     return grant.server_id
 
 
-async def _held_up(pool: leader.OnTimeLeader, name: str) -> None:
+async def _held_up(pool: leader.OnTimePoolLeader, name: str) -> None:
     """Play a stream that the path holds up if it crosses."""
     now = asyncio.get_running_loop().time()
     grant = await pool.ask(play.ask(name, now, failure_domain=_DOMAINS[0]))
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_pauses.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_pauses.py
@@ -34,9 +34,9 @@
     )
     denied: list[requests.Denial] = dataclasses.field(default_factory=list)
 
-    def lead(self) -> leader.OnTimeLeader:
+    def lead(self) -> leader.OnTimePoolLeader:
         known = [play.server(name) for name in self.servers]
-        return leader.OnTimeLeader(
+        return leader.OnTimePoolLeader(
             settings.LeaderSettings(play.POOL),
             asyncio.get_running_loop().time,
             lambda: known,
@@ -51,7 +51,7 @@
 
     async def offer(
         self,
-        led: leader.OnTimeLeader,
+        led: leader.OnTimePoolLeader,
         rate: float,
         seconds: float,
         hosts: typing.Sequence[ids.HostId] = _HOSTS,
@@ -67,7 +67,7 @@
 
     async def serve(
         self,
-        led: leader.OnTimeLeader,
+        led: leader.OnTimePoolLeader,
         name: str,
         host: ids.HostId,
         **changes: typing.Any,
@@ -85,7 +85,7 @@
 
     async def _run(
         self,
-        led: leader.OnTimeLeader,
+        led: leader.OnTimePoolLeader,
         grant: requests.Grant,
         host: ids.HostId,
     ) -> bool:
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_plain_overload.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_plain_overload.py
@@ -55,7 +55,7 @@
 
 
 async def _call(
-    pool: leader.OnTimeLeader,
+    pool: leader.OnTimePoolLeader,
     found: _Callers,
     chance: random.Random,
 ) -> None:
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rate_limits.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rate_limits.py
@@ -32,8 +32,8 @@
         default_factory=list,
     )
 
-    def lead(self) -> leader.OnTimeLeader:
-        return leader.OnTimeLeader(
+    def lead(self) -> leader.OnTimePoolLeader:
+        return leader.OnTimePoolLeader(
             settings.LeaderSettings(play.POOL),
             asyncio.get_running_loop().time,
             lambda: self.servers,
@@ -45,7 +45,7 @@
 
     async def offer(
         self,
-        led: leader.OnTimeLeader,
+        led: leader.OnTimePoolLeader,
         rate: float,
         seconds: float,
     ) -> None:
@@ -56,7 +56,7 @@
                 group.create_task(self._one(led, f'{name}-{number}'))
                 await asyncio.sleep(1 / rate)
 
-    async def _one(self, led: leader.OnTimeLeader, name: str) -> None:
+    async def _one(self, led: leader.OnTimePoolLeader, name: str) -> None:
         loop = asyncio.get_running_loop()
         answer = await led.ask(play.ask(name, loop.time()))
         if isinstance(answer, requests.Denial):
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rests.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rests.py
@@ -17,7 +17,7 @@
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
-        self.leader: leader.OnTimeLeader = play.make(
+        self.leader: leader.OnTimePoolLeader = play.make(
             play.server('a', _SLOTS),
             now=loop.time,
         )
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_starts.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_starts.py
@@ -18,7 +18,7 @@
         self._live = [play.server('a', 2)]
         now = asyncio.get_running_loop().time
         cfg = leader.settings.LeaderSettings(play.POOL)
-        self.leader = leader.OnTimeLeader(cfg, now, self._servers)
+        self.leader = leader.OnTimePoolLeader(cfg, now, self._servers)
 
     def start_again(self) -> None:
         """Let the server be known by its next start."""
