--- a/libs/scheduling/geraniumweir/scheduling/ontime/classes.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/classes.py
@@ -18,17 +18,17 @@
 
 # The counts are over about so many seconds: longer than bursts (2 to 5 s), so
 # that a class that gives way during one isn't taken for one that starves.
-_SECONDS = 10.0
+_WINDOW_SECONDS = 10.0
 # A class is owed slots while less than this part of its callers was served in
 # time.
-_LEAST_SHARE = 0.35
+_MIN_IN_TIME_RATIO = 0.35
 # So much of the slots' time goes to such classes at most, so that what is most
 # important may have a third of it, however much else comes.
-_OWED_PART = 0.65
+_MAX_DEFICIT_FRACTION = 0.65
 # A class that was asked for so seldom lately isn't judged, in callers.
-_FEW = 5.0
+_MIN_CALLERS = 5.0
 # Weights begin anew after so many times that, long before they overflow.
-_LONGEST = 14.0
+_MAX_WINDOWS = 14.0
 
 
 class Class(typing.NamedTuple):
@@ -42,27 +42,27 @@
 class _Counts:
     """What came of one class, newer ones at a greater weight.
 
-    :ivar asked: callers that asked for the first time.
+    :ivar arrivals: callers that asked for the first time.
     :ivar in_time: requests granted that could be on time.
-    :ivar held: seconds for which they were to keep a slot, late ones too.
-    :ivar ahead: of these, those that were granted because they were owed.
+    :ivar hold_seconds: seconds for which they were to keep a slot, late ones too.
+    :ivar granted_ahead: of these, those that were granted because they were owed.
     """
 
-    asked: float = 0
+    arrivals: float = 0
     in_time: float = 0
-    held: float = 0
-    ahead: float = 0
+    hold_seconds: float = 0
+    granted_ahead: float = 0
 
-    def shrink(self, passed: float) -> None:
+    def scale_down(self, elapsed_windows: float) -> None:
         """Begin weights anew.
 
-        :param passed: since they began, in the times that counts are over.
+        :param elapsed_windows: since they began, in the times that counts are over.
         """
-        left = math.exp(-passed)
-        self.asked *= left
-        self.in_time *= left
-        self.held *= left
-        self.ahead *= left
+        remaining = math.exp(-elapsed_windows)
+        self.arrivals *= remaining
+        self.in_time *= remaining
+        self.hold_seconds *= remaining
+        self.granted_ahead *= remaining
 
 
 class Shares:
@@ -71,55 +71,57 @@
     >>> shares = Shares()
     >>> one = Class(ids.Tier.normal, 0)
     >>> for at in range(4):
-    ...     shares.asked(one, at)
-    >>> shares.granted(one, 0.5, late=False, now=4)
-    >>> round(shares.share(one), 1), shares.part(one)
+    ...     shares.record_arrival(one, at)
+    >>> shares.record_grant(one, 0.5, late=False, now=4)
+    >>> round(shares.in_time_ratio(one), 1), shares.slot_share(one)
     (0.3, 1.0)
     """
 
     def __init__(self) -> None:
         """Begin without any."""
         self._counts: dict[Class, _Counts] = {}
-        self._since = float('-inf')
+        self._epoch = float('-inf')
 
-    def asked(self, found: Class, now: float) -> None:
+    def record_arrival(self, request_class: Class, now: float) -> None:
         """Count a caller that asks for the first time."""
         weight = self._weight(now)
-        self._of(found).asked += weight
+        self._of(request_class).arrivals += weight
 
-    def granted(
+    def record_grant(
         self,
-        found: Class,
-        held: float,
+        request_class: Class,
+        hold_seconds: float,
         *,
         late: bool,
         now: float,
-        owed: bool = False,
+        for_deficit: bool = False,
     ) -> None:
         """Count a grant.
 
-        :param held: seconds for which it is to keep a slot.
-        :param owed: it went ahead of what is more important.
+        :param hold_seconds: seconds for which it is to keep a slot.
+        :param for_deficit: it went ahead of what is more important.
         """
         weight = self._weight(now)
-        counts = self._of(found)
-        counts.held += held * weight
-        if owed:
-            counts.ahead += held * weight
+        counts = self._of(request_class)
+        counts.hold_seconds += hold_seconds * weight
+        if for_deficit:
+            counts.granted_ahead += hold_seconds * weight
         if not late:
             counts.in_time += weight
 
-    def share(self, found: Class) -> float:
+    def in_time_ratio(self, request_class: Class) -> float:
         """Give the part of a class's callers that were served in time."""
-        counts = self._of(found)
-        return min(counts.in_time / counts.asked, 1) if counts.asked else 1
+        counts = self._of(request_class)
+        return (
+            min(counts.in_time / counts.arrivals, 1) if counts.arrivals else 1
+        )
 
-    def part(self, found: Class) -> float:
+    def slot_share(self, request_class: Class) -> float:
         """Give the part of the slots' time that a class got."""
-        whole = self._whole()
-        return self._of(found).held / whole if whole else 0
+        total = self._total()
+        return self._of(request_class).hold_seconds / total if total else 0
 
-    def owed(self, now: float) -> dict[Class, float]:
+    def deficits(self, now: float) -> dict[Class, float]:
         """Give the classes that go ahead of more important ones.
 
         Those that took least of what is owed come first, so that one that
@@ -127,63 +129,67 @@
 
         :returns: with the part of their callers that were served in time.
         """
-        left = _OWED_PART * self._whole()
-        found = {}
-        for one in sorted(self._starving(now), key=self._ahead):
-            left -= self._ahead(one)
-            if left > 0:
-                found[one] = self.share(one)
-        return found
-
-    def known(self) -> list[Class]:
+        remaining = _MAX_DEFICIT_FRACTION * self._total()
+        selected = {}
+        for one in sorted(self._starved(now), key=self._ahead):
+            remaining -= self._ahead(one)
+            if remaining > 0:
+                selected[one] = self.in_time_ratio(one)
+        return selected
+
+    def by_importance(self) -> list[Class]:
         """List the classes, the most important first."""
         return sorted(self._counts)
 
-    def outline(self) -> dict[str, str]:
+    def log_summary(self) -> dict[str, str]:
         """Give what each class got, for the log."""
         return {
-            f'{found.tier:d}/{found.rank}': (
-                f'in time {self.share(found):.2f} slots {self.part(found):.2f}'
+            f'{request_class.tier:d}/{request_class.rank}': (
+                f'in time {self.in_time_ratio(request_class):.2f} '
+                f'slots {self.slot_share(request_class):.2f}'
             )
-            for found in self.known()
+            for request_class in self.by_importance()
         }
 
-    def _starving(self, now: float) -> list[Class]:
+    def _starved(self, now: float) -> list[Class]:
         """List the classes that are served too seldom.
 
         None that is served as often as what it would go ahead of.
         """
-        few = _FEW * self._weight(now)
-        found = []
-        least: dict[ids.Tier, float] = {}
-        for one in self.known():
-            share = self.share(one)
-            above = least.get(one.tier, 0)
-            if share < min(_LEAST_SHARE, above) and self._of(one).asked > few:
-                found.append(one)
-            least[one.tier] = min(least.get(one.tier, 1), share)
-        return found
-
-    def _ahead(self, found: Class) -> float:
-        return self._of(found).ahead
-
-    def _whole(self) -> float:
-        return sum(counts.held for counts in self._counts.values())
-
-    def _of(self, found: Class) -> _Counts:
-        return self._counts.setdefault(found, _Counts())
+        min_arrivals = _MIN_CALLERS * self._weight(now)
+        selected = []
+        lowest: dict[ids.Tier, float] = {}
+        for one in self.by_importance():
+            in_time_ratio = self.in_time_ratio(one)
+            above = lowest.get(one.tier, 0)
+            if (
+                in_time_ratio < min(_MIN_IN_TIME_RATIO, above)
+                and self._of(one).arrivals > min_arrivals
+            ):
+                selected.append(one)
+            lowest[one.tier] = min(lowest.get(one.tier, 1), in_time_ratio)
+        return selected
+
+    def _ahead(self, request_class: Class) -> float:
+        return self._of(request_class).granted_ahead
+
+    def _total(self) -> float:
+        return sum(counts.hold_seconds for counts in self._counts.values())
+
+    def _of(self, request_class: Class) -> _Counts:
+        return self._counts.setdefault(request_class, _Counts())
 
     def _weight(self, now: float) -> float:
         """Give how much something counts now, beside what came before."""
-        passed = (now - self._since) / _SECONDS
-        if passed < _LONGEST:
-            return math.exp(passed)
-        self._since = now
+        elapsed_windows = (now - self._epoch) / _WINDOW_SECONDS
+        if elapsed_windows < _MAX_WINDOWS:
+            return math.exp(elapsed_windows)
+        self._epoch = now
         for counts in self._counts.values():
-            counts.shrink(passed)
+            counts.scale_down(elapsed_windows)
         return 1
 
 
-def class_of(ask: requests.Ask) -> Class:
+def class_of(slot_request: requests.Ask) -> Class:
     """Give the class of a request."""
-    return Class(ask.tier, ask.rank)
+    return Class(slot_request.tier, slot_request.rank)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/conditions.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/conditions.py
@@ -17,18 +17,18 @@
 
 # The first rest, in seconds: a connection that was lost on the way is no
 # reason to leave a server out for long; a restart takes seconds.
-_FIRST_REST = 0.25
+_MIN_COOLDOWN_SECONDS = 0.25
 # A server that came back is tried again within this, in seconds.
-_LONGEST_REST = 4.0
-_GROWTH = 2
+_MAX_COOLDOWN_SECONDS = 4.0
+_COOLDOWN_GROWTH = 2
 # Requests that break off on a sound server are rare; two in a row aren't.
-_BREAKS_IN_ROW = 2
+_TRUNCATED_IN_ROW = 2
 # One connection that fails may be the path's fault or its host's.
-_MISSES_IN_ROW = 2
+_UNREACHABLE_IN_ROW = 2
 # A server that is full keeps this part of what it had.
-_CUT = 0.7
+_LIMIT_CUT_FACTOR = 0.7
 # One that turns away all that it gets takes a few cuts to be left alone.
-_LEAST_LIMIT = 1
+_MIN_LIMIT = 1
 # Share of answers that were failures of the server itself, by a decaying
 # mean over about ten answers.
 _FAILURE_WEIGHT = 0.1
@@ -38,115 +38,127 @@
 class Condition:
     """What is thought of one server.
 
-    :ivar until: end of its rest, in seconds.
-    :ivar rested_at: when its last rest began; what was sent before says
+    :ivar cooldown_until: end of its rest, in seconds.
+    :ivar cooldown_started_at: when its last rest began; what was sent before says
         nothing about it any more.
     :ivar trusted: it may get as many requests as it has slots.
-    :ivar failing: share of answers that were failures, lately.
-    :ivar limit: requests that it takes at a time, where it was full lately.
+    :ivar failure_ratio: share of answers that were failures, lately.
+    :ivar concurrency_limit: requests that it takes at a time, where it was full lately.
     """
 
-    until: float = float('-inf')
-    rested_at: float = float('-inf')
+    cooldown_until: float = float('-inf')
+    cooldown_started_at: float = float('-inf')
     trusted: bool = True
-    failing: float = 0
-    limit: float = float('inf')
-    _rest: float = _FIRST_REST
-    _breaks: int = 0
-    _misses: int = 0
-    _cut_at: float = float('-inf')
-
-    def most(self, slots: int, now: float) -> int:
+    failure_ratio: float = 0
+    concurrency_limit: float = float('inf')
+    _cooldown_seconds: float = _MIN_COOLDOWN_SECONDS
+    _truncated_in_row: int = 0
+    _unreachable_in_row: int = 0
+    _limit_cut_at: float = float('-inf')
+
+    def max_requests(self, slots: int, now: float) -> int:
         """Give how many requests it may run.
 
         >>> tired = Condition()
-        >>> tired.hung(10)
+        >>> tired.record_hang(10)
         True
-        >>> tired.most(8, 10.1), tired.most(8, 11)
+        >>> tired.max_requests(8, 10.1), tired.max_requests(8, 11)
         (0, 1)
-        >>> tired.good()
-        >>> tired.most(8, 11)
+        >>> tired.record_success()
+        >>> tired.max_requests(8, 11)
         8
         """
-        if now < self.until:
+        if now < self.cooldown_until:
             return 0
         return self._allowed(slots) if self.trusted else 1
 
-    def expected(self, slots: int, now: float) -> int:
+    def expected_requests(self, slots: int, now: float) -> int:
         """Give how many requests it is thought to run before long.
 
         A first short rest is no reason to send callers away.
         """
-        if now - self.rested_at < _FIRST_REST * _GROWTH:
+        if (
+            now - self.cooldown_started_at
+            < _MIN_COOLDOWN_SECONDS * _COOLDOWN_GROWTH
+        ):
             return self._allowed(slots)
-        return max(self.most(slots, now), 1)
+        return max(self.max_requests(slots, now), 1)
 
-    def hung(self, now: float) -> bool:
+    def record_hang(self, now: float) -> bool:
         """Take that nothing came of all that it was sent.
 
         :returns: whether a rest begins.
         """
-        return self._start_rest(now)
+        return self._start_cooldown(now)
 
-    def unreachable(self, now: float) -> bool:
+    def record_unreachable(self, now: float) -> bool:
         """Take that it couldn't be reached.
 
         :returns: whether a rest begins.
         """
-        self._misses += 1
-        if self.trusted and self._misses < _MISSES_IN_ROW:
+        self._unreachable_in_row += 1
+        if self.trusted and self._unreachable_in_row < _UNREACHABLE_IN_ROW:
             return False
-        return self._start_rest(now)
+        return self._start_cooldown(now)
 
-    def turned_away(self, running: int, granted: float, now: float) -> bool:
+    def record_rejection(
+        self, running: int, granted_at: float, now: float
+    ) -> bool:
         """Take that it was full.
 
         What was granted before the last cut says nothing of the present
         limit.
 
         :param running: requests that it has besides.
-        :param granted: when the one that it turned away was, in seconds.
+        :param granted_at: when the one that it turned away was, in seconds.
         :returns: whether a rest begins.
         """
-        if granted < self._cut_at:
+        if granted_at < self._limit_cut_at:
             return False
-        self._cut_at = now
-        if running < _LEAST_LIMIT or not self.trusted:
-            return self._start_rest(now)
-        self.limit = max(min(self.limit, running) * _CUT, _LEAST_LIMIT)
+        self._limit_cut_at = now
+        if running < _MIN_LIMIT or not self.trusted:
+            return self._start_cooldown(now)
+        self.concurrency_limit = max(
+            min(self.concurrency_limit, running) * _LIMIT_CUT_FACTOR, _MIN_LIMIT
+        )
         return False
 
-    def broke_off(self, now: float) -> bool:
+    def record_truncation(self, now: float) -> bool:
         """Take that an answer broke off or never came.
 
         :returns: whether a rest begins.
         """
-        self._breaks += 1
-        return self._breaks >= _BREAKS_IN_ROW and self._start_rest(now)
+        self._truncated_in_row += 1
+        return (
+            self._truncated_in_row >= _TRUNCATED_IN_ROW
+            and self._start_cooldown(now)
+        )
 
-    def answered(self, *, well: bool) -> None:
+    def record_answer(self, *, well: bool) -> None:
         """Take a whole answer; it may be a failure of its application."""
-        missing = float(not well) - self.failing
-        self.failing += missing * _FAILURE_WEIGHT
-        self.limit += 1 / self.limit
-        self.good()
+        difference = float(not well) - self.failure_ratio
+        self.failure_ratio += difference * _FAILURE_WEIGHT
+        self.concurrency_limit += 1 / self.concurrency_limit
+        self.record_success()
 
-    def good(self) -> None:
+    def record_success(self) -> None:
         """Take a sign that it works."""
         self.trusted = True
-        self._breaks = 0
-        self._misses = 0
-        self._rest = _FIRST_REST
-        self.until = float('-inf')
+        self._truncated_in_row = 0
+        self._unreachable_in_row = 0
+        self._cooldown_seconds = _MIN_COOLDOWN_SECONDS
+        self.cooldown_until = float('-inf')
 
     def _allowed(self, slots: int) -> int:
-        return int(min(slots, max(self.limit, _LEAST_LIMIT)))
+        return int(min(slots, max(self.concurrency_limit, _MIN_LIMIT)))
 
-    def _start_rest(self, now: float) -> bool:
-        if now < self.until:
+    def _start_cooldown(self, now: float) -> bool:
+        if now < self.cooldown_until:
             return False
         self.trusted = False
-        self.rested_at = now
-        self.until = now + self._rest
-        self._rest = min(self._rest * _GROWTH, _LONGEST_REST)
+        self.cooldown_started_at = now
+        self.cooldown_until = now + self._cooldown_seconds
+        self._cooldown_seconds = min(
+            self._cooldown_seconds * _COOLDOWN_GROWTH, _MAX_COOLDOWN_SECONDS
+        )
         return True
--- a/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
@@ -12,34 +12,36 @@
 # of is looked at at once.
 _SYNC_SECONDS = 0.25
 # Tokens of a prompt by which the speeds of servers are compared.
-_USUAL_PROMPT = 1000
+_REFERENCE_PROMPT_TOKENS = 1000
 # A server whose address another one has taken is remembered for so long, in
 # seconds: by then its reports have stopped for longer than any lease.
-_GONE_SECONDS = 60.0
+_REPLACED_KEPT_SECONDS = 60.0
 # What broke off so long before a server's last good answer may have been told
 # of after it, in seconds.
-_SAME_MOMENT_SECONDS = 0.5
+_REPORT_DELAY_SECONDS = 0.5
 # A server that ended is known to be gone within so long, in seconds: some of
 # its reports are missed before.
-_KNOWN_GONE_SECONDS = 10.0
+_MAX_DETECTION_SECONDS = 10.0
 # Of the answers that took a path so many must be held up before it is
 # thought to do that: one of four.
-_LEAST_TROUBLE = 0.2
+_MIN_DELAYED_RATIO = 0.2
 
 
-def changed(leader: state.LeaderState) -> None:
+def request_sync(leader: state.OnTimeLeaderState) -> None:
     """Have the servers looked up again."""
-    leader.synced = float('-inf')
+    leader.synced_at = float('-inf')
 
 
-def replaced(leader: state.LeaderState, server: records.Server) -> None:
+def server_replaced(
+    leader: state.OnTimeLeaderState, server: records.Server
+) -> None:
     """Take that another server answers at its address."""
-    leader.gone[server.start] = leader.now()
-    changed(leader)
+    leader.replaced_at[server.start] = leader.now()
+    request_sync(leader)
 
 
 def server_of(
-    leader: state.LeaderState,
+    leader: state.OnTimeLeaderState,
     running: records.Running,
 ) -> records.Server | None:
     """Give the server that a grant is for; None where it started again.
@@ -52,23 +54,23 @@
     return server
 
 
-def sync(leader: state.LeaderState) -> None:
+def sync(leader: state.OnTimeLeaderState) -> None:
     """Take the servers that may get new work now."""
     now = leader.now()
-    if now - leader.synced < _SYNC_SECONDS:
+    if now - leader.synced_at < _SYNC_SECONDS:
         return
-    leader.synced = now
+    leader.synced_at = now
     known = _known(leader, now)
     live = {found.server_id: found for found in _unbarred(leader, known)}
     if live:
-        leader.served_at = now
+        leader.server_seen_at = now
     for server_id, announcement in live.items():
         server = leader.servers.get(server_id)
         if server is not None and server.start != _start(announcement):
-            _lose(leader, server)
+            _handle_restart(leader, server)
             server = None
         if server is None:
-            _appear(leader, announcement)
+            _add_server(leader, announcement)
         else:
             server.announcement = announcement
             server.live = True
@@ -77,34 +79,36 @@
     for missing in leader.servers.keys() - live.keys():
         server = leader.servers[missing]
         if server.live and missing not in announced:
-            _blame(leader, server, ())
-        _close(leader, server)
+            _suspect_requests(leader, server, ())
+        _close_server(leader, server)
     _set_throttles(leader)
     leader.quickest = min(
-        _judged_by(leader),
-        key=lambda server: leader.learnt.first_token(
+        _reference_servers(leader),
+        key=lambda server: leader.estimates.first_token_seconds(
             server.speed,
-            _USUAL_PROMPT,
+            _REFERENCE_PROMPT_TOKENS,
         ),
         default=None,
     )
 
 
 def _known(
-    leader: state.LeaderState,
+    leader: state.OnTimeLeaderState,
     now: float,
 ) -> list[servers.Announcement]:
-    for start, since in list(leader.gone.items()):
-        if now - since > _GONE_SECONDS:
-            leader.gone.pop(start)
+    for start, since in list(leader.replaced_at.items()):
+        if now - since > _REPLACED_KEPT_SECONDS:
+            leader.replaced_at.pop(start)
     leader.guide.refresh()
     return [
-        found for found in leader.live() if _start(found) not in leader.gone
+        found
+        for found in leader.live()
+        if _start(found) not in leader.replaced_at
     ]
 
 
 def _unbarred(
-    leader: state.LeaderState,
+    leader: state.OnTimeLeaderState,
     known: list[servers.Announcement],
 ) -> list[servers.Announcement]:
     """Leave out servers whose version may get nothing.
@@ -124,7 +128,7 @@
     return [one for one in known if one.version != guide.rollout.to]
 
 
-def _set_roles(leader: state.LeaderState) -> None:
+def _set_roles(leader: state.OnTimeLeaderState) -> None:
     guide = leader.guide
     if guide.rollout is None:
         return
@@ -135,7 +139,7 @@
     guide.most_slots = max((one.slots for one in new), default=1)
 
 
-def _set_throttles(leader: state.LeaderState) -> None:
+def _set_throttles(leader: state.OnTimeLeaderState) -> None:
     rates = leader.rates()
     now = leader.now()
     for server in leader.servers.values():
@@ -148,7 +152,7 @@
             server.throttle.change(per_second, now)
 
 
-def _judged_by(leader: state.LeaderState) -> list[records.Server]:
+def _reference_servers(leader: state.OnTimeLeaderState) -> list[records.Server]:
     """List the servers of which the quickest shows what is possible.
 
     One that names a limit serves few, unless all do.
@@ -157,21 +161,21 @@
     return [one for one in serving if one.throttle is None] or serving
 
 
-def path_holds_up(
-    leader: state.LeaderState,
+def path_delays(
+    leader: state.OnTimeLeaderState,
     running: records.Running,
     server: records.Server,
 ) -> bool:
     """Tell whether the path to a server lately held answers up."""
-    trouble = leader.path_quality.trouble(
+    delayed_ratio = leader.path_quality.delayed_ratio(
         running.ask.failure_domain,
         server.announcement.failure_domain,
         leader.now(),
     )
-    return trouble > _LEAST_TROUBLE
+    return delayed_ratio > _MIN_DELAYED_RATIO
 
 
-def rollout_load(leader: state.LeaderState) -> guiding.Load:
+def rollout_load(leader: state.OnTimeLeaderState) -> guiding.Load:
     """Tell how the pool does, for its rollout."""
     to = leader.guide.to
     known = leader.servers.values()
@@ -181,7 +185,7 @@
         new_slots=sum(
             one.slots for one in known if one.live and one.version == to
         ),
-        held=leader.held,
+        held=leader.hold_seconds,
     )
 
 
@@ -189,22 +193,24 @@
     return announcement.server_id, announcement.incarnation
 
 
-def _lose(leader: state.LeaderState, server: records.Server) -> None:
+def _handle_restart(
+    leader: state.OnTimeLeaderState, server: records.Server
+) -> None:
     """Take that a server started again: what ran there is lost.
 
     Its requests are suspected of the crash, and keep no slot of the new
     start; their owners see for themselves that they broke off.
     """
     leader.servers.pop(server.server_id)
-    _blame(
+    _suspect_requests(
         leader,
         server,
         [one.ask.fingerprint for one in server.running.values()],
     )
 
 
-def _blame(
-    leader: state.LeaderState,
+def _suspect_requests(
+    leader: state.OnTimeLeaderState,
     server: records.Server,
     lost: typing.Sequence[ids.Fingerprint],
 ) -> None:
@@ -215,15 +221,19 @@
     :param lost: what still counts as running there.
     """
     since = max(
-        server.last_good - _SAME_MOMENT_SECONDS,
-        leader.now() - _KNOWN_GONE_SECONDS,
+        server.last_success_at - _REPORT_DELAY_SECONDS,
+        leader.now() - _MAX_DETECTION_SECONDS,
     )
-    broken = [mark for at, mark in server.broken if at >= since]
-    server.broken.clear()
-    marks = [*lost, *leader.suspects.unexplained(broken)]
-    if not marks:
+    incomplete_answers = [
+        content_id
+        for truncated_at, content_id in server.incomplete_answers
+        if truncated_at >= since
+    ]
+    server.incomplete_answers.clear()
+    content_ids = [*lost, *leader.suspects.unexplained(incomplete_answers)]
+    if not content_ids:
         return
-    for condemned in leader.suspects.crashed(marks, leader.now()):
+    for condemned in leader.suspects.crashed(content_ids, leader.now()):
         eventlog.emit(
             logevents.CONDEMNED,
             content=f'{condemned:016x}',
@@ -233,18 +243,20 @@
         )
 
 
-def _appear(
-    leader: state.LeaderState,
+def _add_server(
+    leader: state.OnTimeLeaderState,
     announcement: servers.Announcement,
 ) -> None:
     server = records.Server(announcement)
     leader.servers[announcement.server_id] = server
     for running in leader.running.values():
         if running.start == _start(announcement):
-            state.run(leader, server, running)
+            state.register_running(leader, server, running)
 
 
-def _close(leader: state.LeaderState, server: records.Server) -> None:
+def _close_server(
+    leader: state.OnTimeLeaderState, server: records.Server
+) -> None:
     server.live = False
     if not server.running:
         leader.servers.pop(server.server_id)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
@@ -18,55 +18,55 @@
 
 # Waiting requests are looked at again this often, in seconds, for what comes
 # with time alone: ends of rests, targets that can't be met any more.
-_LOOK_SECONDS = 0.05
+_CYCLE_SECONDS = 0.05
 # While more than a few wait, what comes within this time shares one look, in
 # seconds.
-_GATHER_SECONDS = 0.004
+_BATCH_SECONDS = 0.004
 # A slot may stay free for this part of the time for which requests hold one.
-_GATHER_PART = 0.01
+_BATCH_HOLD_FRACTION = 0.01
 # A look costs in proportion to what waits, some 6 µs for each; with many
 # waiting, looks share more. In seconds for each that waits.
-_GATHER_EACH_SECONDS = 3e-5
+_BATCH_SECONDS_PER_REQUEST = 3e-5
 # Refusals are told within so long, in seconds.
-_LONGEST_GATHER = 0.05
+_MAX_BATCH_SECONDS = 0.05
 # So few waiting requests are looked at in less time than gathering takes.
-_FEW = 8
+_MAX_UNBATCHED = 8
 # A queue is planned over its newest so many requests. At 2,500 requests a
 # second those before them have waited longer than any target; planned over the
 # oldest, a large pool wouldn't see newcomers before they are late.
-_MOST_PLANNED = 4096
+_MAX_PLANNED = 4096
 # After so many requests in a row for which no open server will do, the others
 # are left for the next look: each is compared with up to sixteen servers.
-_MOST_TRIED = 128
+_MAX_FAILED_IN_ROW = 128
 # How a pool does is logged this often at most, in seconds, while it is busy.
-_TELL_SECONDS = 1.0
+_LOG_SECONDS = 1.0
 _MS = 1000
 # No server was known for so long: the pool has none, in seconds.
 _NO_SERVER_SECONDS = 1.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Look:
+class _Cycle:
     """One look at all that waits.
 
     :ivar now: when, in seconds.
-    :ivar able: servers with a free slot that were not yet filled.
-    :ivar all_able: these are all servers of the pool.
+    :ivar candidates: servers with a free slot that were not yet filled.
+    :ivar all_open: these are all servers of the pool.
     :ivar canaries: servers of a new version that may get a few requests.
     :ivar pauses: gives the servers that want nothing from a host.
-    :ivar failed: requests in a row that none of them would do for.
+    :ivar failed_in_row: requests in a row that none of them would do for.
     """
 
     now: float
     pace: ordering.Pace
-    learnt: placing.Learnt
+    estimates: placing.Estimates
     pauses: state.Pauses
-    able: list[placing.Offer] = dataclasses.field(default_factory=list)
-    all_able: bool = False
+    candidates: list[placing.Offer] = dataclasses.field(default_factory=list)
+    all_open: bool = False
     canaries: list[placing.Offer] = dataclasses.field(default_factory=list)
-    failed: int = 0
+    failed_in_row: int = 0
 
-    def allowed(
+    def without_paused(
         self,
         offers: list[placing.Offer],
         owner: ids.HostId,
@@ -78,7 +78,7 @@
         return [one for one in offers if one.server.start not in paused]
 
 
-def fill(leader: state.LeaderState) -> None:
+def trigger_cycle(leader: state.OnTimeLeaderState) -> None:
     """Look at all that waits, now or as soon as that is due.
 
     A look costs in proportion to what waits, and in overload hundreds of
@@ -86,50 +86,50 @@
     """
     if not leader.waiting:
         return
-    left = leader.looked + _gather(leader) - leader.now()
-    if left > 0 and len(leader.waiting) > _FEW:
-        _arm(leader, left)
+    left = leader.last_cycle_at + _batch_seconds(leader) - leader.now()
+    if left > 0 and len(leader.waiting) > _MAX_UNBATCHED:
+        _arm_timer(leader, left)
     else:
-        _look(leader)
+        _run_cycle(leader)
 
 
-def _gather(leader: state.LeaderState) -> float:
+def _batch_seconds(leader: state.OnTimeLeaderState) -> float:
     """Give the seconds for which what comes waits for one look."""
-    longest = max(
-        _GATHER_SECONDS,
-        len(leader.waiting) * _GATHER_EACH_SECONDS,
-        leader.held * _GATHER_PART,
+    delay = max(
+        _BATCH_SECONDS,
+        len(leader.waiting) * _BATCH_SECONDS_PER_REQUEST,
+        leader.hold_seconds * _BATCH_HOLD_FRACTION,
     )
-    return min(longest, _LONGEST_GATHER)
+    return min(delay, _MAX_BATCH_SECONDS)
 
 
-def _look(leader: state.LeaderState) -> None:
-    leader.looked = leader.now()
+def _run_cycle(leader: state.OnTimeLeaderState) -> None:
+    leader.last_cycle_at = leader.now()
     fleet.sync(leader)
-    if leader.waiting and leader.now() >= leader.settle_by:
-        _work_off(leader)
-        _tell(leader)
+    if leader.waiting and leader.now() >= leader.takeover_ends_at:
+        _process_queue(leader)
+        _log_state(leader)
     if leader.waiting:
-        _arm(leader, _LOOK_SECONDS)
+        _arm_timer(leader, _CYCLE_SECONDS)
 
 
-def _arm(leader: state.LeaderState, seconds: float) -> None:
+def _arm_timer(leader: state.OnTimeLeaderState, seconds: float) -> None:
     """Look again in some seconds, or before."""
     due = leader.now() + seconds
-    if leader.ticker is not None:
-        if leader.ticker.when() <= due:
+    if leader.timer is not None:
+        if leader.timer.when() <= due:
             return
-        leader.ticker.cancel()
+        leader.timer.cancel()
     loop = asyncio.get_running_loop()
-    leader.ticker = loop.call_later(seconds, _tick, leader)
+    leader.timer = loop.call_later(seconds, _on_timer, leader)
 
 
-def _tell(leader: state.LeaderState) -> None:
+def _log_state(leader: state.OnTimeLeaderState) -> None:
     """Log how the pool does while something waits."""
     now = leader.now()
-    if not leader.waiting or now - leader.told < _TELL_SECONDS:
+    if not leader.waiting or now - leader.logged_at < _LOG_SECONDS:
         return
-    leader.told = now
+    leader.logged_at = now
     eventlog.emit(
         logevents.POOL_BUSY,
         pool=leader.pool,
@@ -137,126 +137,132 @@
         running=len(leader.running),
         interval_ms=round(state.pace(leader).interval * _MS, 1),
         load=round(state.pace(leader).load, 2),
-        classes=leader.shares.outline(),
-        held_back=sum(one.is_held_back(now) for one in leader.servers.values()),
+        classes=leader.shares.log_summary(),
+        held_back=sum(
+            one.is_rate_limited(now) for one in leader.servers.values()
+        ),
         servers={
-            server.server_id: server.outline(now)
+            server.server_id: server.log_summary(now)
             for server in leader.servers.values()
         },
     )
 
 
-def _tick(leader: state.LeaderState) -> None:
-    leader.ticker = None
+def _on_timer(leader: state.OnTimeLeaderState) -> None:
+    leader.timer = None
     if leader.waiting:
-        _look(leader)
+        _run_cycle(leader)
 
 
-def _work_off(leader: state.LeaderState) -> None:
+def _process_queue(leader: state.OnTimeLeaderState) -> None:
     now = leader.now()
-    _refuse_endless(leader, now)
+    _refuse_too_long(leader, now)
     _refuse_paused(leader, now)
-    waiting = list(leader.waiting.values())[-_MOST_PLANNED:]
+    waiting = list(leader.waiting.values())[-_MAX_PLANNED:]
     pace = state.pace(leader)
-    owed = leader.shares.owed(now)
-    found = ordering.plan(waiting, now, pace, _lead(leader), owed)
-    learnt = placing.Learnt(leader.learnt, leader.path_quality, now)
-    look = _Look(now, pace, learnt, leader.pauses)
-    _place(leader, look, found.turns)
-    for hopeless in found.hopeless:
-        _give_up(leader, hopeless.waiting, now)
-
-
-def _place(
-    leader: state.LeaderState,
-    look: _Look,
+    deficits = leader.shares.deficits(now)
+    planned = ordering.plan(waiting, now, pace, _lead_time(leader), deficits)
+    estimates = placing.Estimates(leader.estimates, leader.path_quality, now)
+    cycle = _Cycle(now, pace, estimates, leader.pauses)
+    _grant_in_order(leader, cycle, planned.turns)
+    for hopeless in planned.hopeless:
+        _refuse_hopeless(leader, hopeless.waiting, now)
+
+
+def _grant_in_order(
+    leader: state.OnTimeLeaderState,
+    cycle: _Cycle,
     turns: typing.Iterable[ordering.Turn],
 ) -> None:
     """Grant what can be granted, in order."""
-    look.canaries = trying.open_canaries(leader, look.learnt)
+    cycle.canaries = trying.open_canaries(leader, cycle.estimates)
     for turn in turns:
-        if _try_canary(leader, look, turn):
+        if _try_canary(leader, cycle, turn):
             continue
-        if not look.able:
-            _open_servers(leader, look)
-        if not look.able or look.failed == _MOST_TRIED:
+        if not cycle.candidates:
+            _open_servers(leader, cycle)
+        if not cycle.candidates or cycle.failed_in_row == _MAX_FAILED_IN_ROW:
             return
-        _try(leader, look, turn)
+        _try_grant(leader, cycle, turn)
 
 
-def _open_servers(leader: state.LeaderState, look: _Look) -> None:
+def _open_servers(leader: state.OnTimeLeaderState, cycle: _Cycle) -> None:
     known = [server for server in leader.servers.values() if server.serves]
-    start = leader.dice.randrange(len(known)) if known else 0
-    look.able = placing.open_servers(known, start, look.learnt)
-    held_back = sum(one.is_held_back(look.now) for one in known)
-    look.all_able = len(look.able) == len(known) - held_back
+    start = leader.rng.randrange(len(known)) if known else 0
+    cycle.candidates = placing.open_offers(known, start, cycle.estimates)
+    rate_limited = sum(one.is_rate_limited(cycle.now) for one in known)
+    cycle.all_open = len(cycle.candidates) == len(known) - rate_limited
 
 
-def _lead(leader: state.LeaderState) -> ordering.Lead:
+def _lead_time(leader: state.OnTimeLeaderState) -> ordering.LeadTime:
     """Give what predicts a first token on the quickest server."""
     if leader.quickest is None:
         return lambda _: 0
-    fixed, each = leader.learnt.line(leader.quickest.speed).fit()
-    return lambda waiting: fixed + each * waiting.ask.prompt_tokens
+    fixed_seconds, seconds_per_token = leader.estimates.line(
+        leader.quickest.speed
+    ).fit()
+    return lambda waiting: (
+        fixed_seconds + seconds_per_token * waiting.ask.prompt_tokens
+    )
 
 
-def _try(
-    leader: state.LeaderState,
-    look: _Look,
+def _try_grant(
+    leader: state.OnTimeLeaderState,
+    cycle: _Cycle,
     turn: ordering.Turn,
 ) -> None:
     """Grant a request one of the servers that have a free slot."""
-    offers = look.allowed(look.able, turn.waiting.ask.owner)
+    offers = cycle.without_paused(cycle.candidates, turn.waiting.ask.owner)
     if not offers:
         return
-    place = _choose(look, turn, offers)
-    if place is None:
-        look.failed += 1
+    placement = _choose(cycle, turn, offers)
+    if placement is None:
+        cycle.failed_in_row += 1
         return
-    look.failed = 0
-    _take(leader, look, turn, place)
-    _use_up(look.able, place.offer, look.learnt)
+    cycle.failed_in_row = 0
+    _grant_and_count(leader, cycle, turn, placement)
+    _take_slot(cycle.candidates, placement.offer, cycle.estimates)
 
 
 def _try_canary(
-    leader: state.LeaderState,
-    look: _Look,
+    leader: state.OnTimeLeaderState,
+    cycle: _Cycle,
     turn: ordering.Turn,
 ) -> bool:
     """Grant a request a server of a new version, where it may get one."""
-    if not look.canaries or not leader.guide.may_try(turn.waiting.ask.rule):
+    if not cycle.canaries or not leader.guide.may_try(turn.waiting.ask.rule):
         return False
-    offers = look.allowed(look.canaries, turn.waiting.ask.owner)
-    place = trying.choose(offers, turn.waiting, look.learnt)
-    if place is None:
+    offers = cycle.without_paused(cycle.canaries, turn.waiting.ask.owner)
+    placement = trying.choose(offers, turn.waiting, cycle.estimates)
+    if placement is None:
         return False
-    _take(leader, look, turn, place)
-    _use_up(look.canaries, place.offer, look.learnt)
+    _grant_and_count(leader, cycle, turn, placement)
+    _take_slot(cycle.canaries, placement.offer, cycle.estimates)
     return True
 
 
-def _take(
-    leader: state.LeaderState,
-    look: _Look,
+def _grant_and_count(
+    leader: state.OnTimeLeaderState,
+    cycle: _Cycle,
     turn: ordering.Turn,
-    place: placing.Place,
+    placement: placing.Placement,
 ) -> None:
     """Grant a request a place and count what its class got."""
-    _grant(leader, turn.waiting, place, look.now)
-    leader.shares.granted(
+    _grant(leader, turn.waiting, placement, cycle.now)
+    leader.shares.record_grant(
         classes.class_of(turn.waiting.ask),
-        place.held,
+        placement.hold_seconds,
         late=turn.late,
-        now=look.now,
-        owed=turn.owed,
+        now=cycle.now,
+        for_deficit=turn.has_deficit,
     )
 
 
 def _choose(
-    look: _Look,
+    cycle: _Cycle,
     turn: ordering.Turn,
     offers: list[placing.Offer],
-) -> placing.Place | None:
+) -> placing.Placement | None:
     """Choose the open server where a request should start now, if any.
 
     Where it wouldn't come in time, a server where it does may be free soon;
@@ -265,103 +271,107 @@
     free slots, until their callers have left.
     """
     waiting = turn.waiting
-    place = placing.on_time(offers, waiting, look.learnt)
-    if place is not None:
-        return place
-    may_be_late = turn.late or look.all_able
-    if look.pace.crowded and not may_be_late:
+    placement = placing.choose_on_time(offers, waiting, cycle.estimates)
+    if placement is not None:
+        return placement
+    may_be_late = turn.late or cycle.all_open
+    if cycle.pace.is_crowded and not may_be_late:
         return None
-    place = placing.earliest(offers, waiting, look.learnt)
-    if place is not None:
-        if turn.late or (look.all_able and not place.delays):
-            return place
+    placement = placing.choose_earliest(offers, waiting, cycle.estimates)
+    if placement is not None:
+        if turn.late or (cycle.all_open and not placement.delays_streams):
+            return placement
         return None
-    if look.pace.crowded:
+    if cycle.pace.is_crowded:
         return None
-    place = placing.shortest(offers, waiting)
-    return None if place is None or place.delays else place
+    placement = placing.choose_shortest(offers, waiting)
+    return None if placement is None or placement.delays_streams else placement
 
 
-def _use_up(
+def _take_slot(
     offers: list[placing.Offer],
     offer: placing.Offer,
-    learnt: placing.Learnt,
+    estimates: placing.Estimates,
 ) -> None:
     """Take a slot of an open server; what it offers has changed with that."""
     offers.remove(offer)
-    if offer.free > 1:
-        left = placing.offer(offer.server, offer.free - 1, learnt)
+    if offer.free_slots > 1:
+        left = placing.make_offer(offer.server, offer.free_slots - 1, estimates)
         offers.append(left)
 
 
-def _refuse_endless(leader: state.LeaderState, now: float) -> None:
+def _refuse_too_long(leader: state.OnTimeLeaderState, now: float) -> None:
     """Refuse what no server ends in the time that it has left."""
     if leader.quickest is None:
         return
-    decode = leader.learnt.decode(leader.quickest.speed)
+    decode = leader.estimates.decode(leader.quickest.speed)
     for waiting in list(leader.waiting.values()):
-        if placing.outlasts(waiting, decode * waiting.tokens, now):
+        if placing.exceeds_deadline(waiting, decode * waiting.tokens, now):
             state.refuse(leader, waiting, requests.DenialReason.too_late)
 
 
-def _refuse_paused(leader: state.LeaderState, now: float) -> None:
+def _refuse_paused(leader: state.OnTimeLeaderState, now: float) -> None:
     """Refuse what no server takes from its host before its caller leaves."""
     owners = {waiting.ask.owner for waiting in leader.waiting.values()}
     paused = {owner: leader.pauses(owner) for owner in owners}
     if not any(paused.values()):
         return
     serving = {one.start for one in leader.servers.values() if one.serves}
-    lead = _lead(leader)
+    lead_time = _lead_time(leader)
     for waiting in list(leader.waiting.values()):
         pauses = paused[waiting.ask.owner]
         if not serving or not serving <= pauses.keys():
             continue
-        until = min(pauses[start] for start in serving)
-        left = min(waiting.ask.patience, waiting.ask.deadline) - lead(waiting)
-        if until > left:
+        pause_ends_at = min(pauses[start] for start in serving)
+        latest_start = min(
+            waiting.ask.patience, waiting.ask.deadline
+        ) - lead_time(waiting)
+        if pause_ends_at > latest_start:
             shed = requests.DenialReason.shed
-            state.refuse(leader, waiting, shed, until - now)
+            state.refuse(leader, waiting, shed, pause_ends_at - now)
 
 
-def _give_up(
-    leader: state.LeaderState,
+def _refuse_hopeless(
+    leader: state.OnTimeLeaderState,
     waiting: records.Waiting,
     now: float,
 ) -> None:
     if leader.servers:
         state.refuse(leader, waiting, requests.DenialReason.shed)
         return
-    since = max(waiting.arrived, leader.served_at)
-    if now - since > _NO_SERVER_SECONDS:
+    without_server_since = max(waiting.arrived_at, leader.server_seen_at)
+    if now - without_server_since > _NO_SERVER_SECONDS:
         state.refuse(leader, waiting, requests.DenialReason.no_server)
 
 
 def _grant(
-    leader: state.LeaderState,
+    leader: state.OnTimeLeaderState,
     waiting: records.Waiting,
-    place: placing.Place,
+    placement: placing.Placement,
     now: float,
 ) -> None:
-    ask = waiting.ask
-    server = place.offer.server
+    slot_request = waiting.ask
+    server = placement.offer.server
     grant = requests.Grant(
-        ask.request_id,
+        slot_request.request_id,
         server.server_id,
         server.announcement.incarnation,
         server.announcement.address,
         server.version,
     )
-    leader.guide.granted(ask.rule, new=server.version == leader.guide.to)
+    leader.guide.granted(
+        slot_request.rule, new=server.version == leader.guide.to
+    )
     running = records.Running(
-        ask=ask,
+        ask=slot_request,
         grant=grant,
-        granted=now,
-        read_tokens=place.read,
-        predicted=place.first,
+        granted_at=now,
+        read_tokens=placement.tokens_to_read,
+        predicted=placement.first_token_seconds,
         tokens=waiting.tokens,
     )
-    leader.waiting.pop(ask.request_id)
+    leader.waiting.pop(slot_request.request_id)
     if server.throttle is not None:
         server.throttle.take()
-    state.run(leader, server, running)
+    state.register_running(leader, server, running)
     waiting.fut.set_result(grant)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -63,17 +63,17 @@
         :param pauses: gives the servers that want nothing from a host for a
             while.
         """
-        self._state = state.LeaderState(
+        self._state = state.OnTimeLeaderState(
             pool=cfg.pool,
             now=now,
             live=live,
             suspects=suspects.Suspects(cfg.quarantine_seconds, cfg.origin),
-            dice=random.Random(cfg.seed),
+            rng=random.Random(cfg.seed),
             guide=guide or guiding.Guide(lambda: None, now),
             rates=rates,
             pauses=pauses,
-            settle_by=now() + cfg.settle_seconds,
-            served_at=now(),
+            takeover_ends_at=now() + cfg.settle_seconds,
+            server_seen_at=now(),
         )
 
     @property
@@ -83,25 +83,25 @@
 
     async def ask(
         self,
-        ask: requests.Ask,
+        slot_request: requests.Ask,
     ) -> requests.Grant | requests.Denial:
         """Wait for a backend server.
 
         A repeated ask of a waiting id joins it; of a granted id it gets the
         same grant again.
 
-        :param ask: what waits; its times are on the leader's clock.
+        :param slot_request: what waits; its times are on the leader's clock.
         """
-        running = self._state.running.get(ask.request_id)
+        running = self._state.running.get(slot_request.request_id)
         if running is not None:
             return running.grant
-        waiting = self._state.waiting.get(ask.request_id)
+        waiting = self._state.waiting.get(slot_request.request_id)
         if waiting is None:
-            denied = self._deny_at_once(ask)
+            denied = self._deny_at_once(slot_request)
             if denied is not None:
                 return denied
-            waiting = self._enqueue(ask)
-            granting.fill(self._state)
+            waiting = self._enqueue(slot_request)
+            granting.trigger_cycle(self._state)
         return await joining.answer(
             self,
             waiting,
@@ -119,22 +119,24 @@
         """Take that the first token of granted work came."""
         running = self._state.running.get(progress.request_id)
         if running is not None and progress.first_token is not None:
-            lessons.first_token(self._state, running, progress.first_token)
+            lessons.record_first_token(
+                self._state, running, progress.first_token
+            )
 
     def release(self, release: requests.Release) -> None:
         """Take back a grant and serve who waits; a repeat is ignored."""
         running = self._state.running.pop(release.request_id, None)
         if running is None:
             return
-        lessons.ended(self._state, running, release)
+        lessons.record_end(self._state, running, release)
         server = fleet.server_of(self._state, running)
         if server is not None:
-            server.end(
+            server.remove_running(
                 release.request_id,
                 self._state.now(),
                 answered=release.outcome in lessons.ANSWERED,
             )
-        granting.fill(self._state)
+        granting.trigger_cycle(self._state)
 
     def server_crashed(
         self,
@@ -146,7 +148,7 @@
         if server is not None:
             lost = [one.ask.fingerprint for one in server.running.values()]
             self._state.suspects.crashed(lost, self._state.now())
-            granting.fill(self._state)
+            granting.trigger_cycle(self._state)
 
     def owner_gone(self, owner: ids.HostId) -> None:
         """End the grants and the waiting requests of a lost entry host."""
@@ -162,9 +164,9 @@
     def adopt(self, grants: typing.Sequence[requests.OpenGrant]) -> None:
         """Take over grants in use that another leader gave."""
         fleet.sync(self._state)
-        for taken in grants:
-            if taken.ask.request_id not in self._state.running:
-                self._adopt(taken)
+        for open_grant in grants:
+            if open_grant.ask.request_id not in self._state.running:
+                self._adopt(open_grant)
 
     def settled(self) -> None:
         """Keep to the settle window: owners hand over by themselves."""
@@ -174,58 +176,66 @@
 
         A crash is taken at once: its suspects may be asking again.
         """
-        fleet.changed(self._state)
+        fleet.request_sync(self._state)
         fleet.sync(self._state)
-        granting.fill(self._state)
+        granting.trigger_cycle(self._state)
 
     def rollout_load(self) -> guiding.Load:
         """Tell how the pool does, for its rollout."""
         fleet.sync(self._state)
         return fleet.rollout_load(self._state)
 
-    def _deny_at_once(self, ask: requests.Ask) -> requests.Denial | None:
+    def _deny_at_once(
+        self, slot_request: requests.Ask
+    ) -> requests.Denial | None:
         now = self._state.now()
-        known = self._state.suspects
-        verdict = known.verdict(ask.fingerprint, now)
+        suspected = self._state.suspects
+        verdict = suspected.verdict(slot_request.fingerprint, now)
         if verdict is suspects.Verdict.quarantined:
             reason = requests.DenialReason.quarantined
-            wait = known.remaining(ask.fingerprint, now)
-            return requests.Denial(ask.request_id, reason, int(wait * _MS))
-        if ask.deadline <= now:
+            wait = suspected.remaining(slot_request.fingerprint, now)
+            return requests.Denial(
+                slot_request.request_id, reason, int(wait * _MS)
+            )
+        if slot_request.deadline <= now:
             too_late = requests.DenialReason.too_late
-            return state.denial(self._state, ask, too_late)
+            return state.denial(self._state, slot_request, too_late)
         return None
 
-    def _enqueue(self, ask: requests.Ask) -> records.Waiting:
+    def _enqueue(self, slot_request: requests.Ask) -> records.Waiting:
         now = self._state.now()
         self._state.sequence += 1
-        self._state.arriving.note(now)
-        waited = self._state.repeated.waited(ask.fingerprint, now)
-        if not waited:
-            self._state.shares.asked(classes.class_of(ask), now)
+        self._state.arrival_rate.record(now)
+        waited_seconds = self._state.repeated.waited_seconds(
+            slot_request.fingerprint, now
+        )
+        if not waited_seconds:
+            self._state.shares.record_arrival(
+                classes.class_of(slot_request), now
+            )
         waiting = records.Waiting(
-            ask,
+            slot_request,
             self._state.sequence,
             now,
-            waited,
-            lessons.expected_tokens(self._state, ask),
+            waited_seconds,
+            lessons.expected_tokens(self._state, slot_request),
             asyncio.get_running_loop().create_future(),
         )
-        self._state.waiting[ask.request_id] = waiting
+        self._state.waiting[slot_request.request_id] = waiting
         return waiting
 
-    def _adopt(self, taken: requests.OpenGrant) -> None:
-        waiting = self._state.waiting.pop(taken.ask.request_id, None)
+    def _adopt(self, open_grant: requests.OpenGrant) -> None:
+        waiting = self._state.waiting.pop(open_grant.ask.request_id, None)
         if waiting is not None:
-            waiting.fut.set_result(taken.grant)
+            waiting.fut.set_result(open_grant.grant)
         running = records.Running(
-            ask=taken.ask,
-            grant=taken.grant,
-            granted=self._state.now() - taken.age,
-            read_tokens=taken.ask.prompt_tokens,
-            predicted=taken.age,
-            tokens=lessons.expected_tokens(self._state, taken.ask),
-            first_token=taken.first_token,
+            ask=open_grant.ask,
+            grant=open_grant.grant,
+            granted_at=self._state.now() - open_grant.age,
+            read_tokens=open_grant.ask.prompt_tokens,
+            predicted=open_grant.age,
+            tokens=lessons.expected_tokens(self._state, open_grant.ask),
+            first_token=open_grant.first_token,
         )
         server = fleet.server_of(self._state, running)
-        state.run(self._state, server, running)
+        state.register_running(self._state, server, running)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
@@ -13,7 +13,7 @@
 )
 
 # Answers are about half as long as the most that callers allow them to be.
-_USUAL_PART = 0.5
+_USUAL_LENGTH_RATIO = 0.5
 # The server worked on it for as long as the request takes.
 ANSWERED: typing.Final = frozenset(
     (requests.Outcome.done, requests.Outcome.answered_failure),
@@ -22,15 +22,19 @@
 _LENGTH_WEIGHT = 0.1
 
 
-def expected_tokens(leader: state.LeaderState, ask: requests.Ask) -> float:
+def expected_tokens(
+    leader: state.OnTimeLeaderState, slot_request: requests.Ask
+) -> float:
     """Give the output tokens to expect: as said, as usual, or half."""
-    most = ask.max_tokens or float('inf')
-    usual = leader.lengths.get(ask.rule, ask.max_tokens * _USUAL_PART)
-    return min(ask.likely_tokens or usual, most)
+    most = slot_request.max_tokens or float('inf')
+    usual = leader.output_lengths.get(
+        slot_request.rule, slot_request.max_tokens * _USUAL_LENGTH_RATIO
+    )
+    return min(slot_request.likely_tokens or usual, most)
 
 
-def first_token(
-    leader: state.LeaderState,
+def record_first_token(
+    leader: state.OnTimeLeaderState,
     running: records.Running,
     seconds: float,
 ) -> None:
@@ -41,16 +45,16 @@
     server = fleet.server_of(leader, running)
     if server is None:
         return
-    trying.first_came(leader, server, running)
-    server.unborn.pop(running.ask.request_id, None)
-    server.last_sign = leader.now()
-    server.last_good = server.last_sign
-    leader.learnt.learn_first(server.speed, running.read_tokens, seconds)
-    server.condition.good()
+    trying.first_token_arrived(leader, server, running)
+    server.prefilling.pop(running.ask.request_id, None)
+    server.last_first_token_at = leader.now()
+    server.last_success_at = server.last_first_token_at
+    leader.estimates.add_first_token(server.speed, running.read_tokens, seconds)
+    server.condition.record_success()
 
 
-def ended(
-    leader: state.LeaderState,
+def record_end(
+    leader: state.OnTimeLeaderState,
     running: records.Running,
     release: requests.Release,
 ) -> None:
@@ -58,26 +62,28 @@
     server = fleet.server_of(leader, running)
     if server is None:
         return
-    trying.ended(leader, server, running, release)
+    trying.answer_ended(leader, server, running, release)
     now = leader.now()
     match release.outcome:
         case requests.Outcome.done:
-            _note_path(leader, running, server, _was_held_up(running, release))
-            _whole(leader, server, running, release)
-            server.condition.answered(well=True)
-            server.last_good = now
+            _record_path(
+                leader, running, server, _was_delayed(running, release)
+            )
+            _record_complete_response(leader, server, running, release)
+            server.condition.record_answer(well=True)
+            server.last_success_at = now
             leader.suspects.ended_well(running.ask.fingerprint)
         case requests.Outcome.answered_failure:
-            server.condition.answered(well=False)
+            server.condition.record_answer(well=False)
         case requests.Outcome.not_sent:
-            _note_path(leader, running, server, held_up=True)
-            rests.note(server, rests.Cause.unreachable, now, running)
+            _record_path(leader, running, server, delayed=True)
+            rests.record_fault(server, rests.Cause.unreachable, now, running)
         case requests.Outcome.turned_away:
-            rests.note(server, rests.Cause.turned_away, now, running)
+            rests.record_fault(server, rests.Cause.turned_away, now, running)
         case requests.Outcome.wrong_server:
-            fleet.replaced(leader, server)
+            fleet.server_replaced(leader, server)
         case requests.Outcome.failed | requests.Outcome.crashed:
-            _broke_off(leader, running, server)
+            _record_truncation(leader, running, server)
         case (
             requests.Outcome.cancelled
             | requests.Outcome.preempted
@@ -87,15 +93,15 @@
             pass
 
 
-def _broke_off(
-    leader: state.LeaderState,
+def _record_truncation(
+    leader: state.OnTimeLeaderState,
     running: records.Running,
     server: records.Server,
 ) -> None:
     now = leader.now()
-    _note_path(leader, running, server, held_up=True)
-    rests.note(server, rests.Cause.broke_off, now, running)
-    server.broken.append((now, running.ask.fingerprint))
+    _record_path(leader, running, server, delayed=True)
+    rests.record_fault(server, rests.Cause.broke_off, now, running)
+    server.incomplete_answers.append((now, running.ask.fingerprint))
     leader.suspects.broke_off(
         running.ask.fingerprint,
         server.server_id,
@@ -103,52 +109,52 @@
     )
 
 
-def _note_path(
-    leader: state.LeaderState,
+def _record_path(
+    leader: state.OnTimeLeaderState,
     running: records.Running,
     server: records.Server,
-    held_up: bool,
+    delayed: bool,
 ) -> None:
-    leader.path_quality.note(
+    leader.path_quality.record(
         running.ask.failure_domain,
         server.announcement.failure_domain,
-        held_up=held_up,
+        delayed=delayed,
         now=leader.now(),
     )
 
 
-def _was_held_up(
+def _was_delayed(
     running: records.Running,
     release: requests.Release,
 ) -> bool:
     if release.first_token is None:
         return False
     late = release.first_token - running.predicted
-    return paths.is_stall(release.longest_gap) or paths.is_stall(late)
+    return paths.is_loss_pause(release.longest_gap) or paths.is_loss_pause(late)
 
 
-def _whole(
-    leader: state.LeaderState,
+def _record_complete_response(
+    leader: state.OnTimeLeaderState,
     server: records.Server,
     running: records.Running,
     release: requests.Release,
 ) -> None:
     if release.first_token is not None:
-        first_token(leader, running, release.first_token)
+        record_first_token(leader, running, release.first_token)
     first = running.first_token or 0
-    leader.learnt.learn_end(
+    leader.estimates.add_response(
         server.speed,
         release.output_tokens,
         release.seconds - first,
     )
     # Taken for the engine's, a pause of the path keeps long prompts off it.
-    if release.longest_gap and not fleet.path_holds_up(
+    if release.longest_gap and not fleet.path_delays(
         leader,
         running,
         server,
     ):
-        server.speed.learn_gaps(release.usual_gap, release.longest_gap)
+        server.speed.add_gaps(release.usual_gap, release.longest_gap)
     rule = running.ask.rule
-    usual = leader.lengths.get(rule, release.output_tokens)
+    usual = leader.output_lengths.get(rule, release.output_tokens)
     change = (release.output_tokens - usual) * _LENGTH_WEIGHT
-    leader.lengths[rule] = usual + change
+    leader.output_lengths[rule] = usual + change
--- a/libs/scheduling/geraniumweir/scheduling/ontime/occupancy.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/occupancy.py
@@ -17,7 +17,7 @@
 
 # Counts are over about so many seconds: several times what a long request
 # takes, no longer than a burst.
-_SECONDS = 5.0
+_WINDOW_SECONDS = 5.0
 # What a pool or a server is thought to do before it has shown it, in ends and
 # in seconds for each.
 _GUESS_ENDS = 1.0
@@ -30,47 +30,47 @@
 
     :ivar slot_seconds: for which requests kept slots.
     :ivar ends: of requests.
-    :ivar at: up to when it is counted, in seconds.
+    :ivar counted_at: up to when it is counted, in seconds.
 
     >>> some = Occupancy()
-    >>> some.passed(4, 0.5)
-    >>> some.ended()
-    >>> round(some.held(1), 1)
+    >>> some.advance(4, 0.5)
+    >>> some.record_end()
+    >>> round(some.hold_seconds(1), 1)
     1.5
     """
 
     slot_seconds: float = 0
     ends: float = 0
-    at: float = 0
+    counted_at: float = 0
 
-    def passed(self, running: int, now: float) -> None:
+    def advance(self, running: int, now: float) -> None:
         """Take that so many requests ran since the last call.
 
         :param now: in seconds.
         """
-        kept = math.exp((self.at - now) / _SECONDS)
-        self.slot_seconds *= kept
-        self.slot_seconds += running * _SECONDS * (1 - kept)
-        self.ends *= kept
-        self.at = now
+        decay = math.exp((self.counted_at - now) / _WINDOW_SECONDS)
+        self.slot_seconds *= decay
+        self.slot_seconds += running * _WINDOW_SECONDS * (1 - decay)
+        self.ends *= decay
+        self.counted_at = now
 
-    def ended(self) -> None:
+    def record_end(self) -> None:
         """Take that a request ended at the server."""
         self.ends += 1
 
-    def held(self, usual: float) -> float:
+    def hold_seconds(self, pool_hold_seconds: float) -> float:
         """Give the seconds for which a request keeps a slot.
 
-        :param usual: of the pool.
+        :param pool_hold_seconds: of the pool.
         """
-        known = self.slot_seconds + usual * _GUESS_ENDS
-        return known / (self.ends + _GUESS_ENDS)
+        total_seconds = self.slot_seconds + pool_hold_seconds * _GUESS_ENDS
+        return total_seconds / (self.ends + _GUESS_ENDS)
 
 
-def usual(servers: typing.Iterable[Occupancy]) -> float:
+def pool_hold_seconds(servers: typing.Iterable[Occupancy]) -> float:
     """Give the seconds for which a request keeps a slot of any of them."""
-    whole = Occupancy()
+    total = Occupancy()
     for server in servers:
-        whole.slot_seconds += server.slot_seconds
-        whole.ends += server.ends
-    return whole.held(_GUESS_SECONDS)
+        total.slot_seconds += server.slot_seconds
+        total.ends += server.ends
+    return total.hold_seconds(_GUESS_SECONDS)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/ordering.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/ordering.py
@@ -40,36 +40,36 @@
 
 # A plan is a prediction; a request is given up only when its turn is this
 # many times later than it may be, seen from now.
-_DOUBT = 1.5
+_MAX_LATENESS_FACTOR = 1.5
 # Above this part of the slots the pace is too uncertain to let the important
 # wait for their last moment: what runs then is longer than what ran before.
-_CROWDED = 0.9
+_CROWDED_LOAD = 0.9
 # Above this part of the slots some are refused whatever the order; below it a
 # queue is shorter a moment later, and those that wait are served in time.
-_OVERRUN = 1.2
+_OVERLOAD = 1.2
 # Where newcomers take nearly all slots, this part is thought to be left.
-_LEAST_LEFT = 0.02
+_MIN_SPARE_FRACTION = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Turn:
     """A waiting request and when it must start to be worth something.
 
-    :ivar latest: on the loop's clock, in seconds.
+    :ivar latest_start: on the loop's clock, in seconds.
     :ivar late: its target can't be met any more.
-    :ivar served: where its class is owed slots, the part of its callers that
+    :ivar in_time_ratio: where its class is owed slots, the part of its callers that
         were served in time; 1 elsewhere. The least goes first within a tier.
     """
 
     waiting: records.Waiting
-    latest: float
+    latest_start: float
     late: bool
-    served: float = 1
+    in_time_ratio: float = 1
 
     @property
-    def owed(self) -> bool:
+    def has_deficit(self) -> bool:
         """Tell whether it goes before what is more important."""
-        return self.served < 1
+        return self.in_time_ratio < 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -98,39 +98,39 @@
     @property
     def load(self) -> float:
         """Give the part of the slots that newcomers take."""
-        return _times(self.arrivals, self.interval)
+        return _multiply(self.arrivals, self.interval)
 
     @property
-    def crowded(self) -> bool:
+    def is_crowded(self) -> bool:
         """Tell whether newcomers take nearly all slots."""
-        return self.load > _CROWDED
+        return self.load > _CROWDED_LOAD
 
     @property
-    def overrun(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Tell whether much more comes than there are slots for."""
-        return self.load > _OVERRUN
+        return self.load > _OVERLOAD
 
-    def late_wait(self, on_time: int, late: int) -> float:
+    def late_wait_seconds(self, on_time: int, late: int) -> float:
         """Predict the seconds until newcomers leave a slot.
 
         :param on_time: requests in front that can be on time.
         :param late: those in front that can't.
         """
-        left = max(1 - self.load, _LEAST_LEFT)
-        ahead = _times(on_time, self.interval)
+        left = max(1 - self.load, _MIN_SPARE_FRACTION)
+        ahead = _multiply(on_time, self.interval)
         return ahead + (late + 1) * self.interval / left
 
 
-_Worth = tuple[int, float, int, int]
-_Owed = typing.Mapping[classes.Class, float]
-_NONE_OWED: typing.Final[_Owed] = types.MappingProxyType({})
-Lead = typing.Callable[[records.Waiting], float]
+_Value = tuple[int, float, int, int]
+_Deficits = typing.Mapping[classes.Class, float]
+_NO_DEFICITS: typing.Final[_Deficits] = types.MappingProxyType({})
+LeadTime = typing.Callable[[records.Waiting], float]
 
 
-def _times(number: float, interval: float) -> float:
+def _multiply(number: float, interval: float) -> float:
     """Multiply; nothing takes no time, however long the interval is.
 
-    >>> _times(0, float('inf')), _times(2, 0.5)
+    >>> _multiply(0, float('inf')), _multiply(2, 0.5)
     (0, 1.0)
     """
     return number * interval if number else 0
@@ -140,37 +140,39 @@
     waiting: typing.Sequence[records.Waiting],
     now: float,
     pace: Pace,
-    lead: Lead,
-    owed: _Owed = _NONE_OWED,
+    lead_time: LeadTime,
+    deficits: _Deficits = _NO_DEFICITS,
 ) -> Plan:
     """Sort the waiting requests out.
 
-    :param lead: gives the seconds from a start to the first token.
-    :param owed: classes that go before what is more important, with the part
+    :param lead_time: gives the seconds from a start to the first token.
+    :param deficits: classes that go before what is more important, with the part
         of their callers that were served in time.
     """
-    leads = {one.sequence: lead(one) for one in waiting}
-    hopeful = [
+    lead_times = {one.sequence: lead_time(one) for one in waiting}
+    candidates = [
         Turn(
             one,
-            one.target - leads[one.sequence],
+            one.target - lead_times[one.sequence],
             late=False,
-            served=owed.get(classes.class_of(one.ask), 1),
+            in_time_ratio=deficits.get(classes.class_of(one.ask), 1),
         )
         for one in waiting
     ]
-    on_time, missed = _feasible(hopeful, now, pace.interval)
-    if pace.crowded:
-        on_time.sort(key=_newest_first if pace.overrun else _by_importance)
+    on_time, missed = _feasible(candidates, now, pace.interval)
+    if pace.is_crowded:
+        on_time.sort(
+            key=_newest_first if pace.is_overloaded else _by_importance
+        )
     late = sorted(
-        (_late(turn.waiting, leads) for turn in missed),
+        (_late(turn.waiting, lead_times) for turn in missed),
         key=_by_importance,
     )
     turns = list(on_time)
     hopeless = []
     for turn in late:
-        wait = pace.late_wait(len(on_time), len(turns) - len(on_time))
-        if wait > max(turn.latest - now, 0) * _DOUBT:
+        wait = pace.late_wait_seconds(len(on_time), len(turns) - len(on_time))
+        if wait > max(turn.latest_start - now, 0) * _MAX_LATENESS_FACTOR:
             hopeless.append(turn)
         else:
             turns.append(turn)
@@ -179,10 +181,10 @@
 
 def _late(
     waiting: records.Waiting,
-    leads: typing.Mapping[int, float],
+    lead_times: typing.Mapping[int, float],
 ) -> Turn:
-    until = min(waiting.ask.patience, waiting.ask.deadline)
-    return Turn(waiting, until - leads[waiting.sequence], late=True)
+    leaves_at = min(waiting.ask.patience, waiting.ask.deadline)
+    return Turn(waiting, leaves_at - lead_times[waiting.sequence], late=True)
 
 
 def _feasible(
@@ -191,39 +193,54 @@
     interval: float,
 ) -> tuple[list[Turn], list[Turn]]:
     """Split turns into those that can start in time and the others."""
-    kept: list[tuple[_Worth, Turn]] = []
-    given_up: list[Turn] = []
+    accepted: list[tuple[_Value, Turn]] = []
+    rejected: list[Turn] = []
     for turn in sorted(turns, key=_by_start):
-        left = turn.latest - now
+        left = turn.latest_start - now
         if left < 0:
             # Too late even as the first one, so nobody gives way for it.
-            given_up.append(turn)
+            rejected.append(turn)
             continue
-        heapq.heappush(kept, (_worth(turn), turn))
-        if _times(len(kept) - 1, interval) > left:
-            given_up.append(heapq.heappop(kept)[1])
-    served = [entry[1] for entry in kept]
-    return sorted(served, key=_by_start), given_up
+        heapq.heappush(accepted, (_value(turn), turn))
+        if _multiply(len(accepted) - 1, interval) > left:
+            rejected.append(heapq.heappop(accepted)[1])
+    timely = [entry[1] for entry in accepted]
+    return sorted(timely, key=_by_start), rejected
 
 
 def _by_start(turn: Turn) -> tuple[float, int]:
-    return turn.latest, turn.waiting.sequence
+    return turn.latest_start, turn.waiting.sequence
 
 
 def _by_importance(turn: Turn) -> tuple[int, float, int, float]:
-    ask = turn.waiting.ask
-    return int(ask.tier), turn.served, ask.rank, turn.latest
+    slot_request = turn.waiting.ask
+    return (
+        int(slot_request.tier),
+        turn.in_time_ratio,
+        slot_request.rank,
+        turn.latest_start,
+    )
 
 
 def _newest_first(turn: Turn) -> tuple[int, float, int, float]:
     """Give the importance, among equal plain answers the newest first."""
     if turn.waiting.ask.streams:
         return _by_importance(turn)
-    ask = turn.waiting.ask
-    return int(ask.tier), turn.served, ask.rank, -turn.latest
+    slot_request = turn.waiting.ask
+    return (
+        int(slot_request.tier),
+        turn.in_time_ratio,
+        slot_request.rank,
+        -turn.latest_start,
+    )
 
 
-def _worth(turn: Turn) -> _Worth:
+def _value(turn: Turn) -> _Value:
     """Give the lesser value, the sooner a turn gives way."""
-    ask = turn.waiting.ask
-    return -int(ask.tier), -turn.served, -ask.rank, -turn.waiting.sequence
+    slot_request = turn.waiting.ask
+    return (
+        -int(slot_request.tier),
+        -turn.in_time_ratio,
+        -slot_request.rank,
+        -turn.waiting.sequence,
+    )
--- a/libs/scheduling/geraniumweir/scheduling/ontime/paths.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/paths.py
@@ -14,40 +14,42 @@
 
 # A lost packet is sent again after 0.2 s at the earliest; in seconds, with a
 # tenth less for where in a pause the loss falls.
-_STALL_SECONDS = 0.18
+_LOSS_PAUSE_SECONDS = 0.18
 # Share of held up answers, by a decaying mean over about four.
 _WEIGHT = 0.25
 # A path that isn't used any more shows nothing new, so what is thought of it
 # halves in this time, in seconds; losses last some seconds.
-_HALF_LIFE = 2.0
+_HALF_LIFE_SECONDS = 2.0
 
 _Path = tuple[ids.FailureDomain, ids.FailureDomain]
 
 
 @dataclasses.dataclass(slots=True)
-class _Share:
+class _DecayingRatio:
     """A share that fades.
 
-    :ivar at: when it was measured, in seconds.
+    :ivar measured_at: when it was measured, in seconds.
     """
 
-    share: float = 0
-    at: float = 0
+    ratio: float = 0
+    measured_at: float = 0
 
-    def get(self, now: float) -> float:
+    def current(self, now: float) -> float:
         """Give what is left of it."""
-        return self.share * 0.5 ** ((now - self.at) / _HALF_LIFE)
+        return self.ratio * 0.5 ** (
+            (now - self.measured_at) / _HALF_LIFE_SECONDS
+        )
 
-    def add(self, held_up: bool, now: float) -> None:
+    def update(self, delayed: bool, now: float) -> None:
         """Take an answer."""
-        before = self.get(now)
-        self.share = before + (held_up - before) * _WEIGHT
-        self.at = now
+        before = self.current(now)
+        self.ratio = before + (delayed - before) * _WEIGHT
+        self.measured_at = now
 
 
-def is_stall(seconds: float) -> bool:
+def is_loss_pause(seconds: float) -> bool:
     """Tell whether a pause is as long as a lost packet makes it."""
-    return seconds >= _STALL_SECONDS
+    return seconds >= _LOSS_PAUSE_SECONDS
 
 
 class Paths:
@@ -56,23 +58,23 @@
     >>> one, two = ids.FailureDomain('one'), ids.FailureDomain('two')
     >>> some = Paths()
     >>> for _ in range(8):
-    ...     some.note(one, two, held_up=True, now=0)
-    >>> round(some.trouble(one, two, 0), 1), some.trouble(two, two, 0)
+    ...     some.record(one, two, delayed=True, now=0)
+    >>> round(some.delayed_ratio(one, two, 0), 1), some.delayed_ratio(two, two, 0)
     (0.9, 0)
-    >>> round(some.trouble(one, two, 6), 1)
+    >>> round(some.delayed_ratio(one, two, 6), 1)
     0.1
     """
 
     def __init__(self) -> None:
         """Know of no trouble."""
-        self._shares: dict[_Path, _Share] = {}
+        self._ratios: dict[_Path, _DecayingRatio] = {}
 
-    def note(
+    def record(
         self,
         owner: ids.FailureDomain,
         server: ids.FailureDomain,
         *,
-        held_up: bool,
+        delayed: bool,
         now: float,
     ) -> None:
         """Take how an answer came, or that none did.
@@ -80,9 +82,11 @@
         :param owner: the failure domain of the entry host.
         :param now: in seconds.
         """
-        self._shares.setdefault((owner, server), _Share()).add(held_up, now)
+        self._ratios.setdefault((owner, server), _DecayingRatio()).update(
+            delayed, now
+        )
 
-    def trouble(
+    def delayed_ratio(
         self,
         owner: ids.FailureDomain,
         server: ids.FailureDomain,
@@ -94,14 +98,14 @@
         """
         if not owner or owner == server:
             return 0
-        beside = self._share(server, server, now)
-        return max(self._share(owner, server, now) - beside, 0)
+        local = self._ratio(server, server, now)
+        return max(self._ratio(owner, server, now) - local, 0)
 
-    def _share(
+    def _ratio(
         self,
         owner: ids.FailureDomain,
         server: ids.FailureDomain,
         now: float,
     ) -> float:
-        known = self._shares.get((owner, server))
-        return 0 if known is None else known.get(now)
+        stored = self._ratios.get((owner, server))
+        return 0 if stored is None else stored.current(now)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
@@ -15,39 +15,39 @@
 
 # What a server with no free slot left would count for, as a part of its
 # slots: the scarcer the free ones, the dearer the last of them.
-_LEAST_FREE = 0.15
+_MIN_FREE_FRACTION = 0.15
 # A first token is predicted from a mean; this part of the time to the target
 # is used for it, which half of the predictions' errors stay within.
-_USED = 0.8
+_TARGET_FRACTION = 0.8
 # An answer must be predicted to end within this part of its time: lengths are
 # known at the median only and often twice as long.
-_USED_OF_DEADLINE = 0.6
+_DEADLINE_FRACTION = 0.6
 # Where no server is predicted to end it so soon, one may still do, as lengths
 # are known at the median only. What is predicted to take longer than so many
 # times what is left isn't tried.
-_LONGEST_OF_DEADLINE = 1.5
+_MAX_DEADLINE_RATIO = 1.5
 # Pauses are kept within this part of the longest one for full worth.
-_USED_OF_GAP = 0.85
+_GAP_FRACTION = 0.85
 # Of a large pool so many open servers are compared for a request. The best of
 # sixteen is within the best tenth of any number, and the time that a look
 # takes doesn't grow with the pool.
-_MOST_COMPARED = 16
+_MAX_COMPARED = 16
 # How much dearer a server is for each part of its answers that are failures.
-_FAILURE_PRICE = 8.0
+_FAILURE_COST_FACTOR = 8.0
 # The same for each part of the answers that the path to it holds up: such an
 # answer is late as a failed one is lost, and both are avoided as long as
 # another server has a slot at all.
-_PATH_PRICE = 8.0
+_PATH_COST_FACTOR = 8.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Learnt:
+class Estimates:
     """What is known of servers and the paths to them.
 
     :ivar now: in seconds.
     """
 
-    speeds: speeds.Speeds
+    speeds: speeds.SpeedEstimator
     path_quality: paths.Paths
     now: float
 
@@ -59,227 +59,276 @@
     Hundreds of requests may be compared with it before it gets one, so what
     is the same for all of them is worked out once.
 
-    :ivar free: slots.
+    :ivar free_slots: slots.
     :ivar unread: prompt tokens granted and not known to be read.
-    :ivar overdue: seconds by which its next first token is late.
-    :ivar fixed: seconds to a first token with nothing to read.
-    :ivar each: seconds more for each prompt token.
-    :ivar decode: seconds for an output token.
-    :ivar reading: seconds for which all that runs there stands still, for
+    :ivar overdue_seconds: seconds by which its next first token is late.
+    :ivar fixed_seconds: seconds to a first token with nothing to read.
+    :ivar seconds_per_token: seconds more for each prompt token.
+    :ivar seconds_per_output_token: seconds for an output token.
+    :ivar stall_seconds_per_token: seconds for which all that runs there stands still, for
         each prompt token.
-    :ivar longest_read: prompt tokens that may be unread without making the
+    :ivar max_unread_tokens: prompt tokens that may be unread without making the
         pauses of running streams too long.
     """
 
     server: records.Server
-    free: int
+    free_slots: int
     unread: float
-    overdue: float
-    fixed: float
-    each: float
-    decode: float
-    reading: float
-    longest_read: float
-
-    def first(self, ask: requests.Ask) -> float:
+    overdue_seconds: float
+    fixed_seconds: float
+    seconds_per_token: float
+    seconds_per_output_token: float
+    stall_seconds_per_token: float
+    max_unread_tokens: float
+
+    def first_token_seconds(self, slot_request: requests.Ask) -> float:
         """Predict the seconds to a first token."""
-        if not ask.streams:
-            return self.fixed + self.each * ask.prompt_tokens
-        read = ask.prompt_tokens + self.unread
-        return self.fixed + self.each * read + self.overdue
-
-    def held(self, waiting: records.Waiting, first: float) -> float:
+        if not slot_request.streams:
+            return (
+                self.fixed_seconds
+                + self.seconds_per_token * slot_request.prompt_tokens
+            )
+        tokens_to_read = slot_request.prompt_tokens + self.unread
+        return (
+            self.fixed_seconds
+            + self.seconds_per_token * tokens_to_read
+            + self.overdue_seconds
+        )
+
+    def hold_seconds(
+        self, waiting: records.Waiting, first_token_seconds: float
+    ) -> float:
         """Predict the seconds for which a request keeps a slot.
 
-        :param first: to its first token.
+        :param first_token_seconds: to its first token.
         """
         if not waiting.ask.streams:
-            return first
-        return first + self.decode * waiting.tokens
+            return first_token_seconds
+        return (
+            first_token_seconds + self.seconds_per_output_token * waiting.tokens
+        )
 
-    def read(self, ask: requests.Ask) -> float:
+    def tokens_to_read(self, slot_request: requests.Ask) -> float:
         """Give the prompt tokens to read before the first token."""
-        if not ask.streams:
-            return ask.prompt_tokens
-        return ask.prompt_tokens + self.unread
+        if not slot_request.streams:
+            return slot_request.prompt_tokens
+        return slot_request.prompt_tokens + self.unread
 
     def is_on_time(self, waiting: records.Waiting, now: float) -> bool:
         """Tell whether the first token is predicted before its target.
 
         And no stream that runs there is held up.
         """
-        ask = waiting.ask
-        if self.read(ask) > self.longest_read:
+        slot_request = waiting.ask
+        if self.tokens_to_read(slot_request) > self.max_unread_tokens:
             return False
-        return self.first(ask) <= (waiting.target - now) * _USED
-
-    def ends(self, waiting: records.Waiting, now: float) -> bool:
+        return (
+            self.first_token_seconds(slot_request)
+            <= (waiting.target - now) * _TARGET_FRACTION
+        )
+
+    def ends_before_deadline(
+        self, waiting: records.Waiting, now: float
+    ) -> bool:
         """Tell whether the answer is predicted well before its time is over."""
-        ask = waiting.ask
-        held = self.held(waiting, self.first(ask))
-        return held <= (ask.deadline - now) * _USED_OF_DEADLINE
+        slot_request = waiting.ask
+        hold_seconds = self.hold_seconds(
+            waiting, self.first_token_seconds(slot_request)
+        )
+        return (
+            hold_seconds <= (slot_request.deadline - now) * _DEADLINE_FRACTION
+        )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class Placement:
     """A server for a request.
 
-    :ivar read: prompt tokens to read before its first token.
-    :ivar first: seconds predicted to the first token.
-    :ivar delays: streams there are held up.
-    :ivar held: seconds predicted for which it keeps a slot.
+    :ivar tokens_to_read: prompt tokens to read before its first token.
+    :ivar first_token_seconds: seconds predicted to the first token.
+    :ivar delays_streams: streams there are held up.
+    :ivar hold_seconds: seconds predicted for which it keeps a slot.
     """
 
     offer: Offer
-    read: float
-    first: float
-    delays: bool
-    held: float
+    tokens_to_read: float
+    first_token_seconds: float
+    delays_streams: bool
+    hold_seconds: float
 
 
-def open_servers(
+def open_offers(
     servers: typing.Sequence[records.Server],
-    start: int,
-    learnt: Learnt,
+    first_index: int,
+    estimates: Estimates,
 ) -> list[Offer]:
     """List servers that may get one more request, some of many.
 
-    :param start: place of the first server to look at; where it differs from
+    :param first_index: place of the first server to look at; where it differs from
         look to look, all of a large pool are looked at in turn.
     """
     offers = []
-    for server in (*servers[start:], *servers[:start]):
-        stuck = server.stuck(learnt.now)
+    for server in (*servers[first_index:], *servers[:first_index]):
+        stuck = server.stuck(estimates.now)
         if server.hangs(stuck):
             # After a rest one request tries whether it still does.
-            rests.note(server, rests.Cause.hung, learnt.now)
-        free = server.free(learnt.now, len(stuck))
-        if free > 0:
-            offers.append(offer(server, free, learnt))
-        if len(offers) == _MOST_COMPARED:
+            rests.record_fault(server, rests.Cause.hung, estimates.now)
+        free_slots = server.free_slots(estimates.now, len(stuck))
+        if free_slots > 0:
+            offers.append(make_offer(server, free_slots, estimates))
+        if len(offers) == _MAX_COMPARED:
             break
     return offers
 
 
-def offer(server: records.Server, free: int, learnt: Learnt) -> Offer:
+def make_offer(
+    server: records.Server, free_slots: int, estimates: Estimates
+) -> Offer:
     """Work out what a server with free slots offers.
 
-    :param free: its number of free slots.
+    :param free_slots: its number of free slots.
     """
-    fixed, each = learnt.speeds.line(server.speed).fit()
+    fixed_seconds, seconds_per_token = estimates.speeds.line(server.speed).fit()
     return Offer(
         server,
-        free,
+        free_slots,
         server.unread_tokens(),
-        max(server.overdue(learnt.now), 0),
-        fixed,
-        each,
-        learnt.speeds.decode(server.speed),
-        server.speed.first.slope(),
-        _longest_read(server),
+        max(server.overdue_seconds(estimates.now), 0),
+        fixed_seconds,
+        seconds_per_token,
+        estimates.speeds.decode(server.speed),
+        server.speed.first_token_line.slope(),
+        _max_unread_tokens(server),
     )
 
 
-def on_time(
+def choose_on_time(
     offers: typing.Iterable[Offer],
     waiting: records.Waiting,
-    learnt: Learnt,
-) -> Place | None:
+    estimates: Estimates,
+) -> Placement | None:
     """Choose where the first token comes in time, if there is a server.
 
     The whole answer is predicted to end there as well.
     """
-    now = learnt.now
-    able = [
-        found
-        for found in offers
-        if found.is_on_time(waiting, now) and found.ends(waiting, now)
+    now = estimates.now
+    suitable = [
+        candidate
+        for candidate in offers
+        if candidate.is_on_time(waiting, now)
+        and candidate.ends_before_deadline(waiting, now)
     ]
-    if not able:
+    if not suitable:
         return None
-    return place(
-        min(able, key=lambda found: _score(found, waiting, learnt)),
+    return predict(
+        min(
+            suitable, key=lambda candidate: _cost(candidate, waiting, estimates)
+        ),
         waiting,
     )
 
 
-def earliest(
+def choose_earliest(
     offers: typing.Iterable[Offer],
     waiting: records.Waiting,
-    learnt: Learnt,
-) -> Place | None:
+    estimates: Estimates,
+) -> Placement | None:
     """Choose where the first token comes first and the answer ends."""
-    able = [found for found in offers if found.ends(waiting, learnt.now)]
-    first = min(able, key=lambda found: _by_first(found, waiting), default=None)
-    return first and place(first, waiting)
+    suitable = [
+        candidate
+        for candidate in offers
+        if candidate.ends_before_deadline(waiting, estimates.now)
+    ]
+    best = min(
+        suitable,
+        key=lambda candidate: _by_first_token(candidate, waiting),
+        default=None,
+    )
+    return best and predict(best, waiting)
 
 
-def shortest(
+def choose_shortest(
     offers: typing.Iterable[Offer],
     waiting: records.Waiting,
-) -> Place | None:
+) -> Placement | None:
     """Choose the server that is through with a request first."""
-    first = min(
+    best = min(
         offers,
-        key=lambda found: _by_held(found, waiting),
+        key=lambda candidate: _by_hold_seconds(candidate, waiting),
         default=None,
     )
-    return first and place(first, waiting)
+    return best and predict(best, waiting)
 
 
-def outlasts(waiting: records.Waiting, held: float, now: float) -> bool:
+def exceeds_deadline(
+    waiting: records.Waiting, hold_seconds: float, now: float
+) -> bool:
     """Tell whether a request takes too long for the time that it has left.
 
-    :param held: seconds predicted on the quickest server.
+    :param hold_seconds: seconds predicted on the quickest server.
     """
     left = waiting.ask.deadline - now
-    return held > left * _LONGEST_OF_DEADLINE
+    return hold_seconds > left * _MAX_DEADLINE_RATIO
 
 
-def place(found: Offer, waiting: records.Waiting) -> Place:
+def predict(candidate: Offer, waiting: records.Waiting) -> Placement:
     """Predict how a request does on a server."""
-    ask = waiting.ask
-    first = found.first(ask)
-    read = found.read(ask)
-    return Place(
-        found,
-        read,
-        first,
-        read > found.longest_read,
-        found.held(waiting, first),
+    slot_request = waiting.ask
+    first_token_seconds = candidate.first_token_seconds(slot_request)
+    tokens_to_read = candidate.tokens_to_read(slot_request)
+    return Placement(
+        candidate,
+        tokens_to_read,
+        first_token_seconds,
+        tokens_to_read > candidate.max_unread_tokens,
+        candidate.hold_seconds(waiting, first_token_seconds),
     )
 
 
-def _score(
-    found: Offer,
+def _cost(
+    candidate: Offer,
     waiting: records.Waiting,
-    learnt: Learnt,
+    estimates: Estimates,
 ) -> tuple[float, str]:
     """Tell how dear a server is for a request; the least is the best."""
-    ask = waiting.ask
-    held = found.held(waiting, found.first(ask))
+    slot_request = waiting.ask
+    hold_seconds = candidate.hold_seconds(
+        waiting, candidate.first_token_seconds(slot_request)
+    )
     # All that runs there stands still while a prompt is read.
-    held += found.reading * ask.prompt_tokens * len(found.server.running)
-    scarcity = 1 / (found.free / found.server.slots + _LEAST_FREE)
-    return held * scarcity * _risk(found.server, ask, learnt), _name(found)
+    hold_seconds += (
+        candidate.stall_seconds_per_token
+        * slot_request.prompt_tokens
+        * len(candidate.server.running)
+    )
+    scarcity = 1 / (
+        candidate.free_slots / candidate.server.slots + _MIN_FREE_FRACTION
+    )
+    return hold_seconds * scarcity * _failure_factor(
+        candidate.server, slot_request, estimates
+    ), _server_id(candidate)
 
 
-def _risk(
+def _failure_factor(
     server: records.Server,
-    ask: requests.Ask,
-    learnt: Learnt,
+    slot_request: requests.Ask,
+    estimates: Estimates,
 ) -> float:
     """Give how much dearer a server is for the answers that come to nothing."""
-    trouble = learnt.path_quality.trouble(
-        ask.failure_domain,
+    delayed_ratio = estimates.path_quality.delayed_ratio(
+        slot_request.failure_domain,
         server.announcement.failure_domain,
-        learnt.now,
+        estimates.now,
+    )
+    failure_ratio = server.condition.failure_ratio
+    return (
+        1
+        + _FAILURE_COST_FACTOR * failure_ratio
+        + _PATH_COST_FACTOR * delayed_ratio
     )
-    failing = server.condition.failing
-    return 1 + _FAILURE_PRICE * failing + _PATH_PRICE * trouble
 
 
-def _longest_read(server: records.Server) -> float:
+def _max_unread_tokens(server: records.Server) -> float:
     """Give how much may be read before the pauses of streams get too long.
 
     While prompts are read, each token of the others waits for a piece of
@@ -287,23 +336,29 @@
     streams late.
     """
     limits = [one.ask.gap for one in server.running.values()]
-    limit = min(limits, default=math.inf) * _USED_OF_GAP
-    if server.speed.worst_gap <= limit:
+    limit = min(limits, default=math.inf) * _GAP_FRACTION
+    if server.speed.longest_gap <= limit:
         return math.inf
-    slope = server.speed.first.slope()
-    spare = limit - server.speed.usual_gap.get(0)
-    if spare < 0 or not slope:
-        return math.inf if spare >= 0 else -1
-    return spare / slope
+    slope = server.speed.first_token_line.slope()
+    spare_seconds = limit - server.speed.mean_gap.get(0)
+    if spare_seconds < 0 or not slope:
+        return math.inf if spare_seconds >= 0 else -1
+    return spare_seconds / slope
 
 
-def _name(found: Offer) -> str:
-    return found.server.server_id
+def _server_id(candidate: Offer) -> str:
+    return candidate.server.server_id
 
 
-def _by_held(found: Offer, waiting: records.Waiting) -> tuple[float, str]:
-    return found.held(waiting, found.first(waiting.ask)), _name(found)
+def _by_hold_seconds(
+    candidate: Offer, waiting: records.Waiting
+) -> tuple[float, str]:
+    return candidate.hold_seconds(
+        waiting, candidate.first_token_seconds(waiting.ask)
+    ), _server_id(candidate)
 
 
-def _by_first(found: Offer, waiting: records.Waiting) -> tuple[float, str]:
-    return found.first(waiting.ask), _name(found)
+def _by_first_token(
+    candidate: Offer, waiting: records.Waiting
+) -> tuple[float, str]:
+    return candidate.first_token_seconds(waiting.ask), _server_id(candidate)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/records.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/records.py
@@ -16,7 +16,7 @@
 _STUCK_FACTOR = 3.0
 _STUCK_SECONDS = 0.75
 # Answers that broke off at a server, of which it is remembered.
-_MOST_BROKEN = 32
+_MAX_INCOMPLETE_ANSWERS = 32
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -24,16 +24,16 @@
     """A request in the queue.
 
     :ivar sequence: by order of arrival.
-    :ivar arrived: in seconds.
-    :ivar waited: seconds since the caller first asked for the same.
+    :ivar arrived_at: in seconds.
+    :ivar waited_seconds: seconds since the caller first asked for the same.
     :ivar tokens: output tokens expected.
     :ivar joined: asks that wait for the same answer.
     """
 
     ask: requests.Ask
     sequence: int
-    arrived: float
-    waited: float
+    arrived_at: float
+    waited_seconds: float
     tokens: float
     fut: asyncio.Future[requests.Grant | requests.Denial]
     joined: int = 0
@@ -41,14 +41,14 @@
     @property
     def target(self) -> float:
         """Give when its first token is due, counted from the first request."""
-        return self.ask.target - self.waited
+        return self.ask.target - self.waited_seconds
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Running:
     """A grant in use.
 
-    :ivar granted: when, in seconds.
+    :ivar granted_at: when, in seconds.
     :ivar read_tokens: prompt tokens to read before its first token, those of
         others ahead of it included.
     :ivar predicted: seconds from the grant to its first token.
@@ -57,7 +57,7 @@
 
     ask: requests.Ask
     grant: requests.Grant
-    granted: float
+    granted_at: float
     read_tokens: float
     predicted: float
     tokens: float
@@ -75,10 +75,10 @@
 
     :ivar live: announced and allowed new work.
     :ivar canary: it gets only what a rollout lets through.
-    :ivar unborn: of the running ones, those without a first token.
-    :ivar last_sign: when it last gave a first token, in seconds.
-    :ivar last_good: when it last did that, or ended an answer.
-    :ivar broken: when answers broke off, and of which content.
+    :ivar prefilling: of the running ones, those without a first token.
+    :ivar last_first_token_at: when it last gave a first token, in seconds.
+    :ivar last_success_at: when it last did that, or ended an answer.
+    :ivar incomplete_answers: when answers broke off, and of which content.
     :ivar throttle: spaces out what it gets, None where it names no limit.
     """
 
@@ -92,18 +92,20 @@
     running: dict[ids.RequestId, Running] = dataclasses.field(
         default_factory=dict,
     )
-    unborn: dict[ids.RequestId, Running] = dataclasses.field(
+    prefilling: dict[ids.RequestId, Running] = dataclasses.field(
         default_factory=dict,
     )
-    last_sign: float = float('-inf')
-    last_good: float = float('-inf')
-    broken: collections.deque[tuple[float, ids.Fingerprint]] = (
+    last_first_token_at: float = float('-inf')
+    last_success_at: float = float('-inf')
+    incomplete_answers: collections.deque[tuple[float, ids.Fingerprint]] = (
         dataclasses.field(
-            default_factory=lambda: collections.deque(maxlen=_MOST_BROKEN),
+            default_factory=lambda: collections.deque(
+                maxlen=_MAX_INCOMPLETE_ANSWERS
+            ),
         )
     )
     throttle: ratelimits.Throttle | None = None
-    occupied: occupancy.Occupancy = dataclasses.field(
+    slot_usage: occupancy.Occupancy = dataclasses.field(
         default_factory=occupancy.Occupancy,
     )
 
@@ -132,15 +134,15 @@
         """Give how many requests it runs at a time."""
         return max(self.announcement.slots, 1)
 
-    def begin(self, running: Running, now: float) -> None:
+    def add_running(self, running: Running, now: float) -> None:
         """Take that a request runs here from now on."""
         request_id = running.ask.request_id
-        self.occupied.passed(len(self.running), now)
+        self.slot_usage.advance(len(self.running), now)
         self.running[request_id] = running
         if running.first_token is None:
-            self.unborn[request_id] = running
+            self.prefilling[request_id] = running
 
-    def end(
+    def remove_running(
         self,
         request_id: ids.RequestId,
         now: float,
@@ -152,69 +154,73 @@
         :param answered: its answer came to its end, so that it tells how long
             a slot is kept.
         """
-        self.occupied.passed(len(self.running), now)
+        self.slot_usage.advance(len(self.running), now)
         self.running.pop(request_id, None)
-        self.unborn.pop(request_id, None)
+        self.prefilling.pop(request_id, None)
         if answered:
-            self.occupied.ended()
+            self.slot_usage.record_end()
 
-    def outline(self, now: float) -> str:
+    def log_summary(self, now: float) -> str:
         """Give how it does, for the log: what runs, and what keeps it shut."""
-        most = self.condition.most(self.slots, now)
-        late = round(self.overdue(now), 2)
+        max_running = self.condition.max_requests(self.slots, now)
+        late = round(self.overdue_seconds(now), 2)
         limit = ''
         if self.throttle is not None:
             limit = f' limit {round(self.throttle.per_second, 2)}'
         return (
-            f'{len(self.running)}/{most} unborn {len(self.unborn)} late {late}'
+            f'{len(self.running)}/{max_running} unborn {len(self.prefilling)} late {late}'
             f'{limit}'
         )
 
-    def free(self, now: float, stuck: int) -> int:
+    def free_slots(self, now: float, stuck: int) -> int:
         """Give how many more requests it may get now.
 
         :param stuck: number of those of :meth:`stuck`.
         """
         if not self.live:
             return 0
-        most = self.condition.most(self.slots, now)
-        free = most - len(self.running) + stuck
+        max_running = self.condition.max_requests(self.slots, now)
+        free_slots = max_running - len(self.running) + stuck
         if self.throttle is None:
-            return free
-        return min(free, self.throttle.ready(now))
+            return free_slots
+        return min(free_slots, self.throttle.ready(now))
 
-    def is_held_back(self, now: float) -> bool:
+    def is_rate_limited(self, now: float) -> bool:
         """Tell whether the limit that it names keeps requests off it now."""
         return self.throttle is not None and not self.throttle.ready(now)
 
-    def rate(self, usual: float, now: float) -> float:
+    def completion_rate(self, pool_hold_seconds: float, now: float) -> float:
         """Give the requests a second that it is thought to end.
 
-        :param usual: seconds for which requests of the pool keep a slot.
+        :param pool_hold_seconds: seconds for which requests of the pool keep a slot.
         """
-        expected = self.condition.expected(self.slots, now)
-        rate = expected / self.occupied.held(usual)
+        expected_requests = self.condition.expected_requests(self.slots, now)
+        rate = expected_requests / self.slot_usage.hold_seconds(
+            pool_hold_seconds
+        )
         if self.throttle is None:
             return rate
         return min(rate, self.throttle.per_second)
 
     def unread_tokens(self) -> float:
         """Give the prompt tokens granted and not known to be read."""
-        return sum(one.ask.prompt_tokens for one in self.unborn.values())
+        return sum(one.ask.prompt_tokens for one in self.prefilling.values())
 
-    def overdue(self, now: float) -> float:
+    def overdue_seconds(self, now: float) -> float:
         """Give the seconds by which the next first token is late.
 
         Engines read prompts in the order in which they come, so a first token
         of one shows that all before it are read, whether their owners could
         tell or not.
         """
-        since = max(self.last_sign, self.condition.rested_at)
+        since = max(
+            self.last_first_token_at, self.condition.cooldown_started_at
+        )
         stuck = self.stuck(now)
         late = [
-            now - max(one.granted, self.last_sign) - one.predicted
-            for one in self.unborn.values()
-            if one.granted > since or one not in stuck
+            now - max(one.granted_at, self.last_first_token_at) - one.predicted
+            for one in self.prefilling.values()
+            if one.granted_at > since or one not in stuck
         ]
         return max(late, default=0)
 
@@ -222,8 +228,8 @@
         """List the requests whose first token is so late that it is lost."""
         return [
             one
-            for one in self.unborn.values()
-            if now - one.granted
+            for one in self.prefilling.values()
+            if now - one.granted_at
             > one.predicted * _STUCK_FACTOR + _STUCK_SECONDS
         ]
 
@@ -234,6 +240,10 @@
         """
         if not stuck:
             return False
-        since = max(self.last_sign, self.condition.rested_at)
-        sent = [one for one in self.unborn.values() if one.granted > since]
+        since = max(
+            self.last_first_token_at, self.condition.cooldown_started_at
+        )
+        sent = [
+            one for one in self.prefilling.values() if one.granted_at > since
+        ]
         return bool(sent) and all(one in stuck for one in sent)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/rests.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/rests.py
@@ -18,7 +18,7 @@
     hung = 'hung'
 
 
-def note(
+def record_fault(
     server: records.Server,
     cause: Cause,
     now: float,
@@ -29,31 +29,35 @@
     :param now: in seconds.
     :param running: the request that met it, None for all that it was sent.
     """
-    if _begins(server, cause, now, running):
+    if _starts_cooldown(server, cause, now, running):
         eventlog.emit(
             logevents.SERVER_RESTS,
             pool=server.announcement.pool,
             server=server.server_id,
-            seconds=round(server.condition.until - now, _SECONDS_DIGITS),
+            seconds=round(
+                server.condition.cooldown_until - now, _SECONDS_DIGITS
+            ),
             cause=cause.value,
             owner=running.ask.owner if running else ids.HostId(''),
         )
 
 
-def _begins(
+def _starts_cooldown(
     server: records.Server,
     cause: Cause,
     now: float,
     running: records.Running | None,
 ) -> bool:
-    found = server.condition
+    server_condition = server.condition
     match cause:
         case Cause.unreachable:
-            return found.unreachable(now)
+            return server_condition.record_unreachable(now)
         case Cause.broke_off:
-            return found.broke_off(now)
+            return server_condition.record_truncation(now)
         case Cause.turned_away if running is not None:
             others = len(server.running.keys() - {running.ask.request_id})
-            return found.turned_away(others, running.granted, now)
+            return server_condition.record_rejection(
+                others, running.granted_at, now
+            )
         case _:
-            return found.hung(now)
+            return server_condition.record_hang(now)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/speeds.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/speeds.py
@@ -16,7 +16,7 @@
 
 # Each further sample makes the older ones count for so much less; about 30
 # samples are remembered, a second or two at the usual load of a server.
-_KEEP = 0.97
+_DECAY = 0.97
 # A first guess, until the first answers: an engine that takes 60 ms for its
 # first token and reads 50 prompt tokens in a millisecond.
 _FIXED_GUESS = 0.06
@@ -26,7 +26,7 @@
 _GUESS_WEIGHT = 1.0
 _GUESS_TOKENS = 4000.0
 # A fitted line may start below nothing; a first token takes a millisecond.
-_LEAST_SECONDS = 0.001
+_MIN_FIXED_SECONDS = 0.001
 
 
 @dataclasses.dataclass(slots=True)
@@ -36,7 +36,7 @@
     >>> line = Line()
     >>> for tokens in (100, 1000, 5000) * 50:
     ...     line.add(tokens, 0.1 + tokens * 0.0001)
-    >>> round(line.at(2000), 2)
+    >>> round(line.predict(2000), 2)
     0.3
     """
 
@@ -55,14 +55,14 @@
 
     def add(self, tokens: float, seconds: float) -> None:
         """Take a sample."""
-        self.weight *= _KEEP
-        self.sum_x *= _KEEP
-        self.sum_y *= _KEEP
-        self.sum_xx *= _KEEP
-        self.sum_xy *= _KEEP
+        self.weight *= _DECAY
+        self.sum_x *= _DECAY
+        self.sum_y *= _DECAY
+        self.sum_xx *= _DECAY
+        self.sum_xy *= _DECAY
         self._put(tokens, seconds, 1)
 
-    def at(self, tokens: float) -> float:
+    def predict(self, tokens: float) -> float:
         """Give the seconds predicted for a number of tokens."""
         fixed, slope = self.fit()
         return fixed + slope * tokens
@@ -75,7 +75,7 @@
         if self._fit is None:
             slope = self._slope()
             fixed = (self.sum_y - slope * self.sum_x) / self.weight
-            self._fit = max(fixed, _LEAST_SECONDS), slope
+            self._fit = max(fixed, _MIN_FIXED_SECONDS), slope
         return self._fit
 
     def slope(self) -> float:
@@ -99,7 +99,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Average:
+class DecayingMean:
     """A decaying mean.
 
     :ivar mean: None before the first sample.
@@ -112,7 +112,7 @@
         if self.mean is None:
             self.mean = sample
         else:
-            self.mean += (sample - self.mean) * (1 - _KEEP)
+            self.mean += (sample - self.mean) * (1 - _DECAY)
 
     def get(self, default: float) -> float:
         """Give the mean, or a default before the first sample."""
@@ -123,66 +123,66 @@
 class Speed:
     """What is learnt of one server, or of a whole pool.
 
-    :ivar first: seconds to a first token by prompt tokens read before it.
+    :ivar first_token_line: seconds to a first token by prompt tokens read before it.
     :ivar decode: seconds for each output token.
-    :ivar usual_gap: mean pause between a stream's events, in seconds.
-    :ivar worst_gap: the longest pause lately; it comes while long prompts are
+    :ivar mean_gap: mean pause between a stream's events, in seconds.
+    :ivar longest_gap: the longest pause lately; it comes while long prompts are
         read between the tokens of the others.
     :ivar samples: first tokens seen.
     """
 
-    first: Line = dataclasses.field(default_factory=Line)
-    decode: Average = dataclasses.field(default_factory=Average)
-    usual_gap: Average = dataclasses.field(default_factory=Average)
-    worst_gap: float = 0
+    first_token_line: Line = dataclasses.field(default_factory=Line)
+    decode: DecayingMean = dataclasses.field(default_factory=DecayingMean)
+    mean_gap: DecayingMean = dataclasses.field(default_factory=DecayingMean)
+    longest_gap: float = 0
     samples: int = 0
 
-    def learn_gaps(self, usual: float, longest: float) -> None:
+    def add_gaps(self, mean_seconds: float, longest: float) -> None:
         """Take the pauses of a whole stream, in seconds."""
-        self.usual_gap.add(usual)
-        self.worst_gap = max(longest, self.worst_gap * _KEEP)
+        self.mean_gap.add(mean_seconds)
+        self.longest_gap = max(longest, self.longest_gap * _DECAY)
 
 
 # A server's own figures count once it has shown this many first tokens.
-_ENOUGH = 3
+_MIN_SAMPLES = 3
 
 
-class Speeds:
+class SpeedEstimator:
     """The speeds of a pool's servers, with the pool to fall back on."""
 
     def __init__(self) -> None:
         """Know nothing."""
         self.pool = Speed()
 
-    def first_token(self, server: Speed, tokens: float) -> float:
+    def first_token_seconds(self, server: Speed, tokens: float) -> float:
         """Predict the seconds to a first token.
 
         :param tokens: read before it, those of others ahead included.
         """
-        return self.line(server).at(tokens)
+        return self.line(server).predict(tokens)
 
     def line(self, server: Speed) -> Line:
         """Give what predicts a server's first tokens."""
-        known = server if server.samples >= _ENOUGH else self.pool
-        return known.first
+        speed = server if server.samples >= _MIN_SAMPLES else self.pool
+        return speed.first_token_line
 
     def decode(self, server: Speed) -> float:
         """Predict the seconds for an output token."""
-        usual = self.pool.decode.get(_DECODE_GUESS)
-        return server.decode.get(usual)
+        pool_mean = self.pool.decode.get(_DECODE_GUESS)
+        return server.decode.get(pool_mean)
 
-    def learn_first(
+    def add_first_token(
         self,
         server: Speed,
         tokens: float,
         seconds: float,
     ) -> None:
         """Take a first token."""
-        for known in (server, self.pool):
-            known.first.add(tokens, seconds)
-            known.samples += 1
+        for speed in (server, self.pool):
+            speed.first_token_line.add(tokens, seconds)
+            speed.samples += 1
 
-    def learn_end(
+    def add_response(
         self,
         server: Speed,
         tokens: float,
@@ -194,5 +194,5 @@
         """
         if tokens <= 0:
             return
-        for known in (server, self.pool):
-            known.decode.add(decode_seconds / tokens)
+        for speed in (server, self.pool):
+            speed.decode.add(decode_seconds / tokens)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/state.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/state.py
@@ -22,27 +22,27 @@
 
 _MS = 1000
 # A pool with room to spare has a free slot again within this, in seconds.
-_SOON = 0.2
+_SHORT_RETRY_SECONDS = 0.2
 # One that newcomers fill is worth coming back to when a burst is over, some
 # seconds later.
-_LATER = 3.0
+_LONG_RETRY_SECONDS = 3.0
 # The pace changes with what hundreds of requests do; it is worked out again
 # after so many seconds, not for each of them.
 _PACE_SECONDS = 0.01
 # Above this load a queue of late requests hardly gets shorter.
-_FULL = 0.8
+_HIGH_LOAD = 0.8
 # Callers are told to come back up to this part later than that.
-_SPREAD = 1.0
+_RETRY_SPREAD = 1.0
 # And within this part of the time that they have left: who is told to come
 # back at its end is lost for good.
-_LATEST_RETURN = 0.5
+_MAX_RETRY_FRACTION = 0.5
 
 
 Pauses = typing.Callable[[ids.HostId], typing.Mapping[notices.Start, float]]
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class LeaderState:
+class OnTimeLeaderState:
     """All that a leader knows.
 
     :ivar guide: decides what servers of which version may get.
@@ -50,34 +50,34 @@
         that name a limit.
     :ivar pauses: gives the servers that want nothing from a host, and until
         when, in seconds.
-    :ivar settle_by: nothing is granted before, in seconds.
-    :ivar served_at: when a server was last known.
+    :ivar takeover_ends_at: nothing is granted before, in seconds.
+    :ivar server_seen_at: when a server was last known.
     :ivar quickest: the server that is the first with a usual prompt, by what
         was known when they were looked up; None without servers.
-    :ivar synced: when the servers were last looked up.
-    :ivar gone: servers whose address another one took, and since when.
-    :ivar lengths: usual output tokens by rule.
+    :ivar synced_at: when the servers were last looked up.
+    :ivar replaced_at: servers whose address another one took, and since when.
+    :ivar output_lengths: usual output tokens by rule.
     :ivar path_quality: from entry hosts to servers.
     :ivar shares: what each class of requests got lately.
-    :ivar looked: when what waits was last looked at, in seconds.
+    :ivar last_cycle_at: when what waits was last looked at, in seconds.
     :ivar interval: seconds from one free slot of the pool to the next.
-    :ivar held: seconds for which a request usually keeps a slot.
-    :ivar paced: when these two were worked out.
-    :ivar told: when the log was last told how the pool does.
+    :ivar hold_seconds: seconds for which a request usually keeps a slot.
+    :ivar paced_at: when these two were worked out.
+    :ivar logged_at: when the log was last told how the pool does.
     """
 
     pool: ids.PoolName
     now: typing.Callable[[], float]
     live: typing.Callable[[], typing.Sequence[servers.Announcement]]
     suspects: suspects.Suspects
-    dice: random.Random
+    rng: random.Random
     guide: guiding.Guide
     rates: typing.Callable[[], typing.Mapping[notices.Start, float]]
     pauses: Pauses
-    settle_by: float
-    served_at: float
+    takeover_ends_at: float
+    server_seen_at: float
     quickest: records.Server | None = None
-    synced: float = float('-inf')
+    synced_at: float = float('-inf')
     waiting: dict[ids.RequestId, records.Waiting] = dataclasses.field(
         default_factory=dict,
     )
@@ -87,66 +87,76 @@
     servers: dict[ids.ServerId, records.Server] = dataclasses.field(
         default_factory=dict,
     )
-    gone: dict[notices.Start, float] = dataclasses.field(default_factory=dict)
-    learnt: speeds.Speeds = dataclasses.field(default_factory=speeds.Speeds)
-    lengths: dict[ids.RuleName, float] = dataclasses.field(
+    replaced_at: dict[notices.Start, float] = dataclasses.field(
+        default_factory=dict
+    )
+    estimates: speeds.SpeedEstimator = dataclasses.field(
+        default_factory=speeds.SpeedEstimator
+    )
+    output_lengths: dict[ids.RuleName, float] = dataclasses.field(
         default_factory=dict,
     )
     sequence: int = 0
-    ticker: asyncio.TimerHandle | None = None
+    timer: asyncio.TimerHandle | None = None
     interval: float = float('inf')
-    held: float = 0
-    paced: float = float('-inf')
-    told: float = float('-inf')
-    looked: float = float('-inf')
+    hold_seconds: float = 0
+    paced_at: float = float('-inf')
+    logged_at: float = float('-inf')
+    last_cycle_at: float = float('-inf')
     repeated: repeats.Repeats = dataclasses.field(
         default_factory=repeats.Repeats,
     )
     path_quality: paths.Paths = dataclasses.field(default_factory=paths.Paths)
-    arriving: arrivals.Arrivals = dataclasses.field(
+    arrival_rate: arrivals.Arrivals = dataclasses.field(
         default_factory=arrivals.Arrivals,
     )
     shares: classes.Shares = dataclasses.field(default_factory=classes.Shares)
 
 
-def interval(leader: LeaderState) -> float:
+def interval(leader: OnTimeLeaderState) -> float:
     """Predict the seconds from one free slot of the pool to the next."""
     now = leader.now()
     live = [server for server in leader.servers.values() if server.serves]
     for server in live:
-        server.occupied.passed(len(server.running), now)
-    leader.held = occupancy.usual(one.occupied for one in live)
-    rate = sum(one.rate(leader.held, now) for one in live)
+        server.slot_usage.advance(len(server.running), now)
+    leader.hold_seconds = occupancy.pool_hold_seconds(
+        one.slot_usage for one in live
+    )
+    rate = sum(one.completion_rate(leader.hold_seconds, now) for one in live)
     return 1 / rate if rate else float('inf')
 
 
-def pace(leader: LeaderState) -> ordering.Pace:
+def pace(leader: OnTimeLeaderState) -> ordering.Pace:
     """Tell how fast the pool works and how much comes."""
     now = leader.now()
-    if now - leader.paced >= _PACE_SECONDS:
-        leader.paced = now
+    if now - leader.paced_at >= _PACE_SECONDS:
+        leader.paced_at = now
         leader.interval = interval(leader)
-    return ordering.Pace(leader.interval, leader.arriving.rate(now))
+    return ordering.Pace(leader.interval, leader.arrival_rate.rate(now))
 
 
 def denial(
-    leader: LeaderState,
-    ask: requests.Ask,
+    leader: OnTimeLeaderState,
+    slot_request: requests.Ask,
     reason: requests.DenialReason,
 ) -> requests.Denial:
     """Make a denial, with the time in which a repeat may find a slot.
 
     Spread out, so that those refused together don't come back together.
     """
-    seconds = _LATER if pace(leader).load > _FULL else _SOON
-    seconds *= leader.dice.uniform(1, 1 + _SPREAD)
-    left = max(ask.deadline - leader.now(), 0)
-    seconds = min(seconds, left * _LATEST_RETURN)
-    return requests.Denial(ask.request_id, reason, int(seconds * _MS))
+    seconds = (
+        _LONG_RETRY_SECONDS
+        if pace(leader).load > _HIGH_LOAD
+        else _SHORT_RETRY_SECONDS
+    )
+    seconds *= leader.rng.uniform(1, 1 + _RETRY_SPREAD)
+    left = max(slot_request.deadline - leader.now(), 0)
+    seconds = min(seconds, left * _MAX_RETRY_FRACTION)
+    return requests.Denial(slot_request.request_id, reason, int(seconds * _MS))
 
 
 def refuse(
-    leader: LeaderState,
+    leader: OnTimeLeaderState,
     waiting: records.Waiting,
     reason: requests.DenialReason,
     seconds: float | None = None,
@@ -157,8 +167,8 @@
     """
     leader.waiting.pop(waiting.ask.request_id, None)
     if reason is not requests.DenialReason.withdrawn:
-        first = waiting.arrived - waiting.waited
-        leader.repeated.refused(waiting.ask.fingerprint, first)
+        first = waiting.arrived_at - waiting.waited_seconds
+        leader.repeated.record_refusal(waiting.ask.fingerprint, first)
     if seconds is None:
         answer = denial(leader, waiting.ask, reason)
     else:
@@ -167,12 +177,12 @@
     waiting.fut.set_result(answer)
 
 
-def run(
-    leader: LeaderState,
+def register_running(
+    leader: OnTimeLeaderState,
     server: records.Server | None,
     running: records.Running,
 ) -> None:
     """Count a grant in use; its server may not be known yet."""
     leader.running[running.ask.request_id] = running
     if server is not None:
-        server.begin(running, leader.now())
+        server.add_running(running, leader.now())
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/play.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/play.py
@@ -27,7 +27,7 @@
     )
 
 
-def ask(name: str, now: float, **changes: typing.Any) -> requests.Ask:
+def slot_request(name: str, now: float, **changes: typing.Any) -> requests.Ask:
     """Make an ask whose first token is due within 0.4 s."""
     made = requests.Ask(
         ids.RequestId(name),
@@ -147,7 +147,7 @@
     result.asked[second] = result.asked.get(second, 0) + 1
     for attempt in range(2):
         now = loop.time()
-        made = ask(f'{name}.{attempt}', now)
+        made = slot_request(f'{name}.{attempt}', now)
         content = ids.Fingerprint(hash(name))
         made = dataclasses.replace(
             made,
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_classes.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_classes.py
@@ -56,12 +56,12 @@
     lowest = classes.Class(ids.Tier.normal, 1)
     for _ in range(100):
         for one in (high, low, lowest):
-            shares.asked(one, 0)
-        shares.granted(high, 1, late=False, now=0)
-    assert not shares.owed(0)
+            shares.record_arrival(one, 0)
+        shares.record_grant(high, 1, late=False, now=0)
+    assert not shares.deficits(0)
     for _ in range(50):
-        shares.granted(low, 1, late=False, now=0)
-    assert list(shares.owed(0)) == [lowest]
+        shares.record_grant(low, 1, late=False, now=0)
+    assert list(shares.deficits(0)) == [lowest]
 
 
 def test_class_that_needs_few_slots_is_not_kept_from_them() -> None:
@@ -72,11 +72,11 @@
     )
     for _ in range(100):
         for one in (first, large, small):
-            shares.asked(one, 0)
-        shares.granted(first, 1, late=False, now=0)
+            shares.record_arrival(one, 0)
+        shares.record_grant(first, 1, late=False, now=0)
     for _ in range(30):
-        shares.granted(large, 10, late=False, now=0, owed=True)
-    assert list(shares.owed(0)) == [small]
+        shares.record_grant(large, 10, late=False, now=0, for_deficit=True)
+    assert list(shares.deficits(0)) == [small]
 
 
 def test_late_grants_are_no_service() -> None:
@@ -85,11 +85,11 @@
     first = classes.Class(ids.Tier.normal, 0)
     second = classes.Class(ids.Tier.normal, 1)
     for _ in range(100):
-        shares.asked(first, 0)
-        shares.asked(second, 0)
-        shares.granted(first, 1, late=False, now=0)
-        shares.granted(second, 1, late=True, now=0)
-    assert list(shares.owed(0)) == [second]
+        shares.record_arrival(first, 0)
+        shares.record_arrival(second, 0)
+        shares.record_grant(first, 1, late=False, now=0)
+        shares.record_grant(second, 1, late=True, now=0)
+    assert list(shares.deficits(0)) == [second]
 
 
 def test_class_that_got_nothing_is_forgotten_as_overload_ends() -> None:
@@ -98,11 +98,11 @@
     first = classes.Class(ids.Tier.normal, 0)
     second = classes.Class(ids.Tier.normal, 1)
     for at in range(1_000_000, 1_001_000):
-        shares.asked(first, at)
-        shares.granted(first, 1, late=False, now=at)
-        shares.asked(second, at)
-    assert list(shares.owed(1_001_000)) == [second]
+        shares.record_arrival(first, at)
+        shares.record_grant(first, 1, late=False, now=at)
+        shares.record_arrival(second, at)
+    assert list(shares.deficits(1_001_000)) == [second]
     for at in range(1_001_000, 1_001_020):
-        shares.asked(second, at)
-        shares.granted(second, 1, late=False, now=at)
-    assert not shares.owed(1_001_020)
+        shares.record_arrival(second, at)
+        shares.record_grant(second, 1, late=False, now=at)
+    assert not shares.deficits(1_001_020)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_crashes.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_crashes.py
@@ -36,12 +36,14 @@
         :returns: the server that got it, None where it was refused.
         """
         self._number += 1
-        ask = play.ask(str(self._number), self._now(), fingerprint=content)
-        answer = await self.leader.ask(ask)
+        slot_request = play.slot_request(
+            str(self._number), self._now(), fingerprint=content
+        )
+        answer = await self.leader.ask(slot_request)
         if isinstance(answer, requests.Denial):
             assert answer.reason is requests.DenialReason.quarantined
             return None
-        self.leader.release(requests.Release(ask.request_id, outcome))
+        self.leader.release(requests.Release(slot_request.request_id, outcome))
         return answer.server_id
 
     async def vanish(self, name: str) -> None:
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_leader.py
@@ -15,7 +15,7 @@
     target: float,
     **changes: object,
 ) -> records.Waiting:
-    made = play.ask(str(sequence), 0, target=target, **changes)
+    made = play.slot_request(str(sequence), 0, target=target, **changes)
     return records.Waiting(
         made,
         sequence,
@@ -90,7 +90,7 @@
     **changes: object,
 ) -> requests.Grant:
     now = asyncio.get_running_loop().time()
-    answer = await pool.ask(play.ask(name, now, **changes))
+    answer = await pool.ask(play.slot_request(name, now, **changes))
     assert isinstance(answer, requests.Grant)
     return answer
 
@@ -160,15 +160,17 @@
         pool = play.make(play.server('a', 1), now=loop.time)
         await _granted(pool, 'running')
         first = await pool.ask(
-            play.ask('x.1', 0, fingerprint=ids.Fingerprint(7), patience=0.1),
+            play.slot_request(
+                'x.1', 0, fingerprint=ids.Fingerprint(7), patience=0.1
+            ),
         )
         assert isinstance(first, requests.Denial)
         await asyncio.sleep(0.35)
         now = loop.time()
-        again = play.ask('x.2', now, fingerprint=ids.Fingerprint(7))
+        again = play.slot_request('x.2', now, fingerprint=ids.Fingerprint(7))
         repeat = asyncio.create_task(pool.ask(again))
         await asyncio.sleep(0)
-        newcomer = asyncio.create_task(pool.ask(play.ask('y', now)))
+        newcomer = asyncio.create_task(pool.ask(play.slot_request('y', now)))
         await asyncio.sleep(0)
         done = requests.Outcome.done
         pool.release(
@@ -208,7 +210,7 @@
             )
             pool.release(ended)
         await _granted(pool, 'stream', gap=0.25)
-        made = play.ask('long', loop.time(), prompt_tokens=reading)
+        made = play.slot_request('long', loop.time(), prompt_tokens=reading)
         made = dataclasses.replace(made, target=loop.time() + 30)
         long = asyncio.create_task(pool.ask(made))
         await asyncio.sleep(0.01)
@@ -278,7 +280,9 @@
         pool = play.make(play.server('a', 1), now=loop.time)
         now = loop.time()
         asks = [
-            play.ask(str(number), now, deadline=now + 3, target=now + 0.1)
+            play.slot_request(
+                str(number), now, deadline=now + 3, target=now + 0.1
+            )
             for number in range(200)
         ]
         waiting = [asyncio.create_task(pool.ask(made)) for made in asks]
@@ -301,7 +305,9 @@
         pool = play.make(play.server('a'), now=loop.time)
         await _taught(pool, 0.1)
         now = loop.time()
-        made = play.ask('endless', now, likely_tokens=20000, max_tokens=20000)
+        made = play.slot_request(
+            'endless', now, likely_tokens=20000, max_tokens=20000
+        )
         found = await pool.ask(made)
         assert isinstance(found, requests.Denial)
         assert loop.time() < now + _AT_ONCE
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_look_cost.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_look_cost.py
@@ -50,7 +50,7 @@
     now = asyncio.get_running_loop().time
     grants = []
     for number in range(_SERVERS * 3):
-        made = play.ask(f'running {number}', now(), target=now() + 1e6)
+        made = play.slot_request(f'running {number}', now(), target=now() + 1e6)
         found = await pool.ask(made)
         assert isinstance(found, requests.Grant)
         pool.progress(requests.Progress(found.request_id, 0.5, 1))
@@ -67,7 +67,9 @@
         pool = play.make(*servers, now=loop.time)
         await _slow_servers(pool)
         tasks = [
-            asyncio.create_task(pool.ask(play.ask(str(number), loop.time())))
+            asyncio.create_task(
+                pool.ask(play.slot_request(str(number), loop.time()))
+            )
             for number in range(_WAITING)
         ]
         await asyncio.sleep(0)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_occupancy.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_occupancy.py
@@ -21,11 +21,11 @@
     """Nine short requests have ended, and one has run for 2 s so far."""
     found = occupancy.Occupancy()
     for _ in range(9):
-        found.passed(2, found.at + 0.1)
-        found.ended()
-    found.passed(1, 2)
+        found.advance(2, found.counted_at + 0.1)
+        found.record_end()
+    found.advance(1, 2)
     # In all 2.9 s on slots and the guess, by nine ends and the guess.
-    assert found.held(0.3) == pytest.approx(0.32, rel=0.15)
+    assert found.hold_seconds(0.3) == pytest.approx(0.32, rel=0.15)
 
 
 def test_important_are_on_time_in_the_first_seconds_of_overload() -> None:
@@ -54,9 +54,9 @@
     found = records.Server(play.server('a', 8))
     grant = requests.Grant(ids.RequestId('r'), *found.start, _ADDRESS)
     for number in range(40):
-        made = play.ask('r', number)
+        made = play.slot_request('r', number)
         running = records.Running(made, grant, number, 100, 0.06, 100)
-        found.begin(running, number)
-        found.end(made.request_id, number, answered=False)
-    usual = 1
-    assert found.occupied.held(usual) == usual
+        found.add_running(running, number)
+        found.remove_running(made.request_id, number, answered=False)
+    pool_hold_seconds = 1
+    assert found.slot_usage.hold_seconds(pool_hold_seconds) == pool_hold_seconds
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_paths.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_paths.py
@@ -37,7 +37,7 @@
     loop = asyncio.get_running_loop()
     await asyncio.sleep(chance.uniform(0, _SECONDS))
     domain = chance.choice(_DOMAINS)
-    made = play.ask(name, loop.time(), failure_domain=domain, gap=0.2)
+    made = play.slot_request(name, loop.time(), failure_domain=domain, gap=0.2)
     grant = await pool.ask(made)
     assert isinstance(grant, requests.Grant)
     crosses = grant.server_id != f'of-{domain}'
@@ -99,7 +99,9 @@
 ) -> None:
     """Take a slot, so that the other domain has more of them free."""
     now = asyncio.get_running_loop().time()
-    busy = await pool.ask(play.ask('busy', now, failure_domain=_DOMAINS[0]))
+    busy = await pool.ask(
+        play.slot_request('busy', now, failure_domain=_DOMAINS[0])
+    )
     assert isinstance(busy, requests.Grant)
     assert busy.server_id == near.server_id
     pool.progress(requests.Progress(busy.request_id, 0.06, 1))
@@ -107,7 +109,7 @@
 
 async def _sent_to(pool: leader.OnTimePoolLeader, name: str) -> ids.ServerId:
     now = asyncio.get_running_loop().time()
-    made = play.ask(name, now, failure_domain=_DOMAINS[0])
+    made = play.slot_request(name, now, failure_domain=_DOMAINS[0])
     grant = await pool.ask(made)
     assert isinstance(grant, requests.Grant)
     cancelled = requests.Outcome.cancelled
@@ -118,7 +120,9 @@
 async def _held_up(pool: leader.OnTimePoolLeader, name: str) -> None:
     """Play a stream that the path holds up if it crosses."""
     now = asyncio.get_running_loop().time()
-    grant = await pool.ask(play.ask(name, now, failure_domain=_DOMAINS[0]))
+    grant = await pool.ask(
+        play.slot_request(name, now, failure_domain=_DOMAINS[0])
+    )
     assert isinstance(grant, requests.Grant)
     crosses = grant.server_id != f'of-{_DOMAINS[0]}'
     ended = requests.Release(
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_pauses.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_pauses.py
@@ -75,8 +75,10 @@
         """Ask until a server takes the request, or the coordinator denies."""
         started = asyncio.get_running_loop().time()
         while True:
-            ask = play.ask(name, started, owner=host, **changes)
-            answer = await led.ask(ask)
+            slot_request = play.slot_request(
+                name, started, owner=host, **changes
+            )
+            answer = await led.ask(slot_request)
             if isinstance(answer, requests.Denial):
                 self.denied.append(answer)
                 return answer
@@ -191,7 +193,7 @@
         waiting = [
             asyncio.create_task(
                 led.ask(
-                    play.ask(
+                    play.slot_request(
                         f'w{number}',
                         now,
                         owner=_HOSTS[0],
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_plain_overload.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_plain_overload.py
@@ -61,7 +61,7 @@
 ) -> None:
     loop = asyncio.get_running_loop()
     start = loop.time()
-    ask = play.ask(
+    slot_request = play.slot_request(
         str(found.asked),
         start,
         deadline=start + _TIME_LIMIT,
@@ -73,7 +73,7 @@
         streams=False,
         fingerprint=ids.Fingerprint(found.asked),
     )
-    answer = await pool.ask(ask)
+    answer = await pool.ask(slot_request)
     if isinstance(answer, requests.Denial):
         return
     median = math.log(_WORK_SECONDS) - _SPREAD**2 / 2
@@ -81,7 +81,7 @@
     await asyncio.sleep(seconds)
     done = requests.Outcome.done
     pool.release(
-        requests.Release(ask.request_id, done, seconds, 1, seconds),
+        requests.Release(slot_request.request_id, done, seconds, 1, seconds),
     )
     if loop.time() - start <= _TARGET:
         found.on_time += 1
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rate_limits.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rate_limits.py
@@ -58,7 +58,7 @@
 
     async def _one(self, led: leader.OnTimePoolLeader, name: str) -> None:
         loop = asyncio.get_running_loop()
-        answer = await led.ask(play.ask(name, loop.time()))
+        answer = await led.ask(play.slot_request(name, loop.time()))
         if isinstance(answer, requests.Denial):
             self.denied.append(answer.reason)
             return
@@ -143,7 +143,7 @@
         await pool.offer(led, 20, 3)
         loop = asyncio.get_running_loop()
         asked = loop.time()
-        answer = await led.ask(play.ask('late', asked))
+        answer = await led.ask(play.slot_request('late', asked))
         assert isinstance(answer, requests.Denial)
         assert loop.time() - asked < 1
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rests.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rests.py
@@ -35,8 +35,8 @@
         entries = []
         for _ in range(number):
             self._attempt += 1
-            ask = play.ask(str(self._attempt), now)
-            entries.append(self.led.join(ask, self._attempt))
+            slot_request = play.slot_request(str(self._attempt), now)
+            entries.append(self.led.join(slot_request, self._attempt))
         await asyncio.sleep(_AT_ONCE)
         return [
             entry.ask.request_id
@@ -72,7 +72,7 @@
         granted = await bed.granted(_SLOTS)
         now = asyncio.get_running_loop().time()
         again = [
-            bed.led.join(play.ask(request_id, now), 1000)
+            bed.led.join(play.slot_request(request_id, now), 1000)
             for request_id in granted
         ]
         await asyncio.sleep(_AT_ONCE)
@@ -129,12 +129,12 @@
 
 def test_limit_grows_back_with_the_answers() -> None:
     """A server that was full for a moment has all its slots again soon."""
-    found = conditions.Condition()
-    found.turned_away(6, 0, 1)
-    assert found.most(6, 1) == 4
+    condition = conditions.Condition()
+    condition.record_rejection(6, 0, 1)
+    assert condition.max_requests(6, 1) == 4
     # All were sent before it was known.
-    found.turned_away(5, 0.5, 1)
-    assert found.most(6, 1) == 4
+    condition.record_rejection(5, 0.5, 1)
+    assert condition.max_requests(6, 1) == 4
     for _ in range(10):
-        found.answered(well=True)
-    assert found.most(6, 1) == 6
+        condition.record_answer(well=True)
+    assert condition.max_requests(6, 1) == 6
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_starts.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_starts.py
@@ -35,7 +35,9 @@
         """Ask and be granted at once."""
         now = asyncio.get_running_loop().time()
         async with asyncio.timeout(0.01):
-            found = await self.leader.ask(play.ask(name, now, **changes))
+            found = await self.leader.ask(
+                play.slot_request(name, now, **changes)
+            )
         assert isinstance(found, requests.Grant)
         return found
 
@@ -101,7 +103,7 @@
             pool.start_again()
             await asyncio.sleep(1)
         now = asyncio.get_running_loop().time()
-        again = play.ask('again', now, fingerprint=mark)
+        again = play.slot_request('again', now, fingerprint=mark)
         found = await pool.leader.ask(again)
         assert isinstance(found, requests.Denial)
         assert found.reason is requests.DenialReason.quarantined
--- a/libs/scheduling/geraniumweir/scheduling/ontime/trying.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/trying.py
@@ -12,14 +12,14 @@
 _CANARY_SERVERS = 3
 # While a part of all requests goes to the new version, so many servers are
 # compared for one, as among those that serve.
-_RAMP_SERVERS = 16
+_MAX_RAMP_SERVERS = 16
 # Quicker answers don't differ by their servers but by chance, in seconds.
-_LEAST_SECONDS = 0.05
+_MIN_COMPARED_SECONDS = 0.05
 
 
 def open_canaries(
-    leader: state.LeaderState,
-    learnt: placing.Learnt,
+    leader: state.OnTimeLeaderState,
+    estimates: placing.Estimates,
 ) -> list[placing.Offer]:
     """List the server of the new version that canaries go to now.
 
@@ -38,13 +38,13 @@
         and server.server_id not in guide.set_aside
     ]
     if guide.is_ramping:
-        return _offers(able, _RAMP_SERVERS, learnt)
-    chosen = _of_unlike_domains(able)
+        return _offers(able, _MAX_RAMP_SERVERS, estimates)
+    chosen = _across_domains(able)
     first = guide.budget.pulses % max(len(chosen), 1)
-    return _offers(chosen[first : first + 1], 1, learnt)
+    return _offers(chosen[first : first + 1], 1, estimates)
 
 
-def _of_unlike_domains(
+def _across_domains(
     able: list[records.Server],
 ) -> list[records.Server]:
     """Choose a few servers, in as many failure domains as there are.
@@ -63,45 +63,47 @@
 
 def _offers(
     servers: list[records.Server],
-    most: int,
-    learnt: placing.Learnt,
+    max_offers: int,
+    estimates: placing.Estimates,
 ) -> list[placing.Offer]:
-    found = []
+    offers_made = []
     for server in servers:
-        free = server.free(learnt.now, 0)
-        if free > 0 and len(found) < most:
-            found.append(placing.offer(server, free, learnt))
-    return found
+        free_slots = server.free_slots(estimates.now, 0)
+        if free_slots > 0 and len(offers_made) < max_offers:
+            offers_made.append(
+                placing.make_offer(server, free_slots, estimates)
+            )
+    return offers_made
 
 
 def choose(
     offers: list[placing.Offer],
     waiting: records.Waiting,
-    learnt: placing.Learnt,
-) -> placing.Place | None:
+    estimates: placing.Estimates,
+) -> placing.Placement | None:
     """Choose the server for a request that the guide lets through.
 
     One that is slow gets its part too: the guide must see that it is.
     """
-    place = placing.on_time(offers, waiting, learnt)
-    return place or placing.earliest(offers, waiting, learnt)
+    placement = placing.choose_on_time(offers, waiting, estimates)
+    return placement or placing.choose_earliest(offers, waiting, estimates)
 
 
-def first_came(
-    leader: state.LeaderState,
+def first_token_arrived(
+    leader: state.OnTimeLeaderState,
     server: records.Server,
     running: records.Running,
 ) -> None:
     """Tell the guide how long a first token took."""
     if not leader.guide.runs or server.announcement.cold:
         return
-    seconds = max(running.first_token or 0, _LEAST_SECONDS)
-    usual = leader.learnt.pool.first.at(running.read_tokens)
-    _tell(leader, server, running, failed=False, ratio=seconds / usual)
+    seconds = max(running.first_token or 0, _MIN_COMPARED_SECONDS)
+    usual = leader.estimates.pool.first_token_line.predict(running.read_tokens)
+    _notify_guide(leader, server, running, failed=False, ratio=seconds / usual)
 
 
-def ended(
-    leader: state.LeaderState,
+def answer_ended(
+    leader: state.OnTimeLeaderState,
     server: records.Server,
     running: records.Running,
     release: requests.Release,
@@ -111,14 +113,14 @@
         return
     match release.outcome:
         case requests.Outcome.answered_failure:
-            _tell(leader, server, running, failed=True)
+            _notify_guide(leader, server, running, failed=True)
         case requests.Outcome.failed | requests.Outcome.crashed:
-            if not fleet.path_holds_up(leader, running, server):
-                _tell(leader, server, running, failed=True)
+            if not fleet.path_delays(leader, running, server):
+                _notify_guide(leader, server, running, failed=True)
 
 
-def _tell(
-    leader: state.LeaderState,
+def _notify_guide(
+    leader: state.OnTimeLeaderState,
     server: records.Server,
     running: records.Running,
     *,
