--- a/libs/scheduling/geraniumweir/scheduling/ontime/__init__.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/__init__.py
@@ -1,8 +1,9 @@
 """A pool leader for requests whose first token is due at a target time.
 
-Where :mod:`geraniumweir.scheduling.leader` serves what can end before its
-deadline, this one serves first tokens before their targets: a request is
-worth most until then, less afterwards, and nothing once its caller has left.
+:mod:`geraniumweir.scheduling.leader` serves what can end before its deadline.
+    This package serves first tokens before their targets: a response is worth
+    most if its first token comes in time, less afterwards, and nothing once the
+    caller has left.
 
 See Also
 ========
--- a/libs/scheduling/geraniumweir/scheduling/ontime/arrivals.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/arrivals.py
@@ -1,10 +1,10 @@
-"""Counts how many requests come in a second."""
+"""Arrival rate of requests."""
 
 import dataclasses
 import math
 
-# The count is over about so many seconds: longer than the clumps in which
-# callers come (some tenths of a second), shorter than a burst (2 to 5 s).
+# Time constant of the count: longer than the clusters in which callers come
+# (some tenths of a second), shorter than a burst (2 to 5 s).
 _WINDOW_SECONDS = 1.0
 
 
@@ -12,6 +12,8 @@
 class Arrivals:
     """A decaying count.
 
+    :ivar counted_at: time of the last request, in seconds.
+
     >>> some = Arrivals()
     >>> for at in range(500):
     ...     some.record(at / 100)
@@ -31,7 +33,7 @@
         self.counted_at = now
 
     def rate(self, now: float) -> float:
-        """Give the requests a second."""
+        """Return the requests a second."""
         return self._decayed(now) / _WINDOW_SECONDS
 
     def _decayed(self, now: float) -> float:
--- a/libs/scheduling/geraniumweir/scheduling/ontime/classes.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/classes.py
@@ -1,12 +1,12 @@
-"""How much each class of requests gets of what it asks for, lately.
+"""Share of slots and of timely service for each class of requests.
 
-A class is what shares a tier and a rank. Counts decay, so that they are over
-about the last ten seconds.
+A class is what shares a tier and a rank. Counts decay, so that they cover about
+the last ten seconds.
 
-In lasting overload the important classes take all slots if they may, and a
-class that needs few of them gets none. One that is served too seldom is owed
-a part of the slots' time, which it gets ahead of more important classes of
-its tier: a higher tier never gives way to a lower one.
+In lasting overload the important classes would take all slots, and a class that
+needs few of them would get none. A class that is served too seldom has a
+deficit: it gets a fraction of the slot time before more important classes of
+its tier. A higher tier never yields to a lower one.
 """
 
 import dataclasses
@@ -16,23 +16,24 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import requests
 
-# The counts are over about so many seconds: longer than bursts (2 to 5 s), so
-# that a class that gives way during one isn't taken for one that starves.
+# Time constant of the counts: longer than bursts (2 to 5 s), so that a class
+# that yields during a burst doesn't count as starved.
 _WINDOW_SECONDS = 10.0
-# A class is owed slots while less than this part of its callers was served in
+# A class has a deficit while a smaller fraction of its callers was served in
 # time.
 _MIN_IN_TIME_RATIO = 0.35
-# So much of the slots' time goes to such classes at most, so that what is most
-# important may have a third of it, however much else comes.
+# Fraction of the slot time for classes with a deficit, so that the most
+# important class can have a third of it, whatever else arrives.
 _MAX_DEFICIT_FRACTION = 0.65
-# A class that was asked for so seldom lately isn't judged, in callers.
+# A class with fewer callers in the window isn't judged.
 _MIN_CALLERS = 5.0
-# Weights begin anew after so many times that, long before they overflow.
+# Weights grow exponentially and are scaled down after so many windows, long
+# before they overflow.
 _MAX_WINDOWS = 14.0
 
 
 class Class(typing.NamedTuple):
-    """What requests of the same importance share; the least goes first."""
+    """Requests of the same importance; the lowest goes first."""
 
     tier: ids.Tier
     rank: int
@@ -40,12 +41,12 @@
 
 @dataclasses.dataclass(slots=True)
 class _Counts:
-    """What came of one class, newer ones at a greater weight.
+    """Decaying counts of one class, with a greater weight for newer events.
 
-    :ivar arrivals: callers that asked for the first time.
-    :ivar in_time: requests granted that could be on time.
-    :ivar hold_seconds: seconds for which they were to keep a slot, late ones too.
-    :ivar granted_ahead: of these, those that were granted because they were owed.
+    :ivar arrivals: callers with a first request.
+    :ivar in_time: grants to requests that could meet their targets.
+    :ivar hold_seconds: predicted slot time of all grants, also of late ones.
+    :ivar granted_ahead: the part of it that was granted because of a deficit.
     """
 
     arrivals: float = 0
@@ -54,9 +55,9 @@
     granted_ahead: float = 0
 
     def scale_down(self, elapsed_windows: float) -> None:
-        """Begin weights anew.
+        """Scale the counts to a new epoch of the weights.
 
-        :param elapsed_windows: since they began, in the times that counts are over.
+        :param elapsed_windows: time since the last epoch, in windows.
         """
         remaining = math.exp(-elapsed_windows)
         self.arrivals *= remaining
@@ -78,12 +79,12 @@
     """
 
     def __init__(self) -> None:
-        """Begin without any."""
+        """Initialize without counts."""
         self._counts: dict[Class, _Counts] = {}
         self._epoch = float('-inf')
 
     def record_arrival(self, request_class: Class, now: float) -> None:
-        """Count a caller that asks for the first time."""
+        """Count a first request of a caller."""
         weight = self._weight(now)
         self._of(request_class).arrivals += weight
 
@@ -98,8 +99,9 @@
     ) -> None:
         """Count a grant.
 
-        :param hold_seconds: seconds for which it is to keep a slot.
-        :param for_deficit: it went ahead of what is more important.
+        :param hold_seconds: predicted time for which it holds a slot.
+        :param late: whether its target can't be met any more.
+        :param for_deficit: whether it went before more important requests.
         """
         weight = self._weight(now)
         counts = self._of(request_class)
@@ -110,24 +112,25 @@
             counts.in_time += weight
 
     def in_time_ratio(self, request_class: Class) -> float:
-        """Give the part of a class's callers that were served in time."""
+        """Return the fraction of a class's callers that were served in time."""
         counts = self._of(request_class)
         return (
             min(counts.in_time / counts.arrivals, 1) if counts.arrivals else 1
         )
 
     def slot_share(self, request_class: Class) -> float:
-        """Give the part of the slots' time that a class got."""
+        """Return the fraction of the slot time that a class got."""
         total = self._total()
         return self._of(request_class).hold_seconds / total if total else 0
 
     def deficits(self, now: float) -> dict[Class, float]:
-        """Give the classes that go ahead of more important ones.
+        """Return the classes that go before more important ones.
 
-        Those that took least of what is owed come first, so that one that
-        needs few slots isn't kept from them by one that needs many.
+        Classes that got the least slot time for their deficit come first, so
+        that one that needs few slots isn't starved by one that needs many.
 
-        :returns: with the part of their callers that were served in time.
+        :returns: the fraction of their callers that were served in time, by
+            class.
         """
         remaining = _MAX_DEFICIT_FRACTION * self._total()
         selected = {}
@@ -142,7 +145,7 @@
         return sorted(self._counts)
 
     def log_summary(self) -> dict[str, str]:
-        """Give what each class got, for the log."""
+        """Return what each class got, for the log."""
         return {
             f'{request_class.tier:d}/{request_class.rank}': (
                 f'in time {self.in_time_ratio(request_class):.2f} '
@@ -154,7 +157,8 @@
     def _starved(self, now: float) -> list[Class]:
         """List the classes that are served too seldom.
 
-        None that is served as often as what it would go ahead of.
+        A class that is served as often as the ones it would go before isn't
+        listed.
         """
         min_arrivals = _MIN_CALLERS * self._weight(now)
         selected = []
@@ -180,7 +184,7 @@
         return self._counts.setdefault(request_class, _Counts())
 
     def _weight(self, now: float) -> float:
-        """Give how much something counts now, beside what came before."""
+        """Return the weight of an event now, relative to the epoch."""
         elapsed_windows = (now - self._epoch) / _WINDOW_SECONDS
         if elapsed_windows < _MAX_WINDOWS:
             return math.exp(elapsed_windows)
@@ -191,5 +195,5 @@
 
 
 def class_of(slot_request: requests.Ask) -> Class:
-    """Give the class of a request."""
+    """Return the class of a request."""
     return Class(slot_request.tier, slot_request.rank)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/conditions.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/conditions.py
@@ -1,11 +1,11 @@
-"""Notices backend servers that are down, full, hang or fail.
+"""Health of a backend server, as its own responses show it.
 
-Reports and health checks say little of it: a server can be silent to control
+Reports and health checks don't suffice: a server can be unreachable for control
 hosts and work, or answer checks and hang. So a server is judged by its own
-answers. One that can't be reached, or breaks off, rests for a moment that
-doubles with each repeat, then gets one request at a time until one ends well.
-One that turns requests away is full: it gets fewer at a time, and more again
-with each answer, as a congestion window is cut and grows [1]_.
+responses. One that can't be reached, or closes connections early, gets nothing
+during a cooldown that doubles with each repeat, then one request at a time
+until one succeeds. One that rejects requests is full: its concurrency limit is
+cut and grows again with each response, like a congestion window [1]_.
 
 References
 ==========
@@ -15,35 +15,35 @@
 
 import dataclasses
 
-# The first rest, in seconds: a connection that was lost on the way is no
-# reason to leave a server out for long; a restart takes seconds.
+# First cooldown: a connection that was lost on the path is no reason to leave a
+# server out for long, while a restart takes seconds.
 _MIN_COOLDOWN_SECONDS = 0.25
-# A server that came back is tried again within this, in seconds.
+# A server that came back is probed within this time.
 _MAX_COOLDOWN_SECONDS = 4.0
 _COOLDOWN_GROWTH = 2
-# Requests that break off on a sound server are rare; two in a row aren't.
+# Incomplete responses of a sound server are rare; two in a row show a fault.
 _TRUNCATED_IN_ROW = 2
-# One connection that fails may be the path's fault or its host's.
+# One connection that fails may be due to the path or the entry host.
 _UNREACHABLE_IN_ROW = 2
-# A server that is full keeps this part of what it had.
+# A full server keeps this fraction of its concurrency.
 _LIMIT_CUT_FACTOR = 0.7
-# One that turns away all that it gets takes a few cuts to be left alone.
+# A server that rejects everything needs a few cuts until its cooldown starts.
 _MIN_LIMIT = 1
-# Share of answers that were failures of the server itself, by a decaying
-# mean over about ten answers.
+# Weight of one response in the failure ratio: a decaying mean over about ten.
 _FAILURE_WEIGHT = 0.1
 
 
 @dataclasses.dataclass(slots=True)
 class Condition:
-    """What is thought of one server.
-
-    :ivar cooldown_until: end of its rest, in seconds.
-    :ivar cooldown_started_at: when its last rest began; what was sent before says
-        nothing about it any more.
-    :ivar trusted: it may get as many requests as it has slots.
-    :ivar failure_ratio: share of answers that were failures, lately.
-    :ivar concurrency_limit: requests that it takes at a time, where it was full lately.
+    """Health of one server.
+
+    :ivar cooldown_until: end of its cooldown, in seconds.
+    :ivar cooldown_started_at: start of its last cooldown, in seconds; what was
+        sent before says nothing about it any more.
+    :ivar trusted: whether it may get as many requests as it has slots.
+    :ivar failure_ratio: fraction of recent responses that were failures.
+    :ivar concurrency_limit: concurrent requests that it takes, where it was
+        full lately.
     """
 
     cooldown_until: float = float('-inf')
@@ -57,7 +57,7 @@
     _limit_cut_at: float = float('-inf')
 
     def max_requests(self, slots: int, now: float) -> int:
-        """Give how many requests it may run.
+        """Return the number of requests that it may run now.
 
         >>> tired = Condition()
         >>> tired.record_hang(10)
@@ -73,9 +73,9 @@
         return self._allowed(slots) if self.trusted else 1
 
     def expected_requests(self, slots: int, now: float) -> int:
-        """Give how many requests it is thought to run before long.
+        """Return the number of requests that it is expected to run soon.
 
-        A first short rest is no reason to send callers away.
+        A first short cooldown is no reason to refuse callers.
         """
         if (
             now - self.cooldown_started_at
@@ -85,16 +85,16 @@
         return max(self.max_requests(slots, now), 1)
 
     def record_hang(self, now: float) -> bool:
-        """Take that nothing came of all that it was sent.
+        """Record that no response came to any request it was sent.
 
-        :returns: whether a rest begins.
+        :returns: whether a cooldown starts.
         """
         return self._start_cooldown(now)
 
     def record_unreachable(self, now: float) -> bool:
-        """Take that it couldn't be reached.
+        """Record a connection that failed.
 
-        :returns: whether a rest begins.
+        :returns: whether a cooldown starts.
         """
         self._unreachable_in_row += 1
         if self.trusted and self._unreachable_in_row < _UNREACHABLE_IN_ROW:
@@ -104,14 +104,14 @@
     def record_rejection(
         self, running: int, granted_at: float, now: float
     ) -> bool:
-        """Take that it was full.
+        """Record that it rejected a request as it was full.
 
-        What was granted before the last cut says nothing of the present
-        limit.
+        Rejections of requests granted before the last cut don't show that the
+        present limit is too high.
 
-        :param running: requests that it has besides.
-        :param granted_at: when the one that it turned away was, in seconds.
-        :returns: whether a rest begins.
+        :param running: number of its other requests.
+        :param granted_at: when the rejected request was granted, in seconds.
+        :returns: whether a cooldown starts.
         """
         if granted_at < self._limit_cut_at:
             return False
@@ -124,9 +124,9 @@
         return False
 
     def record_truncation(self, now: float) -> bool:
-        """Take that an answer broke off or never came.
+        """Record a response that was incomplete or never came.
 
-        :returns: whether a rest begins.
+        :returns: whether a cooldown starts.
         """
         self._truncated_in_row += 1
         return (
@@ -135,14 +135,17 @@
         )
 
     def record_answer(self, *, well: bool) -> None:
-        """Take a whole answer; it may be a failure of its application."""
+        """Record a complete response.
+
+        :param well: False if it was a failure of the application.
+        """
         difference = float(not well) - self.failure_ratio
         self.failure_ratio += difference * _FAILURE_WEIGHT
         self.concurrency_limit += 1 / self.concurrency_limit
         self.record_success()
 
     def record_success(self) -> None:
-        """Take a sign that it works."""
+        """Record a sign that it works."""
         self.trusted = True
         self._truncated_in_row = 0
         self._unreachable_in_row = 0
--- a/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
@@ -1,4 +1,4 @@
-"""Follows the backend servers that may get new work."""
+"""Synchronization with the backend servers that may get requests."""
 
 import typing
 
@@ -8,34 +8,34 @@
 from geraniumweir.scheduling import logevents, notices, ratelimits
 from geraniumweir.scheduling.ontime import records, state
 
-# Servers are looked up this often at most, in seconds; a change that is told
-# of is looked at at once.
+# Minimum time between two look-ups of the servers; a notified change is looked
+# up at once.
 _SYNC_SECONDS = 0.25
-# Tokens of a prompt by which the speeds of servers are compared.
+# Prompt length by which the speeds of servers are compared.
 _REFERENCE_PROMPT_TOKENS = 1000
-# A server whose address another one has taken is remembered for so long, in
-# seconds: by then its reports have stopped for longer than any lease.
+# A server whose address another one took is remembered for this time: by then
+# its reports have stopped for longer than any lease.
 _REPLACED_KEPT_SECONDS = 60.0
-# What broke off so long before a server's last good answer may have been told
-# of after it, in seconds.
+# An incomplete response may be reported so long after a later good response of
+# the server.
 _REPORT_DELAY_SECONDS = 0.5
-# A server that ended is known to be gone within so long, in seconds: some of
-# its reports are missed before.
+# The end of a server is detected within this time; some of its reports are
+# missed first.
 _MAX_DETECTION_SECONDS = 10.0
-# Of the answers that took a path so many must be held up before it is
-# thought to do that: one of four.
+# A path counts as delaying responses when more than this fraction is delayed,
+# one of four.
 _MIN_DELAYED_RATIO = 0.2
 
 
 def request_sync(leader: state.OnTimeLeaderState) -> None:
-    """Have the servers looked up again."""
+    """Make the next synchronization look up the servers at once."""
     leader.synced_at = float('-inf')
 
 
 def server_replaced(
     leader: state.OnTimeLeaderState, server: records.Server
 ) -> None:
-    """Take that another server answers at its address."""
+    """Record that another server answers at a server's address."""
     leader.replaced_at[server.start] = leader.now()
     request_sync(leader)
 
@@ -44,9 +44,9 @@
     leader: state.OnTimeLeaderState,
     running: records.Running,
 ) -> records.Server | None:
-    """Give the server that a grant is for; None where it started again.
+    """Return the server of a grant; None if it restarted since.
 
-    What ran on an earlier start says nothing of the present one.
+    What ran in an earlier incarnation says nothing about the present one.
     """
     server = leader.servers.get(running.grant.server_id)
     if server is None or server.start != running.start:
@@ -55,7 +55,7 @@
 
 
 def sync(leader: state.OnTimeLeaderState) -> None:
-    """Take the servers that may get new work now."""
+    """Update the servers that may get requests."""
     now = leader.now()
     if now - leader.synced_at < _SYNC_SECONDS:
         return
@@ -111,9 +111,10 @@
     leader: state.OnTimeLeaderState,
     known: list[servers.Announcement],
 ) -> list[servers.Announcement]:
-    """Leave out servers whose version may get nothing.
+    """Return the servers whose version may get requests.
 
-    While a rollout runs and nothing else is left, the old ones serve.
+    If there are none while a rollout runs, the servers of the old version
+    serve.
     """
     guide = leader.guide
     if guide.rollout is None:
@@ -153,9 +154,10 @@
 
 
 def _reference_servers(leader: state.OnTimeLeaderState) -> list[records.Server]:
-    """List the servers of which the quickest shows what is possible.
+    """List the servers whose quickest one shows what is possible.
 
-    One that names a limit serves few, unless all do.
+    Servers with a rate limit serve few requests and are left out, unless all
+    have one.
     """
     serving = [one for one in leader.servers.values() if one.serves]
     return [one for one in serving if one.throttle is None] or serving
@@ -166,17 +168,17 @@
     running: records.Running,
     server: records.Server,
 ) -> bool:
-    """Tell whether the path to a server lately held answers up."""
-    delayed_ratio = leader.path_quality.delayed_ratio(
+    """Return whether the path to a server delayed responses lately."""
+    delay_ratio = leader.path_quality.delay_ratio(
         running.ask.failure_domain,
         server.announcement.failure_domain,
         leader.now(),
     )
-    return delayed_ratio > _MIN_DELAYED_RATIO
+    return delay_ratio > _MIN_DELAYED_RATIO
 
 
 def rollout_load(leader: state.OnTimeLeaderState) -> guiding.Load:
-    """Tell how the pool does, for its rollout."""
+    """Return the load of the pool, for its rollout."""
     to = leader.guide.to
     known = leader.servers.values()
     return guiding.Load(
@@ -196,10 +198,10 @@
 def _handle_restart(
     leader: state.OnTimeLeaderState, server: records.Server
 ) -> None:
-    """Take that a server started again: what ran there is lost.
+    """Discard the old incarnation of a server; what ran there is lost.
 
-    Its requests are suspected of the crash, and keep no slot of the new
-    start; their owners see for themselves that they broke off.
+    Its requests are suspected of the crash and hold no slot of the new
+    incarnation; their owners find the connections closed.
     """
     leader.servers.pop(server.server_id)
     _suspect_requests(
@@ -214,11 +216,11 @@
     server: records.Server,
     lost: typing.Sequence[ids.Fingerprint],
 ) -> None:
-    """Suspect what a server ran when it ended without a word.
+    """Suspect the requests of a server that ended without notice.
 
-    Owners see that an answer broke off before the end of the server is known.
+    Owners report incomplete responses before the end of the server is detected.
 
-    :param lost: what still counts as running there.
+    :param lost: contents of the requests that still count as running there.
     """
     since = max(
         server.last_success_at - _REPORT_DELAY_SECONDS,
--- a/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
@@ -1,4 +1,4 @@
-"""Grants what can be granted now and refuses what is hopeless."""
+"""Scheduling cycles: grants of free slots, refusals of hopeless requests."""
 
 import asyncio
 import dataclasses
@@ -16,45 +16,48 @@
     trying,
 )
 
-# Waiting requests are looked at again this often, in seconds, for what comes
-# with time alone: ends of rests, targets that can't be met any more.
+# While requests wait, a cycle runs at least this often, for what changes with
+# time alone: cooldowns that end, targets that can't be met any more.
 _CYCLE_SECONDS = 0.05
-# While more than a few wait, what comes within this time shares one look, in
-# seconds.
+# While more than a few requests wait, the events of this time share one cycle.
 _BATCH_SECONDS = 0.004
-# A slot may stay free for this part of the time for which requests hold one.
+# A slot may stay free for this fraction of the time for which requests usually
+# hold one.
 _BATCH_HOLD_FRACTION = 0.01
-# A look costs in proportion to what waits, some 6 µs for each; with many
-# waiting, looks share more. In seconds for each that waits.
+# A cycle costs some 6 µs for each waiting request; the longer the queue, the
+# more events share a cycle.
 _BATCH_SECONDS_PER_REQUEST = 3e-5
-# Refusals are told within so long, in seconds.
+# Upper bound of the batch time, so that refusals are sent promptly.
 _MAX_BATCH_SECONDS = 0.05
-# So few waiting requests are looked at in less time than gathering takes.
+# A cycle over so few requests takes less time than batching would.
 _MAX_UNBATCHED = 8
-# A queue is planned over its newest so many requests. At 2,500 requests a
-# second those before them have waited longer than any target; planned over the
-# oldest, a large pool wouldn't see newcomers before they are late.
+# Only the newest requests of a queue are planned. At 2,500 requests a second
+# those before them have waited longer than any target; if the oldest were
+# planned instead, a large pool would not consider new requests before they are
+# late.
 _MAX_PLANNED = 4096
-# After so many requests in a row for which no open server will do, the others
-# are left for the next look: each is compared with up to sixteen servers.
+# After so many requests in a row that fit no open server, the others are left
+# to the next cycle: each is compared with up to sixteen servers.
 _MAX_FAILED_IN_ROW = 128
-# How a pool does is logged this often at most, in seconds, while it is busy.
+# Minimum time between two log entries on the state of a busy pool.
 _LOG_SECONDS = 1.0
 _MS = 1000
-# No server was known for so long: the pool has none, in seconds.
+# Without any announced server for this time, the pool counts as having none.
 _NO_SERVER_SECONDS = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Cycle:
-    """One look at all that waits.
-
-    :ivar now: when, in seconds.
-    :ivar candidates: servers with a free slot that were not yet filled.
-    :ivar all_open: these are all servers of the pool.
-    :ivar canaries: servers of a new version that may get a few requests.
-    :ivar pauses: gives the servers that want nothing from a host.
-    :ivar failed_in_row: requests in a row that none of them would do for.
+    """One scheduling cycle over the waiting requests.
+
+    :ivar now: start of the cycle, in seconds on the loop's clock.
+    :ivar pace: slot rate and arrival rate of the pool.
+    :ivar estimates: estimated speeds of servers and quality of paths.
+    :ivar pauses: returns the servers that asked a host for a pause.
+    :ivar candidates: servers that still have a free slot in this cycle.
+    :ivar all_open: whether the candidates are all servers of the pool.
+    :ivar canaries: servers of a new version that may get canary requests.
+    :ivar failed_in_row: consecutive requests that fit no candidate.
     """
 
     now: float
@@ -71,7 +74,7 @@
         offers: list[placing.Offer],
         owner: ids.HostId,
     ) -> list[placing.Offer]:
-        """Leave out servers that want nothing from the host that asks."""
+        """Return the offers without servers that paused the owner."""
         paused = self.pauses(owner)
         if not paused:
             return offers
@@ -79,10 +82,11 @@
 
 
 def trigger_cycle(leader: state.OnTimeLeaderState) -> None:
-    """Look at all that waits, now or as soon as that is due.
+    """Run a scheduling cycle, now or as soon as one is due.
 
-    A look costs in proportion to what waits, and in overload hundreds of
-    requests come and end in a second; so they share a look.
+    A cycle costs in proportion to the number of waiting requests, and in
+    overload hundreds of requests arrive and end in a second; so they share a
+    cycle.
     """
     if not leader.waiting:
         return
@@ -94,7 +98,7 @@
 
 
 def _batch_seconds(leader: state.OnTimeLeaderState) -> float:
-    """Give the seconds for which what comes waits for one look."""
+    """Return the minimum seconds between two cycles."""
     delay = max(
         _BATCH_SECONDS,
         len(leader.waiting) * _BATCH_SECONDS_PER_REQUEST,
@@ -114,7 +118,7 @@
 
 
 def _arm_timer(leader: state.OnTimeLeaderState, seconds: float) -> None:
-    """Look again in some seconds, or before."""
+    """Schedule a cycle within some seconds; an earlier one stays."""
     due = leader.now() + seconds
     if leader.timer is not None:
         if leader.timer.when() <= due:
@@ -125,7 +129,7 @@
 
 
 def _log_state(leader: state.OnTimeLeaderState) -> None:
-    """Log how the pool does while something waits."""
+    """Log the state of the pool while requests wait."""
     now = leader.now()
     if not leader.waiting or now - leader.logged_at < _LOG_SECONDS:
         return
@@ -174,7 +178,7 @@
     cycle: _Cycle,
     turns: typing.Iterable[ordering.Turn],
 ) -> None:
-    """Grant what can be granted, in order."""
+    """Grant slots to requests in the order of the plan."""
     cycle.canaries = trying.open_canaries(leader, cycle.estimates)
     for turn in turns:
         if _try_canary(leader, cycle, turn):
@@ -195,7 +199,7 @@
 
 
 def _lead_time(leader: state.OnTimeLeaderState) -> ordering.LeadTime:
-    """Give what predicts a first token on the quickest server."""
+    """Return a predictor of first-token times on the quickest server."""
     if leader.quickest is None:
         return lambda _: 0
     fixed_seconds, seconds_per_token = leader.estimates.line(
@@ -211,7 +215,7 @@
     cycle: _Cycle,
     turn: ordering.Turn,
 ) -> None:
-    """Grant a request one of the servers that have a free slot."""
+    """Grant a request a slot of a candidate server, if one is suitable."""
     offers = cycle.without_paused(cycle.candidates, turn.waiting.ask.owner)
     if not offers:
         return
@@ -229,7 +233,10 @@
     cycle: _Cycle,
     turn: ordering.Turn,
 ) -> bool:
-    """Grant a request a server of a new version, where it may get one."""
+    """Grant a request a server of a new version, if the rollout allows it.
+
+    :returns: whether it was granted.
+    """
     if not cycle.canaries or not leader.guide.may_try(turn.waiting.ask.rule):
         return False
     offers = cycle.without_paused(cycle.canaries, turn.waiting.ask.owner)
@@ -247,7 +254,7 @@
     turn: ordering.Turn,
     placement: placing.Placement,
 ) -> None:
-    """Grant a request a place and count what its class got."""
+    """Grant a request a slot and add it to the usage of its class."""
     _grant(leader, turn.waiting, placement, cycle.now)
     leader.shares.record_grant(
         classes.class_of(turn.waiting.ask),
@@ -263,12 +270,12 @@
     turn: ordering.Turn,
     offers: list[placing.Offer],
 ) -> placing.Placement | None:
-    """Choose the open server where a request should start now, if any.
+    """Choose the open server on which a request should start now, if any.
 
-    Where it wouldn't come in time, a server where it does may be free soon;
-    but with all of them open to wait is only to lose time: the longest
-    prompts would wait till they are late, and the longest outputs, beside
-    free slots, until their callers have left.
+    Where the request would be late on every open server, it may still be in
+    time on one that is free soon. With all servers open, however, waiting only
+    loses time: the longest prompts would wait until they are late, and the
+    longest outputs would wait, with slots free, until their callers have left.
     """
     waiting = turn.waiting
     placement = placing.choose_on_time(offers, waiting, cycle.estimates)
@@ -293,7 +300,7 @@
     offer: placing.Offer,
     estimates: placing.Estimates,
 ) -> None:
-    """Take a slot of an open server; what it offers has changed with that."""
+    """Take one slot of a candidate and update or remove its offer."""
     offers.remove(offer)
     if offer.free_slots > 1:
         left = placing.make_offer(offer.server, offer.free_slots - 1, estimates)
@@ -301,7 +308,7 @@
 
 
 def _refuse_too_long(leader: state.OnTimeLeaderState, now: float) -> None:
-    """Refuse what no server ends in the time that it has left."""
+    """Refuse requests that no server can finish before their deadlines."""
     if leader.quickest is None:
         return
     decode = leader.estimates.decode(leader.quickest.speed)
@@ -311,7 +318,10 @@
 
 
 def _refuse_paused(leader: state.OnTimeLeaderState, now: float) -> None:
-    """Refuse what no server takes from its host before its caller leaves."""
+    """Refuse requests for which all servers are paused until it is too late.
+
+    That is, until no first token can come before the caller leaves.
+    """
     owners = {waiting.ask.owner for waiting in leader.waiting.values()}
     paused = {owner: leader.pauses(owner) for owner in owners}
     if not any(paused.values()):
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -1,6 +1,6 @@
-"""Grants the capacity of one pool so that first tokens come on time.
+"""Pool leader that grants slots so that first tokens come before their targets.
 
-The face is that of :class:`geraniumweir.scheduling.leader.PoolLeader`. The
+It has the interface of :class:`geraniumweir.scheduling.leader.PoolLeader`. Its
 state is soft: a new leader adopts the grants in use.
 
 See Also
@@ -39,7 +39,7 @@
 
 
 class OnTimePoolLeader:
-    """Grants the capacity of one pool."""
+    """Leader of one pool whose requests have targets for their first tokens."""
 
     def __init__(
         self,
@@ -53,15 +53,15 @@
         ] = dict,
         pauses: state.Pauses = _no_pauses,
     ) -> None:
-        """Start with an empty queue.
-
-        :param now: gives the time in seconds, the loop's clock.
-        :param live: gives the pool's backend servers that may get work.
-        :param guide: decides what servers of which version may get.
-        :param rates: gives the requests a second that may be granted here to
-            servers that name a limit.
-        :param pauses: gives the servers that want nothing from a host for a
-            while.
+        """Initialize with an empty queue.
+
+        :param now: returns the time in seconds on the loop's clock.
+        :param live: returns the pool's backend servers that may get requests.
+        :param guide: decides what servers of each version may get.
+        :param rates: returns the requests a second that may be granted here to
+            servers that set a limit.
+        :param pauses: returns the servers that asked a host for a pause, with
+            the end of each pause.
         """
         self._state = state.OnTimeLeaderState(
             pool=cfg.pool,
@@ -78,19 +78,19 @@
 
     @property
     def suspects(self) -> suspects.Suspects:
-        """Give what is known of requests that crash servers."""
+        """Return the requests suspected of crashing servers."""
         return self._state.suspects
 
     async def ask(
         self,
         slot_request: requests.Ask,
     ) -> requests.Grant | requests.Denial:
-        """Wait for a backend server.
+        """Wait for a slot on a backend server.
 
-        A repeated ask of a waiting id joins it; of a granted id it gets the
-        same grant again.
+        A repeated request with the id of a waiting one joins it; with the id of
+        a granted one it gets the same grant again.
 
-        :param slot_request: what waits; its times are on the leader's clock.
+        :param slot_request: its times are on the leader's clock.
         """
         running = self._state.running.get(slot_request.request_id)
         if running is not None:
@@ -109,14 +109,14 @@
         )
 
     def withdraw(self, request_id: ids.RequestId) -> None:
-        """Drop a request whose caller went away while it waited."""
+        """Remove a waiting request whose caller left."""
         waiting = self._state.waiting.get(request_id)
         if waiting is not None:
             withdrawn = requests.DenialReason.withdrawn
             state.refuse(self._state, waiting, withdrawn)
 
     def progress(self, progress: requests.Progress) -> None:
-        """Take that the first token of granted work came."""
+        """Record the first token of a granted request."""
         running = self._state.running.get(progress.request_id)
         if running is not None and progress.first_token is not None:
             lessons.record_first_token(
@@ -124,7 +124,7 @@
             )
 
     def release(self, release: requests.Release) -> None:
-        """Take back a grant and serve who waits; a repeat is ignored."""
+        """Release a grant and run a cycle; a repeated release is ignored."""
         running = self._state.running.pop(release.request_id, None)
         if running is None:
             return
@@ -143,7 +143,7 @@
         server_id: ids.ServerId,
         _incarnation: ids.Incarnation,
     ) -> None:
-        """Take that a server crashed; its requests are suspected."""
+        """Record the crash of a server; its requests are suspected of it."""
         server = self._state.servers.pop(server_id, None)
         if server is not None:
             lost = [one.ask.fingerprint for one in server.running.values()]
@@ -162,26 +162,30 @@
                 self.release(requests.Release(request_id, cancelled))
 
     def adopt(self, grants: typing.Sequence[requests.OpenGrant]) -> None:
-        """Take over grants in use that another leader gave."""
+        """Adopt grants in use that another leader made."""
         fleet.sync(self._state)
         for open_grant in grants:
             if open_grant.ask.request_id not in self._state.running:
                 self._adopt(open_grant)
 
     def settled(self) -> None:
-        """Keep to the settle window: owners hand over by themselves."""
+        """Do nothing; grants start at the end of the takeover time.
+
+        Owners hand over their grants by themselves until then.
+        """
 
     def grant_waiting(self) -> None:
-        """Take that announcements or the configuration changed.
+        """Apply a change of the announcements or the configuration.
 
-        A crash is taken at once: its suspects may be asking again.
+        Servers are looked up at once, as the requests suspected of a crash may
+        already be repeated.
         """
         fleet.request_sync(self._state)
         fleet.sync(self._state)
         granting.trigger_cycle(self._state)
 
     def rollout_load(self) -> guiding.Load:
-        """Tell how the pool does, for its rollout."""
+        """Return the load of the pool, for its rollout."""
         fleet.sync(self._state)
         return fleet.rollout_load(self._state)
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
@@ -1,4 +1,4 @@
-"""Learns from how granted work goes on and ends."""
+"""Updates of the estimates from the progress and end of granted requests."""
 
 import typing
 
@@ -12,20 +12,24 @@
     trying,
 )
 
-# Answers are about half as long as the most that callers allow them to be.
+# Outputs are about half as long as the maximum that callers set.
 _USUAL_LENGTH_RATIO = 0.5
-# The server worked on it for as long as the request takes.
+# Outcomes for which the server worked on the request for its full duration.
 ANSWERED: typing.Final = frozenset(
     (requests.Outcome.done, requests.Outcome.answered_failure),
 )
-# Lengths differ a hundredfold; their mean is over some ten answers.
+# Output lengths differ a hundredfold; their mean is over some ten responses.
 _LENGTH_WEIGHT = 0.1
 
 
 def expected_tokens(
     leader: state.OnTimeLeaderState, slot_request: requests.Ask
 ) -> float:
-    """Give the output tokens to expect: as said, as usual, or half."""
+    """Return the output tokens to expect.
+
+    The caller's own estimate, or else the usual length for its rule, or else
+    half of the maximum.
+    """
     most = slot_request.max_tokens or float('inf')
     usual = leader.output_lengths.get(
         slot_request.rule, slot_request.max_tokens * _USUAL_LENGTH_RATIO
@@ -38,7 +42,10 @@
     running: records.Running,
     seconds: float,
 ) -> None:
-    """Take that the first token came, so many seconds after the grant."""
+    """Record that the first token came.
+
+    :param seconds: from the grant to the first token.
+    """
     if running.first_token is not None:
         return
     running.first_token = seconds
@@ -58,7 +65,7 @@
     running: records.Running,
     release: requests.Release,
 ) -> None:
-    """Take how work ended."""
+    """Record the end of a granted request."""
     server = fleet.server_of(leader, running)
     if server is None:
         return
@@ -89,7 +96,7 @@
             | requests.Outcome.preempted
             | requests.Outcome.given_up
         ):
-            # Their owners ended them, the server did nothing.
+            # Ended by their owners; that says nothing about the server.
             pass
 
 
@@ -147,7 +154,8 @@
         release.output_tokens,
         release.seconds - first,
     )
-    # Taken for the engine's, a pause of the path keeps long prompts off it.
+    # A pause caused by the path must not count as one of the engine: it would
+    # keep long prompts off the server.
     if release.longest_gap and not fleet.path_delays(
         leader,
         running,
--- a/libs/scheduling/geraniumweir/scheduling/ontime/occupancy.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/occupancy.py
@@ -1,9 +1,9 @@
-"""How long a request keeps a slot of a server.
+"""Time for which a request holds a slot of a server.
 
-Requests differ a hundredfold, and the short ones end first. So the mean over
-those that have ended is too short for as long as the long ones run: for some
-seconds after each start of a leader, and after each burst. Time on slots by
-number of ends counts those that still run too [1]_.
+Durations differ a hundredfold, and short requests end first. So the mean over
+ended requests is too short while long ones still run: for some seconds after
+each start of a leader, and after each burst. Slot time divided by the number of
+ends counts running requests, too [1]_.
 
 References
 ==========
@@ -15,11 +15,10 @@
 import math
 import typing
 
-# Counts are over about so many seconds: several times what a long request
-# takes, no longer than a burst.
+# Time constant of the counts: several times the duration of a long request, no
+# longer than a burst.
 _WINDOW_SECONDS = 5.0
-# What a pool or a server is thought to do before it has shown it, in ends and
-# in seconds for each.
+# Initial guess for a pool or a server, in ends and in seconds for each.
 _GUESS_ENDS = 1.0
 _GUESS_SECONDS = 1.0
 
@@ -28,9 +27,9 @@
 class Occupancy:
     """Decaying counts of one server.
 
-    :ivar slot_seconds: for which requests kept slots.
-    :ivar ends: of requests.
-    :ivar counted_at: up to when it is counted, in seconds.
+    :ivar slot_seconds: time for which requests held slots.
+    :ivar ends: number of ended requests.
+    :ivar counted_at: time up to which slot time is counted, in seconds.
 
     >>> some = Occupancy()
     >>> some.advance(4, 0.5)
@@ -44,8 +43,9 @@
     counted_at: float = 0
 
     def advance(self, running: int, now: float) -> None:
-        """Take that so many requests ran since the last call.
+        """Add the slot time since the last call.
 
+        :param running: number of requests that ran since then.
         :param now: in seconds.
         """
         decay = math.exp((self.counted_at - now) / _WINDOW_SECONDS)
@@ -55,20 +55,20 @@
         self.counted_at = now
 
     def record_end(self) -> None:
-        """Take that a request ended at the server."""
+        """Count a request that ended."""
         self.ends += 1
 
     def hold_seconds(self, pool_hold_seconds: float) -> float:
-        """Give the seconds for which a request keeps a slot.
+        """Return the seconds for which a request holds a slot.
 
-        :param pool_hold_seconds: of the pool.
+        :param pool_hold_seconds: the same for the pool.
         """
         total_seconds = self.slot_seconds + pool_hold_seconds * _GUESS_ENDS
         return total_seconds / (self.ends + _GUESS_ENDS)
 
 
 def pool_hold_seconds(servers: typing.Iterable[Occupancy]) -> float:
-    """Give the seconds for which a request keeps a slot of any of them."""
+    """Return the seconds for which a request holds a slot of any server."""
     total = Occupancy()
     for server in servers:
         total.slot_seconds += server.slot_seconds
--- a/libs/scheduling/geraniumweir/scheduling/ontime/ordering.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/ordering.py
@@ -1,29 +1,30 @@
-"""Which of the waiting go first, and which can't be served any more.
+"""Order in which waiting requests are granted slots, and which are refused.
 
 Requests that can still meet their targets are taken in the order of their
-latest useful starts, which serves all of them in time as long as that is
-possible at all. Where it isn't, the least important of those taken so far
-gives way, the lowest tier first: what is left can still be served in time,
-and nothing of a lower tier costs a higher one its place.
+latest useful start times, which serves all of them in time whenever that is
+possible. Otherwise the least important request taken so far is rejected, lowest
+tier first [1]_: the remaining ones can still be served in time, and a lower
+tier never costs a higher one its slot.
 
-A class that starves in lasting overload goes before what is more important
-in its tier, for a part of the slots' time; see
+A class that starves in lasting overload is placed before more important classes
+of its tier, for a fraction of the slot time; see
 :mod:`geraniumweir.scheduling.ontime.classes`.
 
-While newcomers take nearly all slots, the important go first instead: in the
-order of latest starts those with the longest targets come last, and as the
-pace falls in overload they miss them, though they are worth most.
+While new requests take nearly all slots, the order is by importance instead. In
+the order of latest start times, requests with the longest targets come last,
+and as the pace falls in overload they miss their targets, though they are the
+most important.
 
-A plain answer counts once it is whole, and how long it takes isn't known
-before: of those that start at their latest useful start every other one just
-misses its target. Where more comes than can be served, among equals the newest
-goes first instead, with time to spare, and the oldest gives way.
+A plain response counts once it is complete, and how long it takes isn't known
+in advance: if it starts at its latest useful time, every other one just misses
+its target. Above the capacity the newest of equally important requests goes
+first instead, with time to spare, and the oldest is rejected.
 
-Those that can't meet their targets any more come behind, with the slots that
-newcomers leave. Were they served before, just in time for their callers'
-patience, then every newcomer would be late too, and a pool that was overloaded
-for some seconds would serve everybody late for as long as its usual load
-leaves little room.
+Requests that can't meet their targets any more come last, with the slots that
+new requests leave. If they were served earlier, just before their callers
+leave, every new request would be late too, and a pool that was overloaded for
+some seconds would serve all requests late for as long as its usual load leaves
+little room.
 
 References
 ==========
@@ -38,27 +39,28 @@
 
 from geraniumweir.scheduling.ontime import classes, records
 
-# A plan is a prediction; a request is given up only when its turn is this
-# many times later than it may be, seen from now.
+# A plan is a prediction; a request is refused only if its predicted wait
+# exceeds the time that it has by this factor.
 _MAX_LATENESS_FACTOR = 1.5
-# Above this part of the slots the pace is too uncertain to let the important
-# wait for their last moment: what runs then is longer than what ran before.
+# Above this load the pace is too uncertain to let important requests wait for
+# their latest start: those that run by then take longer than those before.
 _CROWDED_LOAD = 0.9
-# Above this part of the slots some are refused whatever the order; below it a
-# queue is shorter a moment later, and those that wait are served in time.
+# Above this load some requests are refused in any order; below it the queue
+# gets shorter soon, and those that wait are served in time.
 _OVERLOAD = 1.2
-# Where newcomers take nearly all slots, this part is thought to be left.
+# Lower bound for the fraction of slots that new requests are taken to leave.
 _MIN_SPARE_FRACTION = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Turn:
-    """A waiting request and when it must start to be worth something.
+    """A waiting request and its latest useful start time.
 
-    :ivar latest_start: on the loop's clock, in seconds.
-    :ivar late: its target can't be met any more.
-    :ivar in_time_ratio: where its class is owed slots, the part of its callers that
-        were served in time; 1 elsewhere. The least goes first within a tier.
+    :ivar latest_start: in seconds on the loop's clock.
+    :ivar late: whether its target can't be met any more.
+    :ivar in_time_ratio: fraction of its class's callers that were served in
+        time, where the class has a deficit, otherwise 1. Within a tier the
+        lowest goes first.
     """
 
     waiting: records.Waiting
@@ -68,16 +70,16 @@
 
     @property
     def has_deficit(self) -> bool:
-        """Tell whether it goes before what is more important."""
+        """Return whether it goes before more important requests."""
         return self.in_time_ratio < 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """The waiting requests, sorted out.
+    """The waiting requests in the order of their grants.
 
-    :ivar turns: those that can be served, the first one first.
-    :ivar hopeless: those that can't.
+    :ivar turns: requests that can be served, the first to be granted first.
+    :ivar hopeless: requests that can't be served before their callers leave.
     """
 
     turns: list[Turn]
@@ -86,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pace:
-    """How fast a pool works and how much comes.
+    """Slot rate and arrival rate of a pool.
 
     :ivar interval: seconds from one free slot to the next.
     :ivar arrivals: requests a second, lately.
@@ -97,24 +99,24 @@
 
     @property
     def load(self) -> float:
-        """Give the part of the slots that newcomers take."""
+        """Return the arrival rate as a fraction of the rate of free slots."""
         return _multiply(self.arrivals, self.interval)
 
     @property
     def is_crowded(self) -> bool:
-        """Tell whether newcomers take nearly all slots."""
+        """Return whether new requests take nearly all slots."""
         return self.load > _CROWDED_LOAD
 
     @property
     def is_overloaded(self) -> bool:
-        """Tell whether much more comes than there are slots for."""
+        """Return whether clearly more requests arrive than can be served."""
         return self.load > _OVERLOAD
 
     def late_wait_seconds(self, on_time: int, late: int) -> float:
-        """Predict the seconds until newcomers leave a slot.
+        """Predict the seconds until new requests leave a slot for a late one.
 
-        :param on_time: requests in front that can be on time.
-        :param late: those in front that can't.
+        :param on_time: number of requests ahead that can be in time.
+        :param late: number of late requests ahead.
         """
         left = max(1 - self.load, _MIN_SPARE_FRACTION)
         ahead = _multiply(on_time, self.interval)
@@ -128,7 +130,7 @@
 
 
 def _multiply(number: float, interval: float) -> float:
-    """Multiply; nothing takes no time, however long the interval is.
+    """Return the product, or 0 for a zero number and an infinite interval.
 
     >>> _multiply(0, float('inf')), _multiply(2, 0.5)
     (0, 1.0)
@@ -143,11 +145,12 @@
     lead_time: LeadTime,
     deficits: _Deficits = _NO_DEFICITS,
 ) -> Plan:
-    """Sort the waiting requests out.
+    """Order the waiting requests and find those that can't be served.
 
-    :param lead_time: gives the seconds from a start to the first token.
-    :param deficits: classes that go before what is more important, with the part
-        of their callers that were served in time.
+    :param now: in seconds on the loop's clock.
+    :param lead_time: returns the seconds from a start to the first token.
+    :param deficits: classes that go before more important ones, with the
+        fraction of their callers that were served in time.
     """
     lead_times = {one.sequence: lead_time(one) for one in waiting}
     candidates = [
@@ -198,7 +201,7 @@
     for turn in sorted(turns, key=_by_start):
         left = turn.latest_start - now
         if left < 0:
-            # Too late even as the first one, so nobody gives way for it.
+            # Late even as the first one, so no other is rejected for it.
             rejected.append(turn)
             continue
         heapq.heappush(accepted, (_value(turn), turn))
@@ -223,7 +226,7 @@
 
 
 def _newest_first(turn: Turn) -> tuple[int, float, int, float]:
-    """Give the importance, among equal plain answers the newest first."""
+    """Return the sort key by importance; equal plain requests newest first."""
     if turn.waiting.ask.streams:
         return _by_importance(turn)
     slot_request = turn.waiting.ask
@@ -236,7 +239,7 @@
 
 
 def _value(turn: Turn) -> _Value:
-    """Give the lesser value, the sooner a turn gives way."""
+    """Return the value of serving a request; the lowest is rejected first."""
     slot_request = turn.waiting.ask
     return (
         -int(slot_request.tier),
--- a/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
@@ -1,9 +1,9 @@
-"""Which server a request goes to.
+"""Choice of the backend server for a request.
 
-Engines differ in speed and each runs a fixed number of requests well. A
-request goes where it keeps a slot for the least, weighed by how scarce free
-slots are there, so that fast engines are shared out first while they have
-room and slow ones take what they can still answer in time.
+Engines differ in speed, and each runs a fixed number of requests well. A
+request goes where it holds a slot for the least time, weighted by how scarce
+free slots are on that server. So fast engines are shared while they have room,
+and slow ones take what they can still answer in time.
 """
 
 import dataclasses
@@ -13,38 +13,39 @@
 from geraniumweir.scheduling import requests
 from geraniumweir.scheduling.ontime import paths, records, rests, speeds
 
-# What a server with no free slot left would count for, as a part of its
-# slots: the scarcer the free ones, the dearer the last of them.
+# Free fraction that a server without free slots would count with. It bounds how
+# much the cost rises as free slots get scarce.
 _MIN_FREE_FRACTION = 0.15
-# A first token is predicted from a mean; this part of the time to the target
-# is used for it, which half of the predictions' errors stay within.
+# A first token is predicted from a mean; it must fall within this fraction of
+# the time to the target, which covers half of the prediction errors.
 _TARGET_FRACTION = 0.8
-# An answer must be predicted to end within this part of its time: lengths are
-# known at the median only and often twice as long.
+# A response must be predicted to end within this fraction of its time: only the
+# median of output lengths is known, and they are often twice as long.
 _DEADLINE_FRACTION = 0.6
-# Where no server is predicted to end it so soon, one may still do, as lengths
-# are known at the median only. What is predicted to take longer than so many
-# times what is left isn't tried.
+# Where no server is predicted to end a response by then, one may still do so,
+# as only the median of output lengths is known. A response predicted to take
+# longer than the time left by this factor isn't tried.
 _MAX_DEADLINE_RATIO = 1.5
-# Pauses are kept within this part of the longest one for full worth.
+# Pauses between events must stay within this fraction of the longest one that
+# has full worth.
 _GAP_FRACTION = 0.85
-# Of a large pool so many open servers are compared for a request. The best of
-# sixteen is within the best tenth of any number, and the time that a look
-# takes doesn't grow with the pool.
+# Number of open servers of a large pool that are compared for a request. The
+# best of sixteen is on average within the best tenth of any number, and the
+# time of a cycle doesn't grow with the pool.
 _MAX_COMPARED = 16
-# How much dearer a server is for each part of its answers that are failures.
+# Increase of a server's cost with the fraction of its responses that fail.
 _FAILURE_COST_FACTOR = 8.0
-# The same for each part of the answers that the path to it holds up: such an
-# answer is late as a failed one is lost, and both are avoided as long as
-# another server has a slot at all.
+# The same for the fraction of responses that the path to it delays: a delayed
+# response is late and a failed one is lost, and both are avoided as long as
+# another server has a free slot.
 _PATH_COST_FACTOR = 8.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Estimates:
-    """What is known of servers and the paths to them.
+    """Estimated speeds of servers and quality of the paths to them.
 
-    :ivar now: in seconds.
+    :ivar now: time of the estimates, in seconds on the loop's clock.
     """
 
     speeds: speeds.SpeedEstimator
@@ -54,19 +55,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Offer:
-    """A server with a free slot, as it stands now.
+    """A server with a free slot and its current estimates.
 
-    Hundreds of requests may be compared with it before it gets one, so what
-    is the same for all of them is worked out once.
+    Hundreds of requests may be compared with it before it gets one, so values
+    that are the same for all of them are computed once.
 
-    :ivar free_slots: slots.
+    :ivar free_slots: number of free slots.
     :ivar unread: prompt tokens granted and not known to be read.
     :ivar overdue_seconds: seconds by which its next first token is late.
-    :ivar fixed_seconds: seconds to a first token with nothing to read.
-    :ivar seconds_per_token: seconds more for each prompt token.
-    :ivar seconds_per_output_token: seconds for an output token.
-    :ivar stall_seconds_per_token: seconds for which all that runs there stands still, for
-        each prompt token.
+    :ivar fixed_seconds: seconds to a first token of an empty prompt.
+    :ivar seconds_per_token: additional seconds for each prompt token.
+    :ivar seconds_per_output_token: seconds for each output token.
+    :ivar stall_seconds_per_token: seconds for which all running streams of the
+        server stop, for each prompt token.
     :ivar max_unread_tokens: prompt tokens that may be unread without making the
         pauses of running streams too long.
     """
@@ -98,9 +99,9 @@
     def hold_seconds(
         self, waiting: records.Waiting, first_token_seconds: float
     ) -> float:
-        """Predict the seconds for which a request keeps a slot.
+        """Predict the seconds for which a request holds a slot.
 
-        :param first_token_seconds: to its first token.
+        :param first_token_seconds: predicted seconds to its first token.
         """
         if not waiting.ask.streams:
             return first_token_seconds
@@ -109,15 +110,15 @@
         )
 
     def tokens_to_read(self, slot_request: requests.Ask) -> float:
-        """Give the prompt tokens to read before the first token."""
+        """Return the prompt tokens to read before the first token."""
         if not slot_request.streams:
             return slot_request.prompt_tokens
         return slot_request.prompt_tokens + self.unread
 
     def is_on_time(self, waiting: records.Waiting, now: float) -> bool:
-        """Tell whether the first token is predicted before its target.
+        """Return whether the first token is predicted before its target.
 
-        And no stream that runs there is held up.
+        False also where the prompt would delay streams that run on the server.
         """
         slot_request = waiting.ask
         if self.tokens_to_read(slot_request) > self.max_unread_tokens:
@@ -130,7 +131,7 @@
     def ends_before_deadline(
         self, waiting: records.Waiting, now: float
     ) -> bool:
-        """Tell whether the answer is predicted well before its time is over."""
+        """Return whether the response is predicted well before its deadline."""
         slot_request = waiting.ask
         hold_seconds = self.hold_seconds(
             waiting, self.first_token_seconds(slot_request)
@@ -142,12 +143,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Placement:
-    """A server for a request.
+    """A server chosen for a request, with predictions.
 
     :ivar tokens_to_read: prompt tokens to read before its first token.
-    :ivar first_token_seconds: seconds predicted to the first token.
-    :ivar delays_streams: streams there are held up.
-    :ivar hold_seconds: seconds predicted for which it keeps a slot.
+    :ivar first_token_seconds: predicted seconds to the first token.
+    :ivar delays_streams: whether it delays streams of the server.
+    :ivar hold_seconds: predicted seconds for which it holds a slot.
     """
 
     offer: Offer
@@ -162,16 +163,16 @@
     first_index: int,
     estimates: Estimates,
 ) -> list[Offer]:
-    """List servers that may get one more request, some of many.
+    """List servers with a free slot, up to a maximum number.
 
-    :param first_index: place of the first server to look at; where it differs from
-        look to look, all of a large pool are looked at in turn.
+    :param first_index: index of the first server to look at. With another one
+        in each cycle, all servers of a large pool get their turn.
     """
     offers = []
     for server in (*servers[first_index:], *servers[:first_index]):
         stuck = server.stuck(estimates.now)
         if server.hangs(stuck):
-            # After a rest one request tries whether it still does.
+            # After the cooldown one request probes whether it still hangs.
             rests.record_fault(server, rests.Cause.hung, estimates.now)
         free_slots = server.free_slots(estimates.now, len(stuck))
         if free_slots > 0:
@@ -184,9 +185,9 @@
 def make_offer(
     server: records.Server, free_slots: int, estimates: Estimates
 ) -> Offer:
-    """Work out what a server with free slots offers.
+    """Return the offer of a server with free slots.
 
-    :param free_slots: its number of free slots.
+    :param free_slots: number of its free slots.
     """
     fixed_seconds, seconds_per_token = estimates.speeds.line(server.speed).fit()
     return Offer(
@@ -207,9 +208,10 @@
     waiting: records.Waiting,
     estimates: Estimates,
 ) -> Placement | None:
-    """Choose where the first token comes in time, if there is a server.
+    """Choose the cheapest server with a first token in time, if any.
 
-    The whole answer is predicted to end there as well.
+    The complete response must be predicted to end there before its deadline,
+    too.
     """
     now = estimates.now
     suitable = [
@@ -233,7 +235,10 @@
     waiting: records.Waiting,
     estimates: Estimates,
 ) -> Placement | None:
-    """Choose where the first token comes first and the answer ends."""
+    """Choose the server with the earliest first token, if any is suitable.
+
+    It must be predicted to end the response before its deadline.
+    """
     suitable = [
         candidate
         for candidate in offers
@@ -251,7 +256,7 @@
     offers: typing.Iterable[Offer],
     waiting: records.Waiting,
 ) -> Placement | None:
-    """Choose the server that is through with a request first."""
+    """Choose the server that holds the request for the least time."""
     best = min(
         offers,
         key=lambda candidate: _by_hold_seconds(candidate, waiting),
@@ -263,16 +268,16 @@
 def exceeds_deadline(
     waiting: records.Waiting, hold_seconds: float, now: float
 ) -> bool:
-    """Tell whether a request takes too long for the time that it has left.
+    """Return whether a request takes far too long for its remaining time.
 
-    :param hold_seconds: seconds predicted on the quickest server.
+    :param hold_seconds: predicted seconds on the quickest server.
     """
     left = waiting.ask.deadline - now
     return hold_seconds > left * _MAX_DEADLINE_RATIO
 
 
 def predict(candidate: Offer, waiting: records.Waiting) -> Placement:
-    """Predict how a request does on a server."""
+    """Return the predictions for a request on a server."""
     slot_request = waiting.ask
     first_token_seconds = candidate.first_token_seconds(slot_request)
     tokens_to_read = candidate.tokens_to_read(slot_request)
@@ -290,12 +295,12 @@
     waiting: records.Waiting,
     estimates: Estimates,
 ) -> tuple[float, str]:
-    """Tell how dear a server is for a request; the least is the best."""
+    """Return the cost of a server for a request; the lowest is the best."""
     slot_request = waiting.ask
     hold_seconds = candidate.hold_seconds(
         waiting, candidate.first_token_seconds(slot_request)
     )
-    # All that runs there stands still while a prompt is read.
+    # All streams of the server stop while a prompt is read.
     hold_seconds += (
         candidate.stall_seconds_per_token
         * slot_request.prompt_tokens
@@ -314,8 +319,8 @@
     slot_request: requests.Ask,
     estimates: Estimates,
 ) -> float:
-    """Give how much dearer a server is for the answers that come to nothing."""
-    delayed_ratio = estimates.path_quality.delayed_ratio(
+    """Return the cost factor for responses that fail or are delayed."""
+    delay_ratio = estimates.path_quality.delay_ratio(
         slot_request.failure_domain,
         server.announcement.failure_domain,
         estimates.now,
@@ -324,15 +329,15 @@
     return (
         1
         + _FAILURE_COST_FACTOR * failure_ratio
-        + _PATH_COST_FACTOR * delayed_ratio
+        + _PATH_COST_FACTOR * delay_ratio
     )
 
 
 def _max_unread_tokens(server: records.Server) -> float:
-    """Give how much may be read before the pauses of streams get too long.
+    """Return the prompt tokens that may be unread without delaying streams.
 
-    While prompts are read, each token of the others waits for a piece of
-    them. On a fast engine that is never long; on a slow one it is what makes
+    While prompts are read, each token of the running streams waits for a chunk
+    of them. On a fast engine that is never long; on a slow one it is what makes
     streams late.
     """
     limits = [one.ask.gap for one in server.running.values()]
--- a/libs/scheduling/geraniumweir/scheduling/ontime/records.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/records.py
@@ -1,4 +1,4 @@
-"""What the leader keeps of requests and backend servers."""
+"""Records of requests and backend servers that a leader keeps."""
 
 import asyncio
 import collections
@@ -11,11 +11,11 @@
 from geraniumweir.scheduling.ontime import conditions, occupancy, speeds
 
 
-# A first token that is late by so many times its usual time, and by so many
-# seconds besides, isn't waited for: its owner is cut off, or the server hangs.
+# A first token is given up as lost when it takes longer than predicted by this
+# factor and the seconds below: its owner is unreachable, or the server hangs.
 _STUCK_FACTOR = 3.0
 _STUCK_SECONDS = 0.75
-# Answers that broke off at a server, of which it is remembered.
+# Number of incomplete responses kept for each server.
 _MAX_INCOMPLETE_ANSWERS = 32
 
 
@@ -23,11 +23,12 @@
 class Waiting:
     """A request in the queue.
 
-    :ivar sequence: by order of arrival.
+    :ivar sequence: number in the order of arrival.
     :ivar arrived_at: in seconds.
-    :ivar waited_seconds: seconds since the caller first asked for the same.
-    :ivar tokens: output tokens expected.
-    :ivar joined: asks that wait for the same answer.
+    :ivar waited_seconds: time since the caller's first request for the same
+        content.
+    :ivar tokens: expected output tokens.
+    :ivar joined: number of slot requests that wait for the same answer.
     """
 
     ask: requests.Ask
@@ -40,7 +41,10 @@
 
     @property
     def target(self) -> float:
-        """Give when its first token is due, counted from the first request."""
+        """Return when its first token is due, counted from the first request.
+
+        A repeat keeps the target of the caller's first request.
+        """
         return self.ask.target - self.waited_seconds
 
 
@@ -48,11 +52,12 @@
 class Running:
     """A grant in use.
 
-    :ivar granted_at: when, in seconds.
-    :ivar read_tokens: prompt tokens to read before its first token, those of
-        others ahead of it included.
-    :ivar predicted: seconds from the grant to its first token.
-    :ivar tokens: output tokens expected.
+    :ivar granted_at: in seconds.
+    :ivar read_tokens: prompt tokens to read before its first token, with those
+        of requests ahead of it.
+    :ivar predicted: predicted seconds from the grant to its first token.
+    :ivar tokens: expected output tokens.
+    :ivar first_token: seconds from the grant to its first token, None before.
     """
 
     ask: requests.Ask
@@ -65,7 +70,7 @@
 
     @property
     def start(self) -> notices.Start:
-        """Give the start of the server that it was granted on."""
+        """Return the id and incarnation of the server."""
         return self.grant.start
 
 
@@ -73,13 +78,15 @@
 class Server:
     """A backend server as the leader sees it.
 
-    :ivar live: announced and allowed new work.
-    :ivar canary: it gets only what a rollout lets through.
-    :ivar prefilling: of the running ones, those without a first token.
-    :ivar last_first_token_at: when it last gave a first token, in seconds.
-    :ivar last_success_at: when it last did that, or ended an answer.
-    :ivar incomplete_answers: when answers broke off, and of which content.
-    :ivar throttle: spaces out what it gets, None where it names no limit.
+    :ivar live: whether it is announced and may get requests.
+    :ivar canary: whether it gets only canary requests of a rollout.
+    :ivar prefilling: running requests without a first token.
+    :ivar last_first_token_at: in seconds.
+    :ivar last_success_at: time of its last first token or successful end, in
+        seconds.
+    :ivar incomplete_answers: times and fingerprints of incomplete responses.
+    :ivar throttle: limits the rate of its grants; None where it sets no limit.
+    :ivar slot_usage: for how long requests hold its slots.
     """
 
     announcement: servers.Announcement
@@ -111,31 +118,31 @@
 
     @property
     def server_id(self) -> ids.ServerId:
-        """Give the server's id."""
+        """Return the server's id."""
         return self.announcement.server_id
 
     @property
     def version(self) -> ids.SoftwareVersion:
-        """Give the version of its software."""
+        """Return the version of its software."""
         return self.announcement.version
 
     @property
     def serves(self) -> bool:
-        """Tell whether it may get any request of the pool."""
+        """Return whether it may get any request of the pool."""
         return self.live and not self.canary
 
     @property
     def start(self) -> notices.Start:
-        """Give which start of the server this is."""
+        """Return its id and incarnation."""
         return self.server_id, self.announcement.incarnation
 
     @property
     def slots(self) -> int:
-        """Give how many requests it runs at a time."""
+        """Return the number of requests that it runs concurrently."""
         return max(self.announcement.slots, 1)
 
     def add_running(self, running: Running, now: float) -> None:
-        """Take that a request runs here from now on."""
+        """Add a running request."""
         request_id = running.ask.request_id
         self.slot_usage.advance(len(self.running), now)
         self.running[request_id] = running
@@ -149,10 +156,10 @@
         *,
         answered: bool,
     ) -> None:
-        """Take that a request runs here no more.
+        """Remove a running request.
 
-        :param answered: its answer came to its end, so that it tells how long
-            a slot is kept.
+        :param answered: whether the response was complete, so that it counts
+            for the time that a slot is held.
         """
         self.slot_usage.advance(len(self.running), now)
         self.running.pop(request_id, None)
@@ -161,21 +168,25 @@
             self.slot_usage.record_end()
 
     def log_summary(self, now: float) -> str:
-        """Give how it does, for the log: what runs, and what keeps it shut."""
+        """Return its state for the log.
+
+        That is running requests and their limit, requests without a first
+        token, the lateness of the next first token, and the rate limit.
+        """
         max_running = self.condition.max_requests(self.slots, now)
         late = round(self.overdue_seconds(now), 2)
         limit = ''
         if self.throttle is not None:
             limit = f' limit {round(self.throttle.per_second, 2)}'
         return (
-            f'{len(self.running)}/{max_running} unborn {len(self.prefilling)} late {late}'
-            f'{limit}'
+            f'{len(self.running)}/{max_running} '
+            f'prefilling {len(self.prefilling)} late {late}{limit}'
         )
 
     def free_slots(self, now: float, stuck: int) -> int:
-        """Give how many more requests it may get now.
+        """Return the number of further requests that it may get now.
 
-        :param stuck: number of those of :meth:`stuck`.
+        :param stuck: number of requests that :meth:`stuck` lists.
         """
         if not self.live:
             return 0
@@ -186,13 +197,14 @@
         return min(free_slots, self.throttle.ready(now))
 
     def is_rate_limited(self, now: float) -> bool:
-        """Tell whether the limit that it names keeps requests off it now."""
+        """Return whether its rate limit allows no request now."""
         return self.throttle is not None and not self.throttle.ready(now)
 
     def completion_rate(self, pool_hold_seconds: float, now: float) -> float:
-        """Give the requests a second that it is thought to end.
+        """Return the requests a second that it is expected to complete.
 
-        :param pool_hold_seconds: seconds for which requests of the pool keep a slot.
+        :param pool_hold_seconds: time for which a request of the pool holds a
+            slot.
         """
         expected_requests = self.condition.expected_requests(self.slots, now)
         rate = expected_requests / self.slot_usage.hold_seconds(
@@ -203,15 +215,15 @@
         return min(rate, self.throttle.per_second)
 
     def unread_tokens(self) -> float:
-        """Give the prompt tokens granted and not known to be read."""
+        """Return the prompt tokens granted and not known to be read."""
         return sum(one.ask.prompt_tokens for one in self.prefilling.values())
 
     def overdue_seconds(self, now: float) -> float:
-        """Give the seconds by which the next first token is late.
+        """Return the seconds by which the next first token is late.
 
-        Engines read prompts in the order in which they come, so a first token
-        of one shows that all before it are read, whether their owners could
-        tell or not.
+        Engines read prompts in the order of arrival. So the first token of a
+        request shows that all prompts before it are read, even if their owners
+        couldn't report that.
         """
         since = max(
             self.last_first_token_at, self.condition.cooldown_started_at
@@ -234,9 +246,9 @@
         ]
 
     def hangs(self, stuck: typing.Sequence[Running]) -> bool:
-        """Tell whether nothing came of all that it was sent lately.
+        """Return whether no response came to any recent request.
 
-        :param stuck: those of :meth:`stuck`.
+        :param stuck: the requests that :meth:`stuck` lists.
         """
         if not stuck:
             return False
--- a/libs/scheduling/geraniumweir/scheduling/ontime/repeats.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/repeats.py
@@ -1,8 +1,8 @@
-"""Remembers when callers first asked for what they ask for again.
+"""First arrivals of refused requests that callers repeat.
 
-A caller that was refused comes back with the same content under a new id. Its
-wait began with its first request, so a repeat that comes late has no target
-to meet any more, and a newcomer that still has one goes before it.
+A refused caller returns with the same content under a new id. Its wait began
+with its first request. So a late repeat can't meet its target any more, and a
+new request that still can goes before it.
 """
 
 import collections
@@ -10,11 +10,11 @@
 
 from geraniumweir.common import ids
 
-# The longest time that a caller waits in all, in seconds, by the routes of
-# the users; an older refusal was somebody else's.
+# Longest total wait of a caller on the users' routes; an older refusal was one
+# of another caller.
 _KEPT_SECONDS = 15.0
-# At the peak of 2,500 requests a second half of which are refused, this is
-# about six seconds of refusals; the oldest are forgotten first.
+# About six seconds of refusals, at a peak of 2,500 requests a second of which
+# half are refused; the oldest are discarded first.
 _MAX_REFUSALS = 8192
 
 
@@ -31,16 +31,17 @@
     def record_refusal(
         self, content: ids.Fingerprint, arrived_at: float
     ) -> None:
-        """Take that a request was refused.
+        """Record a refused request.
 
-        :param arrived_at: when it, or the one that it repeats, came, in seconds.
+        :param arrived_at: when it, or the request that it repeats, came, in
+            seconds.
         """
         self.first_arrivals.setdefault(content, arrived_at)
         if len(self.first_arrivals) > _MAX_REFUSALS:
             self.first_arrivals.popitem(last=False)
 
     def waited_seconds(self, content: ids.Fingerprint, now: float) -> float:
-        """Give the seconds since a caller first asked, 0 for a newcomer.
+        """Return the seconds since a caller's first request, 0 for a new one.
 
         >>> some = Repeats()
         >>> some.record_refusal(ids.Fingerprint(7), 1)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/rests.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/rests.py
@@ -1,4 +1,4 @@
-"""Leaves servers alone for a while, and logs why."""
+"""Cooldowns of backend servers, with their log entries."""
 
 import enum
 
@@ -10,7 +10,7 @@
 
 
 class Cause(enum.Enum):
-    """What a server did that began a rest."""
+    """Fault of a server that starts a cooldown."""
 
     unreachable = 'unreachable'
     turned_away = 'turned_away'
@@ -24,10 +24,10 @@
     now: float,
     running: records.Running | None = None,
 ) -> None:
-    """Take a sign that a server is down, full or hangs.
+    """Record a sign that a server is unreachable, full or hangs.
 
     :param now: in seconds.
-    :param running: the request that met it, None for all that it was sent.
+    :param running: the request that met the fault, None if all of them did.
     """
     if _starts_cooldown(server, cause, now, running):
         eventlog.emit(
--- a/libs/scheduling/geraniumweir/scheduling/ontime/speeds.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/speeds.py
@@ -1,10 +1,10 @@
-"""Learns how fast each backend server is.
+"""Estimates of the speed of each backend server.
 
-A first token takes a fixed time and a time for each prompt token that is read
-before it; both differ from server to server (4.4 times between generations
-of hardware). They are fitted by least squares over decaying sums, starting
-from what all servers of the pool show, so that a new server counts as a usual
-one until its own first tokens come.
+A first token takes a fixed time and a time for each prompt token read before
+it; both differ between servers (4.4 times between generations of hardware).
+They are fitted by least squares over decaying sums [1]_, starting from the
+estimate for the whole pool, so that a new server counts as an average one until
+its own first tokens come.
 
 References
 ==========
@@ -14,10 +14,10 @@
 
 import dataclasses
 
-# Each further sample makes the older ones count for so much less; about 30
-# samples are remembered, a second or two at the usual load of a server.
+# Each further sample reduces the weight of older ones by this factor; about 30
+# samples count, a second or two at the usual load of a server.
 _DECAY = 0.97
-# A first guess, until the first answers: an engine that takes 60 ms for its
+# Initial guess until the first responses: an engine that takes 60 ms for its
 # first token and reads 50 prompt tokens in a millisecond.
 _FIXED_GUESS = 0.06
 _TOKEN_GUESS = 2e-5
@@ -25,7 +25,8 @@
 # Weight of the guess in samples; the second one is at a long prompt.
 _GUESS_WEIGHT = 1.0
 _GUESS_TOKENS = 4000.0
-# A fitted line may start below nothing; a first token takes a millisecond.
+# A fitted line may start below zero; a first token takes at least a
+# millisecond.
 _MIN_FIXED_SECONDS = 0.001
 
 
@@ -48,13 +49,13 @@
     _fit: tuple[float, float] | None = None
 
     def __post_init__(self) -> None:
-        """Start from the guess."""
+        """Initialize with samples of the guess."""
         self._put(0, _FIXED_GUESS, _GUESS_WEIGHT)
         at_long = _FIXED_GUESS + _GUESS_TOKENS * _TOKEN_GUESS
         self._put(_GUESS_TOKENS, at_long, _GUESS_WEIGHT)
 
     def add(self, tokens: float, seconds: float) -> None:
-        """Take a sample."""
+        """Add a sample."""
         self.weight *= _DECAY
         self.sum_x *= _DECAY
         self.sum_y *= _DECAY
@@ -63,14 +64,14 @@
         self._put(tokens, seconds, 1)
 
     def predict(self, tokens: float) -> float:
-        """Give the seconds predicted for a number of tokens."""
+        """Predict the seconds for a number of tokens."""
         fixed, slope = self.fit()
         return fixed + slope * tokens
 
     def fit(self) -> tuple[float, float]:
-        """Give the seconds for no tokens, and more for each token.
+        """Return the seconds for no tokens, and those for each token.
 
-        It is asked for much more often than samples come.
+        The result is cached: calls are much more frequent than samples.
         """
         if self._fit is None:
             slope = self._slope()
@@ -79,7 +80,7 @@
         return self._fit
 
     def slope(self) -> float:
-        """Give the seconds for each token."""
+        """Return the seconds per token."""
         return self.fit()[1]
 
     def _slope(self) -> float:
@@ -108,27 +109,28 @@
     mean: float | None = None
 
     def add(self, sample: float) -> None:
-        """Take a sample."""
+        """Add a sample."""
         if self.mean is None:
             self.mean = sample
         else:
             self.mean += (sample - self.mean) * (1 - _DECAY)
 
     def get(self, default: float) -> float:
-        """Give the mean, or a default before the first sample."""
+        """Return the mean, or a default before the first sample."""
         return default if self.mean is None else self.mean
 
 
 @dataclasses.dataclass(slots=True)
 class Speed:
-    """What is learnt of one server, or of a whole pool.
+    """Estimates of one server, or of a whole pool.
 
-    :ivar first_token_line: seconds to a first token by prompt tokens read before it.
+    :ivar first_token_line: seconds to a first token by the prompt tokens read
+        before it.
     :ivar decode: seconds for each output token.
     :ivar mean_gap: mean pause between a stream's events, in seconds.
-    :ivar longest_gap: the longest pause lately; it comes while long prompts are
-        read between the tokens of the others.
-    :ivar samples: first tokens seen.
+    :ivar longest_gap: longest recent pause, in seconds; it occurs while long
+        prompts are read between the tokens of running streams.
+    :ivar samples: number of first tokens.
     """
 
     first_token_line: Line = dataclasses.field(default_factory=Line)
@@ -138,31 +140,35 @@
     samples: int = 0
 
     def add_gaps(self, mean_seconds: float, longest: float) -> None:
-        """Take the pauses of a whole stream, in seconds."""
+        """Add the pauses of a complete stream, in seconds."""
         self.mean_gap.add(mean_seconds)
         self.longest_gap = max(longest, self.longest_gap * _DECAY)
 
 
-# A server's own figures count once it has shown this many first tokens.
+# A server's own estimates are used from this number of first tokens on.
 _MIN_SAMPLES = 3
 
 
 class SpeedEstimator:
-    """The speeds of a pool's servers, with the pool to fall back on."""
+    """Speeds of a pool's servers.
+
+    The pool's estimate is used for servers with few samples.
+    """
 
     def __init__(self) -> None:
-        """Know nothing."""
+        """Initialize with the guess."""
         self.pool = Speed()
 
     def first_token_seconds(self, server: Speed, tokens: float) -> float:
         """Predict the seconds to a first token.
 
-        :param tokens: read before it, those of others ahead included.
+        :param tokens: prompt tokens read before it, with those of requests
+            ahead.
         """
         return self.line(server).predict(tokens)
 
     def line(self, server: Speed) -> Line:
-        """Give what predicts a server's first tokens."""
+        """Return the line that predicts a server's first tokens."""
         speed = server if server.samples >= _MIN_SAMPLES else self.pool
         return speed.first_token_line
 
@@ -177,7 +183,11 @@
         tokens: float,
         seconds: float,
     ) -> None:
-        """Take a first token."""
+        """Add a first token.
+
+        :param tokens: prompt tokens read before it.
+        :param seconds: from the grant to the first token.
+        """
         for speed in (server, self.pool):
             speed.first_token_line.add(tokens, seconds)
             speed.samples += 1
@@ -188,9 +198,10 @@
         tokens: float,
         decode_seconds: float,
     ) -> None:
-        """Take a whole answer.
+        """Add a complete response.
 
-        :param tokens: that came after the first ones, 0 for none.
+        :param tokens: output tokens, 0 for none.
+        :param decode_seconds: time after the first token.
         """
         if tokens <= 0:
             return
--- a/libs/scheduling/geraniumweir/scheduling/ontime/state.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/state.py
@@ -1,4 +1,4 @@
-"""All that a leader knows; the decisions are free functions over it."""
+"""State of a leader; the decisions are functions that use it."""
 
 import asyncio
 import dataclasses
@@ -21,20 +21,20 @@
 )
 
 _MS = 1000
-# A pool with room to spare has a free slot again within this, in seconds.
+# A pool below high load has a free slot again within this time.
 _SHORT_RETRY_SECONDS = 0.2
-# One that newcomers fill is worth coming back to when a burst is over, some
+# In a pool that new requests fill, a retry is useful once a burst is over, some
 # seconds later.
 _LONG_RETRY_SECONDS = 3.0
-# The pace changes with what hundreds of requests do; it is worked out again
-# after so many seconds, not for each of them.
+# The pace is computed again after this time, not for each of hundreds of
+# requests.
 _PACE_SECONDS = 0.01
 # Above this load a queue of late requests hardly gets shorter.
 _HIGH_LOAD = 0.8
-# Callers are told to come back up to this part later than that.
+# Retry times are spread over up to this fraction more.
 _RETRY_SPREAD = 1.0
-# And within this part of the time that they have left: who is told to come
-# back at its end is lost for good.
+# Retry times are within this fraction of the caller's remaining time: a caller
+# that returns at its end can't be served any more.
 _MAX_RETRY_FRACTION = 0.5
 
 
@@ -43,27 +43,30 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class OnTimeLeaderState:
-    """All that a leader knows.
-
-    :ivar guide: decides what servers of which version may get.
-    :ivar rates: gives the requests a second that may be granted to servers
-        that name a limit.
-    :ivar pauses: gives the servers that want nothing from a host, and until
-        when, in seconds.
-    :ivar takeover_ends_at: nothing is granted before, in seconds.
-    :ivar server_seen_at: when a server was last known.
-    :ivar quickest: the server that is the first with a usual prompt, by what
-        was known when they were looked up; None without servers.
-    :ivar synced_at: when the servers were last looked up.
-    :ivar replaced_at: servers whose address another one took, and since when.
-    :ivar output_lengths: usual output tokens by rule.
-    :ivar path_quality: from entry hosts to servers.
+    """State of the leader of one pool.
+
+    :ivar now: returns the time in seconds on the loop's clock.
+    :ivar live: returns the pool's servers that may get requests.
+    :ivar guide: decides what servers of each version may get.
+    :ivar rates: returns the requests a second that may be granted to servers
+        that set a limit.
+    :ivar pauses: returns the servers that asked a host for a pause, and the end
+        of each pause in seconds.
+    :ivar takeover_ends_at: time before which nothing is granted, in seconds.
+    :ivar server_seen_at: when a server was last announced, in seconds.
+    :ivar quickest: server with the earliest first token for a reference prompt,
+        by the estimates of the last synchronization; None without servers.
+    :ivar synced_at: when the servers were last looked up, in seconds.
+    :ivar replaced_at: when another server took over the address of a server.
+    :ivar output_lengths: mean output tokens by rule.
+    :ivar path_quality: quality of the paths from entry hosts to servers.
     :ivar shares: what each class of requests got lately.
-    :ivar last_cycle_at: when what waits was last looked at, in seconds.
+    :ivar repeated: first arrivals of refused requests.
+    :ivar last_cycle_at: start of the last scheduling cycle, in seconds.
     :ivar interval: seconds from one free slot of the pool to the next.
-    :ivar hold_seconds: seconds for which a request usually keeps a slot.
-    :ivar paced_at: when these two were worked out.
-    :ivar logged_at: when the log was last told how the pool does.
+    :ivar hold_seconds: seconds for which a request usually holds a slot.
+    :ivar paced_at: when these two were computed, in seconds.
+    :ivar logged_at: when the state of the pool was last logged, in seconds.
     """
 
     pool: ids.PoolName
@@ -127,7 +130,7 @@
 
 
 def pace(leader: OnTimeLeaderState) -> ordering.Pace:
-    """Tell how fast the pool works and how much comes."""
+    """Return the slot rate and the arrival rate of the pool."""
     now = leader.now()
     if now - leader.paced_at >= _PACE_SECONDS:
         leader.paced_at = now
@@ -140,9 +143,9 @@
     slot_request: requests.Ask,
     reason: requests.DenialReason,
 ) -> requests.Denial:
-    """Make a denial, with the time in which a repeat may find a slot.
+    """Return a denial, with the time after which a retry may find a slot.
 
-    Spread out, so that those refused together don't come back together.
+    Times are spread so that callers refused together don't return together.
     """
     seconds = (
         _LONG_RETRY_SECONDS
@@ -161,9 +164,9 @@
     reason: requests.DenialReason,
     seconds: float | None = None,
 ) -> None:
-    """End a request that waits.
+    """Remove a waiting request and resolve it with a denial.
 
-    :param seconds: after which a repeat may find a slot, where that is known.
+    :param seconds: time after which a retry may find a slot, if it is known.
     """
     leader.waiting.pop(waiting.ask.request_id, None)
     if reason is not requests.DenialReason.withdrawn:
@@ -182,7 +185,7 @@
     server: records.Server | None,
     running: records.Running,
 ) -> None:
-    """Count a grant in use; its server may not be known yet."""
+    """Register a grant in use; its server may not be known yet."""
     leader.running[running.ask.request_id] = running
     if server is not None:
         server.add_running(running, leader.now())
--- a/libs/scheduling/geraniumweir/scheduling/ontime/trying.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/trying.py
@@ -1,19 +1,18 @@
-"""Shows a rollout's guide what the servers of each version do.
+"""Canary requests of a rollout, and reports of their results to its guide.
 
-Requests that the guide lets through go to one server of the new version
-after the other.
+Requests that the guide allows go to the servers of the new version in turn.
 """
 
 from geraniumweir.common import ids
 from geraniumweir.scheduling import requests
 from geraniumweir.scheduling.ontime import fleet, placing, records, state
 
-# Servers of the new version that get canary requests in turn.
+# Number of servers of the new version that get canary requests in turn.
 _CANARY_SERVERS = 3
-# While a part of all requests goes to the new version, so many servers are
-# compared for one, as among those that serve.
+# While a share of all requests goes to the new version, so many of its servers
+# are compared for a request, as many as of the servers that serve.
 _MAX_RAMP_SERVERS = 16
-# Quicker answers don't differ by their servers but by chance, in seconds.
+# First tokens quicker than this differ by chance, not by server.
 _MIN_COMPARED_SECONDS = 0.05
 
 
@@ -21,11 +20,12 @@
     leader: state.OnTimeLeaderState,
     estimates: placing.Estimates,
 ) -> list[placing.Offer]:
-    """List the server of the new version that canaries go to now.
+    """List the servers of the new version that get canary requests now.
 
-    One at a time, so that it bears as much as a server does, and another one
-    each time that canaries are let through: whether a server is broken or its
-    version shows only beside others.
+    One at a time, so that it bears the load of a usual server, and another one
+    each time that canaries are allowed: only a comparison with others shows
+    whether a single server or its version is broken. In the ramp up to
+    _MAX_RAMP_SERVERS are listed.
     """
     guide = leader.guide
     if not guide.runs:
@@ -49,8 +49,8 @@
 ) -> list[records.Server]:
     """Choose a few servers, in as many failure domains as there are.
 
-    Of few servers each shows enough to tell what is usual there, and a path
-    that is cut isn't taken for a bad version.
+    Few servers get enough requests each to show what is usual there, and a path
+    that is partitioned isn't mistaken for a bad version.
     """
     ranked = sorted(able, key=lambda server: server.server_id)
     by_domain: dict[ids.FailureDomain, records.Server] = {}
@@ -81,9 +81,10 @@
     waiting: records.Waiting,
     estimates: placing.Estimates,
 ) -> placing.Placement | None:
-    """Choose the server for a request that the guide lets through.
+    """Choose the server for a canary request.
 
-    One that is slow gets its part too: the guide must see that it is.
+    A slow server gets its share too, so that the guide can find out that it is
+    slow.
     """
     placement = placing.choose_on_time(offers, waiting, estimates)
     return placement or placing.choose_earliest(offers, waiting, estimates)
@@ -94,7 +95,7 @@
     server: records.Server,
     running: records.Running,
 ) -> None:
-    """Tell the guide how long a first token took."""
+    """Report the time to a first token to the guide."""
     if not leader.guide.runs or server.announcement.cold:
         return
     seconds = max(running.first_token or 0, _MIN_COMPARED_SECONDS)
@@ -108,7 +109,7 @@
     running: records.Running,
     release: requests.Release,
 ) -> None:
-    """Tell the guide how an answer ended."""
+    """Report the outcome of a response to the guide."""
     if not leader.guide.runs:
         return
     match release.outcome:
