--- a/libs/control/geraniumweir/control/crash_cases.py
+++ b/libs/control/geraniumweir/control/crash_cases.py
@@ -20,10 +20,10 @@
 _MAX_CASES = 64
 
 _Key = tuple[ids.Fingerprint, str, int, bool]
-Leaders = typing.Callable[[], typing.Iterable[leader.OnTimeLeader]]
+Leaders = typing.Callable[[], typing.Iterable[leader.OnTimePoolLeader]]
 
 
-def _no_leaders() -> tuple[leader.OnTimeLeader, ...]:
+def _no_leaders() -> tuple[leader.OnTimePoolLeader, ...]:
     return ()
 
 
@@ -52,7 +52,7 @@
         )
         link.handle(ttypes.Cases, self._on_cases)
 
-    def apply_to(self, new_leader: leader.OnTimeLeader) -> None:
+    def apply_to(self, new_leader: leader.OnTimePoolLeader) -> None:
         """Let a new leader know of the cases that still hold."""
         now = self._clock.now()
         aged = (
--- a/libs/control/geraniumweir/control/pool_coordination.py
+++ b/libs/control/geraniumweir/control/pool_coordination.py
@@ -74,7 +74,7 @@
     tolerance: quotas.Tolerance = quotas.Tolerance()
     guide: typing.Callable[[ids.PoolName], guiding.Guide] | None = None
     server_notices: notices.Notices | None = None
-    on_new_leader: typing.Callable[[leader.OnTimeLeader], None] | None = None
+    on_new_leader: typing.Callable[[leader.OnTimePoolLeader], None] | None = None
 
     def rates(self) -> dict[notices.ServerIncarnation, float]:
         """Give what may be granted here of the limits of servers."""
@@ -243,13 +243,13 @@
     deps: Dependencies,
     pool: ids.PoolName,
     clock: timers.TimerService,
-) -> leader.OnTimeLeader:
+) -> leader.OnTimePoolLeader:
     leader_settings = settings.LeaderSettings(
         pool,
         f'{deps.link.host_id}/{pool}',
         takeover_seconds=_TAKEOVER_SECONDS,
     )
-    new_leader = leader.OnTimeLeader(
+    new_leader = leader.OnTimePoolLeader(
         leader_settings,
         clock.now,
         lambda: deps.pool_servers.of_pool(
--- a/libs/scheduling/geraniumweir/scheduling/ontime/classes.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/classes.py
@@ -1,12 +1,12 @@
-"""How much each class of requests gets of what it asks for, lately.
+"""Share of slots and of timely service for each class of requests.
 
-A class is what shares a tier and a rank. Counts decay, so that they are over
-about the last ten seconds.
+A class is what shares a tier and a rank. Counts decay, so that they cover about
+the last ten seconds.
 
-In lasting overload the important classes take all slots if they may, and a
-class that needs few of them gets none. One that is served too seldom is owed
-a part of the slots' time, which it gets ahead of more important classes of
-its tier: a higher tier never gives way to a lower one.
+In lasting overload the important classes would take all slots, and a class that
+needs few of them would get none. A class that is served too seldom has a
+deficit: it gets a fraction of the slot time before more important classes of
+its tier. A higher tier never yields to a lower one.
 """
 
 import dataclasses
@@ -16,23 +16,24 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import requests
 
-# The counts are over about so many seconds: longer than bursts (2 to 5 s), so
-# that a class that gives way during one isn't taken for one that starves.
-_SECONDS = 10.0
-# A class is owed slots while less than this part of its callers was served in
+# Time constant of the counts: longer than bursts (2 to 5 s), so that a class
+# that yields during a burst doesn't count as starved.
+_WINDOW_SECONDS = 10.0
+# A class has a deficit while a smaller fraction of its callers was served in
 # time.
-_LEAST_SHARE = 0.35
-# So much of the slots' time goes to such classes at most, so that what is most
-# important may have a third of it, however much else comes.
-_OWED_PART = 0.65
-# A class that was asked for so seldom lately isn't judged, in callers.
-_FEW = 5.0
-# Weights begin anew after so many times that, long before they overflow.
-_LONGEST = 14.0
+_MIN_IN_TIME_RATIO = 0.35
+# Fraction of the slot time for classes with a deficit, so that the most
+# important class can have a third of it, whatever else arrives.
+_MAX_DEFICIT_FRACTION = 0.65
+# A class with fewer callers in the window isn't judged.
+_MIN_CALLERS = 5.0
+# Weights grow exponentially and are scaled down after so many windows, long
+# before they overflow.
+_MAX_WINDOWS = 14.0
 
 
 class Class(typing.NamedTuple):
-    """What requests of the same importance share; the least goes first."""
+    """Requests of the same importance; the lowest goes first."""
 
     tier: ids.Tier
     rank: int
@@ -40,29 +41,29 @@
 
 @dataclasses.dataclass(slots=True)
 class _Counts:
-    """What came of one class, newer ones at a greater weight.
+    """Decaying counts of one class, with a greater weight for newer events.
 
-    :ivar asked: callers that asked for the first time.
-    :ivar in_time: requests granted that could be on time.
-    :ivar held: seconds for which they were to keep a slot, late ones too.
-    :ivar ahead: of these, those that were granted because they were owed.
+    :ivar arrivals: callers with a first request.
+    :ivar in_time: grants to requests that could meet their targets.
+    :ivar hold_seconds: predicted slot time of all grants, also of late ones.
+    :ivar granted_ahead: the part of it that was granted because of a deficit.
     """
 
-    asked: float = 0
+    arrivals: float = 0
     in_time: float = 0
-    held: float = 0
-    ahead: float = 0
+    hold_seconds: float = 0
+    granted_ahead: float = 0
 
-    def shrink(self, passed: float) -> None:
-        """Begin weights anew.
+    def scale_down(self, elapsed_windows: float) -> None:
+        """Scale the counts to a new epoch of the weights.
 
-        :param passed: since they began, in the times that counts are over.
+        :param elapsed_windows: time since the last epoch, in windows.
         """
-        left = math.exp(-passed)
-        self.asked *= left
-        self.in_time *= left
-        self.held *= left
-        self.ahead *= left
+        remaining = math.exp(-elapsed_windows)
+        self.arrivals *= remaining
+        self.in_time *= remaining
+        self.hold_seconds *= remaining
+        self.granted_ahead *= remaining
 
 
 class Shares:
@@ -71,119 +72,128 @@
     >>> shares = Shares()
     >>> one = Class(ids.Tier.normal, 0)
     >>> for at in range(4):
-    ...     shares.asked(one, at)
-    >>> shares.granted(one, 0.5, late=False, now=4)
-    >>> round(shares.share(one), 1), shares.part(one)
+    ...     shares.record_arrival(one, at)
+    >>> shares.record_grant(one, 0.5, late=False, now=4)
+    >>> round(shares.in_time_ratio(one), 1), shares.slot_share(one)
     (0.3, 1.0)
     """
 
     def __init__(self) -> None:
-        """Begin without any."""
+        """Initialize without counts."""
         self._counts: dict[Class, _Counts] = {}
-        self._since = float('-inf')
+        self._epoch = float('-inf')
 
-    def asked(self, found: Class, now: float) -> None:
-        """Count a caller that asks for the first time."""
+    def record_arrival(self, request_class: Class, now: float) -> None:
+        """Count a first request of a caller."""
         weight = self._weight(now)
-        self._of(found).asked += weight
+        self._of(request_class).arrivals += weight
 
-    def granted(
+    def record_grant(
         self,
-        found: Class,
-        held: float,
+        request_class: Class,
+        hold_seconds: float,
         *,
         late: bool,
         now: float,
-        owed: bool = False,
+        for_deficit: bool = False,
     ) -> None:
         """Count a grant.
 
-        :param held: seconds for which it is to keep a slot.
-        :param owed: it went ahead of what is more important.
+        :param hold_seconds: predicted time for which it holds a slot.
+        :param late: whether its target can't be met any more.
+        :param for_deficit: whether it went before more important requests.
         """
         weight = self._weight(now)
-        counts = self._of(found)
-        counts.held += held * weight
-        if owed:
-            counts.ahead += held * weight
+        counts = self._of(request_class)
+        counts.hold_seconds += hold_seconds * weight
+        if for_deficit:
+            counts.granted_ahead += hold_seconds * weight
         if not late:
             counts.in_time += weight
 
-    def share(self, found: Class) -> float:
-        """Give the part of a class's callers that were served in time."""
-        counts = self._of(found)
-        return min(counts.in_time / counts.asked, 1) if counts.asked else 1
+    def in_time_ratio(self, request_class: Class) -> float:
+        """Return the fraction of a class's callers that were served in time."""
+        counts = self._of(request_class)
+        return (
+            min(counts.in_time / counts.arrivals, 1) if counts.arrivals else 1
+        )
 
-    def part(self, found: Class) -> float:
-        """Give the part of the slots' time that a class got."""
-        whole = self._whole()
-        return self._of(found).held / whole if whole else 0
+    def slot_share(self, request_class: Class) -> float:
+        """Return the fraction of the slot time that a class got."""
+        total = self._total()
+        return self._of(request_class).hold_seconds / total if total else 0
 
-    def owed(self, now: float) -> dict[Class, float]:
-        """Give the classes that go ahead of more important ones.
+    def deficits(self, now: float) -> dict[Class, float]:
+        """Return the classes that go before more important ones.
 
-        Those that took least of what is owed come first, so that one that
-        needs few slots isn't kept from them by one that needs many.
+        Classes that got the least slot time for their deficit come first, so
+        that one that needs few slots isn't starved by one that needs many.
 
-        :returns: with the part of their callers that were served in time.
+        :returns: the fraction of their callers that were served in time, by
+            class.
         """
-        left = _OWED_PART * self._whole()
-        found = {}
-        for one in sorted(self._starving(now), key=self._ahead):
-            left -= self._ahead(one)
-            if left > 0:
-                found[one] = self.share(one)
-        return found
-
-    def known(self) -> list[Class]:
+        remaining = _MAX_DEFICIT_FRACTION * self._total()
+        selected = {}
+        for one in sorted(self._starved(now), key=self._ahead):
+            remaining -= self._ahead(one)
+            if remaining > 0:
+                selected[one] = self.in_time_ratio(one)
+        return selected
+
+    def by_importance(self) -> list[Class]:
         """List the classes, the most important first."""
         return sorted(self._counts)
 
-    def outline(self) -> dict[str, str]:
-        """Give what each class got, for the log."""
+    def log_summary(self) -> dict[str, str]:
+        """Return what each class got, for the log."""
         return {
-            f'{found.tier:d}/{found.rank}': (
-                f'in time {self.share(found):.2f} slots {self.part(found):.2f}'
+            f'{request_class.tier:d}/{request_class.rank}': (
+                f'in time {self.in_time_ratio(request_class):.2f} '
+                f'slots {self.slot_share(request_class):.2f}'
             )
-            for found in self.known()
+            for request_class in self.by_importance()
         }
 
-    def _starving(self, now: float) -> list[Class]:
+    def _starved(self, now: float) -> list[Class]:
         """List the classes that are served too seldom.
 
-        None that is served as often as what it would go ahead of.
+        A class that is served as often as the ones it would go before isn't
+        listed.
         """
-        few = _FEW * self._weight(now)
-        found = []
-        least: dict[ids.Tier, float] = {}
-        for one in self.known():
-            share = self.share(one)
-            above = least.get(one.tier, 0)
-            if share < min(_LEAST_SHARE, above) and self._of(one).asked > few:
-                found.append(one)
-            least[one.tier] = min(least.get(one.tier, 1), share)
-        return found
-
-    def _ahead(self, found: Class) -> float:
-        return self._of(found).ahead
-
-    def _whole(self) -> float:
-        return sum(counts.held for counts in self._counts.values())
-
-    def _of(self, found: Class) -> _Counts:
-        return self._counts.setdefault(found, _Counts())
+        min_arrivals = _MIN_CALLERS * self._weight(now)
+        selected = []
+        lowest: dict[ids.Tier, float] = {}
+        for one in self.by_importance():
+            in_time_ratio = self.in_time_ratio(one)
+            above = lowest.get(one.tier, 0)
+            if (
+                in_time_ratio < min(_MIN_IN_TIME_RATIO, above)
+                and self._of(one).arrivals > min_arrivals
+            ):
+                selected.append(one)
+            lowest[one.tier] = min(lowest.get(one.tier, 1), in_time_ratio)
+        return selected
+
+    def _ahead(self, request_class: Class) -> float:
+        return self._of(request_class).granted_ahead
+
+    def _total(self) -> float:
+        return sum(counts.hold_seconds for counts in self._counts.values())
+
+    def _of(self, request_class: Class) -> _Counts:
+        return self._counts.setdefault(request_class, _Counts())
 
     def _weight(self, now: float) -> float:
-        """Give how much something counts now, beside what came before."""
-        passed = (now - self._since) / _SECONDS
-        if passed < _LONGEST:
-            return math.exp(passed)
-        self._since = now
+        """Return the weight of an event now, relative to the epoch."""
+        elapsed_windows = (now - self._epoch) / _WINDOW_SECONDS
+        if elapsed_windows < _MAX_WINDOWS:
+            return math.exp(elapsed_windows)
+        self._epoch = now
         for counts in self._counts.values():
-            counts.shrink(passed)
+            counts.scale_down(elapsed_windows)
         return 1
 
 
 def class_of(slot_request: requests.SlotRequest) -> Class:
-    """Give the class of a request."""
+    """Return the class of a request."""
     return Class(slot_request.tier, slot_request.rank)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/conditions.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/conditions.py
@@ -1,11 +1,11 @@
-"""Notices backend servers that are down, full, hang or fail.
+"""Health of a backend server, as its own responses show it.
 
-Reports and health checks say little of it: a server can be silent to control
+Reports and health checks don't suffice: a server can be unreachable for control
 hosts and work, or answer checks and hang. So a server is judged by its own
-answers. One that can't be reached, or breaks off, rests for a moment that
-doubles with each repeat, then gets one request at a time until one ends well.
-One that turns requests away is full: it gets fewer at a time, and more again
-with each answer, as a congestion window is cut and grows [1]_.
+responses. One that can't be reached, or closes connections early, gets nothing
+during a cooldown that doubles with each repeat, then one request at a time
+until one succeeds. One that rejects requests is full: its concurrency limit is
+cut and grows again with each response, like a congestion window [1]_.
 
 References
 ==========
@@ -15,138 +15,153 @@
 
 import dataclasses
 
-# The first rest, in seconds: a connection that was lost on the way is no
-# reason to leave a server out for long; a restart takes seconds.
-_FIRST_REST = 0.25
-# A server that came back is tried again within this, in seconds.
-_LONGEST_REST = 4.0
-_GROWTH = 2
-# Requests that break off on a sound server are rare; two in a row aren't.
-_BREAKS_IN_ROW = 2
-# One connection that fails may be the path's fault or its host's.
-_MISSES_IN_ROW = 2
-# A server that is full keeps this part of what it had.
-_CUT = 0.7
-# One that turns away all that it gets takes a few cuts to be left alone.
-_LEAST_LIMIT = 1
-# Share of answers that were failures of the server itself, by a decaying
-# mean over about ten answers.
+# First cooldown: a connection that was lost on the path is no reason to leave a
+# server out for long, while a restart takes seconds.
+_MIN_COOLDOWN_SECONDS = 0.25
+# A server that came back is probed within this time.
+_MAX_COOLDOWN_SECONDS = 4.0
+_COOLDOWN_GROWTH = 2
+# Incomplete responses of a sound server are rare; two in a row show a fault.
+_TRUNCATED_IN_ROW = 2
+# One connection that fails may be due to the path or the entry host.
+_UNREACHABLE_IN_ROW = 2
+# A full server keeps this fraction of its concurrency.
+_LIMIT_CUT_FACTOR = 0.7
+# A server that rejects everything needs a few cuts until its cooldown starts.
+_MIN_LIMIT = 1
+# Weight of one response in the failure ratio: a decaying mean over about ten.
 _FAILURE_WEIGHT = 0.1
 
 
 @dataclasses.dataclass(slots=True)
 class Condition:
-    """What is thought of one server.
-
-    :ivar until: end of its rest, in seconds.
-    :ivar rested_at: when its last rest began; what was sent before says
-        nothing about it any more.
-    :ivar trusted: it may get as many requests as it has slots.
-    :ivar failing: share of answers that were failures, lately.
-    :ivar limit: requests that it takes at a time, where it was full lately.
+    """Health of one server.
+
+    :ivar cooldown_until: end of its cooldown, in seconds.
+    :ivar cooldown_started_at: start of its last cooldown, in seconds; what was
+        sent before says nothing about it any more.
+    :ivar trusted: whether it may get as many requests as it has slots.
+    :ivar failure_ratio: fraction of recent responses that were failures.
+    :ivar concurrency_limit: concurrent requests that it takes, where it was
+        full lately.
     """
 
-    until: float = float('-inf')
-    rested_at: float = float('-inf')
+    cooldown_until: float = float('-inf')
+    cooldown_started_at: float = float('-inf')
     trusted: bool = True
-    failing: float = 0
-    limit: float = float('inf')
-    _rest: float = _FIRST_REST
-    _breaks: int = 0
-    _misses: int = 0
-    _cut_at: float = float('-inf')
+    failure_ratio: float = 0
+    concurrency_limit: float = float('inf')
+    _cooldown_seconds: float = _MIN_COOLDOWN_SECONDS
+    _truncated_in_row: int = 0
+    _unreachable_in_row: int = 0
+    _limit_cut_at: float = float('-inf')
 
-    def most(self, slots: int, now: float) -> int:
-        """Give how many requests it may run.
+    def max_requests(self, slots: int, now: float) -> int:
+        """Return the number of requests that it may run now.
 
         >>> tired = Condition()
-        >>> tired.hung(10)
+        >>> tired.record_hang(10)
         True
-        >>> tired.most(8, 10.1), tired.most(8, 11)
+        >>> tired.max_requests(8, 10.1), tired.max_requests(8, 11)
         (0, 1)
-        >>> tired.good()
-        >>> tired.most(8, 11)
+        >>> tired.record_success()
+        >>> tired.max_requests(8, 11)
         8
         """
-        if now < self.until:
+        if now < self.cooldown_until:
             return 0
         return self._allowed(slots) if self.trusted else 1
 
-    def expected(self, slots: int, now: float) -> int:
-        """Give how many requests it is thought to run before long.
+    def expected_requests(self, slots: int, now: float) -> int:
+        """Return the number of requests that it is expected to run soon.
 
-        A first short rest is no reason to send callers away.
+        A first short cooldown is no reason to refuse callers.
         """
-        if now - self.rested_at < _FIRST_REST * _GROWTH:
+        if (
+            now - self.cooldown_started_at
+            < _MIN_COOLDOWN_SECONDS * _COOLDOWN_GROWTH
+        ):
             return self._allowed(slots)
-        return max(self.most(slots, now), 1)
+        return max(self.max_requests(slots, now), 1)
 
-    def hung(self, now: float) -> bool:
-        """Take that nothing came of all that it was sent.
+    def record_hang(self, now: float) -> bool:
+        """Record that no response came to any request it was sent.
 
-        :returns: whether a rest begins.
+        :returns: whether a cooldown starts.
         """
-        return self._start_rest(now)
+        return self._start_cooldown(now)
 
-    def unreachable(self, now: float) -> bool:
-        """Take that it couldn't be reached.
+    def record_unreachable(self, now: float) -> bool:
+        """Record a connection that failed.
 
-        :returns: whether a rest begins.
+        :returns: whether a cooldown starts.
         """
-        self._misses += 1
-        if self.trusted and self._misses < _MISSES_IN_ROW:
+        self._unreachable_in_row += 1
+        if self.trusted and self._unreachable_in_row < _UNREACHABLE_IN_ROW:
             return False
-        return self._start_rest(now)
+        return self._start_cooldown(now)
 
-    def turned_away(self, running: int, granted: float, now: float) -> bool:
-        """Take that it was full.
+    def record_rejection(
+        self, running: int, granted_at: float, now: float
+    ) -> bool:
+        """Record that it rejected a request as it was full.
 
-        What was granted before the last cut says nothing of the present
-        limit.
+        Rejections of requests granted before the last cut don't show that the
+        present limit is too high.
 
-        :param running: requests that it has besides.
-        :param granted: when the one that it turned away was, in seconds.
-        :returns: whether a rest begins.
+        :param running: number of its other requests.
+        :param granted_at: when the rejected request was granted, in seconds.
+        :returns: whether a cooldown starts.
         """
-        if granted < self._cut_at:
+        if granted_at < self._limit_cut_at:
             return False
-        self._cut_at = now
-        if running < _LEAST_LIMIT or not self.trusted:
-            return self._start_rest(now)
-        self.limit = max(min(self.limit, running) * _CUT, _LEAST_LIMIT)
+        self._limit_cut_at = now
+        if running < _MIN_LIMIT or not self.trusted:
+            return self._start_cooldown(now)
+        self.concurrency_limit = max(
+            min(self.concurrency_limit, running) * _LIMIT_CUT_FACTOR, _MIN_LIMIT
+        )
         return False
 
-    def broke_off(self, now: float) -> bool:
-        """Take that an answer broke off or never came.
+    def record_truncation(self, now: float) -> bool:
+        """Record a response that was incomplete or never came.
 
-        :returns: whether a rest begins.
+        :returns: whether a cooldown starts.
         """
-        self._breaks += 1
-        return self._breaks >= _BREAKS_IN_ROW and self._start_rest(now)
-
-    def answered(self, *, well: bool) -> None:
-        """Take a whole answer; it may be a failure of its application."""
-        missing = float(not well) - self.failing
-        self.failing += missing * _FAILURE_WEIGHT
-        self.limit += 1 / self.limit
-        self.good()
-
-    def good(self) -> None:
-        """Take a sign that it works."""
+        self._truncated_in_row += 1
+        return (
+            self._truncated_in_row >= _TRUNCATED_IN_ROW
+            and self._start_cooldown(now)
+        )
+
+    def record_answer(self, *, well: bool) -> None:
+        """Record a complete response.
+
+        :param well: False if it was a failure of the application.
+        """
+        difference = float(not well) - self.failure_ratio
+        self.failure_ratio += difference * _FAILURE_WEIGHT
+        self.concurrency_limit += 1 / self.concurrency_limit
+        self.record_success()
+
+    def record_success(self) -> None:
+        """Record a sign that it works."""
         self.trusted = True
-        self._breaks = 0
-        self._misses = 0
-        self._rest = _FIRST_REST
-        self.until = float('-inf')
+        self._truncated_in_row = 0
+        self._unreachable_in_row = 0
+        self._cooldown_seconds = _MIN_COOLDOWN_SECONDS
+        self.cooldown_until = float('-inf')
 
     def _allowed(self, slots: int) -> int:
-        return int(min(slots, max(self.limit, _LEAST_LIMIT)))
+        return int(min(slots, max(self.concurrency_limit, _MIN_LIMIT)))
 
-    def _start_rest(self, now: float) -> bool:
-        if now < self.until:
+    def _start_cooldown(self, now: float) -> bool:
+        if now < self.cooldown_until:
             return False
         self.trusted = False
-        self.rested_at = now
-        self.until = now + self._rest
-        self._rest = min(self._rest * _GROWTH, _LONGEST_REST)
+        self.cooldown_started_at = now
+        self.cooldown_until = now + self._cooldown_seconds
+        self._cooldown_seconds = min(
+            self._cooldown_seconds * _COOLDOWN_GROWTH, _MAX_COOLDOWN_SECONDS
+        )
         return True
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -1,6 +1,6 @@
-"""Grants the capacity of one pool so that first tokens come on time.
+"""Pool leader that grants slots so that first tokens come before their targets.
 
-The face is that of :class:`geraniumweir.scheduling.leader.PoolLeader`. The
+It has the interface of :class:`geraniumweir.scheduling.leader.PoolLeader`. Its
 state is soft: a new leader adopts the grants in use.
 
 See Also
@@ -38,8 +38,8 @@
     return {}
 
 
-class OnTimeLeader:
-    """Grants the capacity of one pool."""
+class OnTimePoolLeader:
+    """Leader of one pool whose requests have targets for their first tokens."""
 
     def __init__(
         self,
@@ -53,44 +53,44 @@
         ] = dict,
         pauses: state.Pauses = _no_pauses,
     ) -> None:
-        """Start with an empty queue.
-
-        :param now: gives the time in seconds, the loop's clock.
-        :param live: gives the pool's backend servers that may get work.
-        :param guide: decides what servers of which version may get.
-        :param rates: gives the requests a second that may be granted here to
-            servers that name a limit.
-        :param pauses: gives the servers that want nothing from a host for a
-            while.
+        """Initialize with an empty queue.
+
+        :param now: returns the time in seconds on the loop's clock.
+        :param live: returns the pool's backend servers that may get requests.
+        :param guide: decides what servers of each version may get.
+        :param rates: returns the requests a second that may be granted here to
+            servers that set a limit.
+        :param pauses: returns the servers that asked a host for a pause, with
+            the end of each pause.
         """
-        self._state = state.LeaderState(
+        self._state = state.OnTimeLeaderState(
             pool=cfg.pool,
             now=now,
             live=live,
             suspects=suspects.Suspects(cfg.quarantine_seconds, cfg.origin),
-            dice=random.Random(cfg.seed),
+            rng=random.Random(cfg.seed),
             guide=guide or guiding.Guide(lambda: None, now),
             rates=rates,
             pauses=pauses,
-            settle_by=now() + cfg.takeover_seconds,
-            served_at=now(),
+            takeover_ends_at=now() + cfg.takeover_seconds,
+            server_seen_at=now(),
         )
 
     @property
     def suspects(self) -> suspects.Suspects:
-        """Give what is known of requests that crash servers."""
+        """Return the requests suspected of crashing servers."""
         return self._state.suspects
 
     async def request_slot(
         self,
         slot_request: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
-        """Wait for a backend server.
+        """Wait for a slot on a backend server.
 
-        A repeated ask of a waiting id joins it; of a granted id it gets the
-        same grant again.
+        A repeated request with the id of a waiting one joins it; with the id of
+        a granted one it gets the same grant again.
 
-        :param slot_request: what waits; its times are on the leader's clock.
+        :param slot_request: its times are on the leader's clock.
         """
         running = self._state.running.get(slot_request.request_id)
         if running is not None:
@@ -101,7 +101,7 @@
             if denied is not None:
                 return denied
             waiting = self._enqueue(slot_request)
-            granting.fill(self._state)
+            granting.trigger_cycle(self._state)
         return await joining.wait_for_answer(
             self,
             waiting,
@@ -109,46 +109,48 @@
         )
 
     def withdraw(self, request_id: ids.RequestId) -> None:
-        """Drop a request whose caller went away while it waited."""
+        """Remove a waiting request whose caller left."""
         waiting = self._state.waiting.get(request_id)
         if waiting is not None:
             withdrawn = requests.DenialReason.withdrawn
             state.refuse(self._state, waiting, withdrawn)
 
     def progress(self, progress: requests.Progress) -> None:
-        """Take that the first token of granted work came."""
+        """Record the first token of a granted request."""
         running = self._state.running.get(progress.request_id)
         if running is not None and progress.first_token is not None:
-            lessons.first_token(self._state, running, progress.first_token)
+            lessons.record_first_token(
+                self._state, running, progress.first_token
+            )
 
     def release(self, release: requests.Release) -> None:
-        """Take back a grant and serve who waits; a repeat is ignored."""
+        """Release a grant and run a cycle; a repeated release is ignored."""
         running = self._state.running.pop(release.request_id, None)
         if running is None:
             return
-        lessons.ended(self._state, running, release)
+        lessons.record_end(self._state, running, release)
         server = fleet.server_of(self._state, running)
         if server is not None:
-            server.end(
+            server.remove_running(
                 release.request_id,
                 self._state.now(),
                 answered=release.outcome in lessons.ANSWERED,
             )
-        granting.fill(self._state)
+        granting.trigger_cycle(self._state)
 
     def server_crashed(
         self,
         server_id: ids.ServerId,
         _incarnation: ids.Incarnation,
     ) -> None:
-        """Take that a server crashed; its requests are suspected."""
+        """Record the crash of a server; its requests are suspected of it."""
         server = self._state.servers.pop(server_id, None)
         if server is not None:
             lost = [
                 one.slot_request.fingerprint for one in server.running.values()
             ]
             self._state.suspects.record_crash(lost, self._state.now())
-            granting.fill(self._state)
+            granting.trigger_cycle(self._state)
 
     def owner_gone(self, owner: ids.HostId) -> None:
         """End the grants and the waiting requests of a lost entry host."""
@@ -162,38 +164,43 @@
                 self.release(requests.Release(request_id, cancelled))
 
     def adopt(self, grants: typing.Sequence[requests.OpenGrant]) -> None:
-        """Take over grants in use that another leader gave."""
+        """Adopt grants in use that another leader made."""
         fleet.sync(self._state)
-        for taken in grants:
-            if taken.slot_request.request_id not in self._state.running:
-                self._adopt(taken)
+        for open_grant in grants:
+            if open_grant.slot_request.request_id not in self._state.running:
+                self._adopt(open_grant)
 
     def takeover_complete(self) -> None:
-        """Keep to the settle window: owners hand over by themselves."""
+        """Do nothing; grants start at the end of the takeover time.
+
+        Owners hand over their grants by themselves until then.
+        """
 
     def grant_waiting(self) -> None:
-        """Take that announcements or the configuration changed.
+        """Apply a change of the announcements or the configuration.
 
-        A crash is taken at once: its suspects may be asking again.
+        Servers are looked up at once, as the requests suspected of a crash may
+        already be repeated.
         """
-        fleet.changed(self._state)
+        fleet.request_sync(self._state)
         fleet.sync(self._state)
-        granting.fill(self._state)
+        granting.trigger_cycle(self._state)
 
     def rollout_load(self) -> guiding.Load:
-        """Tell how the pool does, for its rollout."""
+        """Return the load of the pool, for its rollout."""
         fleet.sync(self._state)
         return fleet.rollout_load(self._state)
 
     def _deny_at_once(
         self, slot_request: requests.SlotRequest
+    
     ) -> requests.Denial | None:
         now = self._state.now()
-        known = self._state.suspects
-        verdict = known.verdict(slot_request.fingerprint, now)
+        suspected = self._state.suspects
+        verdict = suspected.verdict(slot_request.fingerprint, now)
         if verdict is suspects.Verdict.quarantined:
             reason = requests.DenialReason.quarantined
-            wait = known.remaining_seconds(slot_request.fingerprint, now)
+            wait = suspected.remaining_seconds(slot_request.fingerprint, now)
             return requests.Denial(
                 slot_request.request_id, reason, int(wait * _MS)
             )
@@ -205,33 +212,37 @@
     def _enqueue(self, slot_request: requests.SlotRequest) -> records.Waiting:
         now = self._state.now()
         self._state.sequence += 1
-        self._state.arriving.note(now)
-        waited = self._state.repeated.waited(slot_request.fingerprint, now)
-        if not waited:
-            self._state.shares.asked(classes.class_of(slot_request), now)
+        self._state.arrival_rate.record(now)
+        waited_seconds = self._state.repeated.waited_seconds(
+            slot_request.fingerprint, now
+        )
+        if not waited_seconds:
+            self._state.shares.record_arrival(
+                classes.class_of(slot_request), now
+            )
         waiting = records.Waiting(
             slot_request,
             self._state.sequence,
             now,
-            waited,
+            waited_seconds,
             lessons.expected_tokens(self._state, slot_request),
             asyncio.get_running_loop().create_future(),
         )
         self._state.waiting[slot_request.request_id] = waiting
         return waiting
 
-    def _adopt(self, taken: requests.OpenGrant) -> None:
-        waiting = self._state.waiting.pop(taken.slot_request.request_id, None)
+    def _adopt(self, open_grant: requests.OpenGrant) -> None:
+        waiting = self._state.waiting.pop(open_grant.slot_request.request_id, None)
         if waiting is not None:
-            waiting.fut.set_result(taken.grant)
+            waiting.fut.set_result(open_grant.grant)
         running = records.Running(
-            slot_request=taken.slot_request,
-            grant=taken.grant,
-            granted=self._state.now() - taken.age,
-            read_tokens=taken.slot_request.prompt_tokens,
-            predicted=taken.age,
-            tokens=lessons.expected_tokens(self._state, taken.slot_request),
-            first_token=taken.first_token,
+            slot_request=open_grant.slot_request,
+            grant=open_grant.grant,
+            granted_at=self._state.now() - open_grant.age,
+            read_tokens=open_grant.slot_request.prompt_tokens,
+            predicted=open_grant.age,
+            tokens=lessons.expected_tokens(self._state, open_grant.slot_request),
+            first_token=open_grant.first_token,
         )
         server = fleet.server_of(self._state, running)
-        state.run(self._state, server, running)
+        state.register_running(self._state, server, running)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
@@ -1,4 +1,4 @@
-"""Learns from how granted work goes on and ends."""
+"""Updates of the estimates from the progress and end of granted requests."""
 
 import typing
 
@@ -12,94 +12,105 @@
     trying,
 )
 
-# Answers are about half as long as the most that callers allow them to be.
-_USUAL_PART = 0.5
-# The server worked on it for as long as the request takes.
+# Outputs are about half as long as the maximum that callers set.
+_USUAL_LENGTH_RATIO = 0.5
+# Outcomes for which the server worked on the request for its full duration.
 ANSWERED: typing.Final = frozenset(
     (requests.Outcome.done, requests.Outcome.answered_failure),
 )
-# Lengths differ a hundredfold; their mean is over some ten answers.
+# Output lengths differ a hundredfold; their mean is over some ten responses.
 _LENGTH_WEIGHT = 0.1
 
 
 def expected_tokens(
-    leader: state.LeaderState, slot_request: requests.SlotRequest
+    leader: state.OnTimeLeaderState, slot_request: requests.SlotRequest
+
 ) -> float:
-    """Give the output tokens to expect: as said, as usual, or half."""
+    """Return the output tokens to expect.
+
+    The caller's own estimate, or else the usual length for its rule, or else
+    half of the maximum.
+    """
     most = slot_request.max_tokens or float('inf')
-    usual = leader.lengths.get(
-        slot_request.rule, slot_request.max_tokens * _USUAL_PART
+    usual = leader.output_lengths.get(
+        slot_request.rule, slot_request.max_tokens * _USUAL_LENGTH_RATIO
+    
     )
     return min(slot_request.likely_tokens or usual, most)
 
 
-def first_token(
-    leader: state.LeaderState,
+def record_first_token(
+    leader: state.OnTimeLeaderState,
     running: records.Running,
     seconds: float,
 ) -> None:
-    """Take that the first token came, so many seconds after the grant."""
+    """Record that the first token came.
+
+    :param seconds: from the grant to the first token.
+    """
     if running.first_token is not None:
         return
     running.first_token = seconds
     server = fleet.server_of(leader, running)
     if server is None:
         return
-    trying.first_came(leader, server, running)
-    server.unborn.pop(running.slot_request.request_id, None)
-    server.last_sign = leader.now()
-    server.last_good = server.last_sign
-    leader.learnt.learn_first(server.speed, running.read_tokens, seconds)
-    server.condition.good()
+    trying.first_token_arrived(leader, server, running)
+    server.prefilling.pop(running.slot_request.request_id, None)
+    server.last_first_token_at = leader.now()
+    server.last_success_at = server.last_first_token_at
+    leader.estimates.add_first_token(server.speed, running.read_tokens, seconds)
+    server.condition.record_success()
 
 
-def ended(
-    leader: state.LeaderState,
+def record_end(
+    leader: state.OnTimeLeaderState,
     running: records.Running,
     release: requests.Release,
 ) -> None:
-    """Take how work ended."""
+    """Record the end of a granted request."""
     server = fleet.server_of(leader, running)
     if server is None:
         return
-    trying.ended(leader, server, running, release)
+    trying.answer_ended(leader, server, running, release)
     now = leader.now()
     match release.outcome:
         case requests.Outcome.done:
-            _note_path(leader, running, server, _was_held_up(running, release))
-            _whole(leader, server, running, release)
-            server.condition.answered(well=True)
-            server.last_good = now
+            _record_path(
+                leader, running, server, _was_delayed(running, release)
+            )
+            _record_complete_response(leader, server, running, release)
+            server.condition.record_answer(well=True)
+            server.last_success_at = now
             leader.suspects.record_success(running.slot_request.fingerprint)
         case requests.Outcome.answered_failure:
-            server.condition.answered(well=False)
+            server.condition.record_answer(well=False)
         case requests.Outcome.not_sent:
-            _note_path(leader, running, server, held_up=True)
-            rests.note(server, rests.Cause.unreachable, now, running)
+            _record_path(leader, running, server, delayed=True)
+            rests.record_fault(server, rests.Cause.unreachable, now, running)
         case requests.Outcome.turned_away:
-            rests.note(server, rests.Cause.turned_away, now, running)
+            rests.record_fault(server, rests.Cause.turned_away, now, running)
         case requests.Outcome.wrong_server:
-            fleet.replaced(leader, server)
+            fleet.server_replaced(leader, server)
         case requests.Outcome.failed | requests.Outcome.crashed:
-            _broke_off(leader, running, server)
+            _record_truncation(leader, running, server)
         case (
             requests.Outcome.cancelled
             | requests.Outcome.preempted
             | requests.Outcome.given_up
         ):
-            # Their owners ended them, the server did nothing.
+            # Ended by their owners; that says nothing about the server.
             pass
 
 
-def _broke_off(
-    leader: state.LeaderState,
+def _record_truncation(
+    leader: state.OnTimeLeaderState,
     running: records.Running,
     server: records.Server,
 ) -> None:
     now = leader.now()
-    _note_path(leader, running, server, held_up=True)
-    rests.note(server, rests.Cause.broke_off, now, running)
-    server.broken.append((now, running.slot_request.fingerprint))
+    _record_path(leader, running, server, delayed=True)
+    rests.record_fault(server, rests.Cause.broke_off, now, running)
+    server.incomplete_answers.append((now, running.slot_request.fingerprint))
     leader.suspects.record_incomplete(
         running.slot_request.fingerprint,
         server.server_id,
@@ -107,52 +118,53 @@
     )
 
 
-def _note_path(
-    leader: state.LeaderState,
+def _record_path(
+    leader: state.OnTimeLeaderState,
     running: records.Running,
     server: records.Server,
-    held_up: bool,
+    delayed: bool,
 ) -> None:
-    leader.path_quality.note(
+    leader.path_quality.record(
         running.slot_request.failure_domain,
         server.announcement.failure_domain,
-        held_up=held_up,
+        delayed=delayed,
         now=leader.now(),
     )
 
 
-def _was_held_up(
+def _was_delayed(
     running: records.Running,
     release: requests.Release,
 ) -> bool:
     if release.first_token is None:
         return False
     late = release.first_token - running.predicted
-    return paths.is_stall(release.longest_gap) or paths.is_stall(late)
+    return paths.is_loss_pause(release.longest_gap) or paths.is_loss_pause(late)
 
 
-def _whole(
-    leader: state.LeaderState,
+def _record_complete_response(
+    leader: state.OnTimeLeaderState,
     server: records.Server,
     running: records.Running,
     release: requests.Release,
 ) -> None:
     if release.first_token is not None:
-        first_token(leader, running, release.first_token)
+        record_first_token(leader, running, release.first_token)
     first = running.first_token or 0
-    leader.learnt.learn_end(
+    leader.estimates.add_response(
         server.speed,
         release.output_tokens,
         release.seconds - first,
     )
-    # Taken for the engine's, a pause of the path keeps long prompts off it.
-    if release.longest_gap and not fleet.path_holds_up(
+    # A pause caused by the path must not count as one of the engine: it would
+    # keep long prompts off the server.
+    if release.longest_gap and not fleet.path_delays(
         leader,
         running,
         server,
     ):
-        server.speed.learn_gaps(release.usual_gap, release.longest_gap)
+        server.speed.add_gaps(release.usual_gap, release.longest_gap)
     rule = running.slot_request.rule
-    usual = leader.lengths.get(rule, release.output_tokens)
+    usual = leader.output_lengths.get(rule, release.output_tokens)
     change = (release.output_tokens - usual) * _LENGTH_WEIGHT
-    leader.lengths[rule] = usual + change
+    leader.output_lengths[rule] = usual + change
--- a/libs/scheduling/geraniumweir/scheduling/ontime/ordering.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/ordering.py
@@ -1,29 +1,30 @@
-"""Which of the waiting go first, and which can't be served any more.
+"""Order in which waiting requests are granted slots, and which are refused.
 
 Requests that can still meet their targets are taken in the order of their
-latest useful starts, which serves all of them in time as long as that is
-possible at all. Where it isn't, the least important of those taken so far
-gives way, the lowest tier first: what is left can still be served in time,
-and nothing of a lower tier costs a higher one its place.
+latest useful start times, which serves all of them in time whenever that is
+possible. Otherwise the least important request taken so far is rejected, lowest
+tier first [1]_: the remaining ones can still be served in time, and a lower
+tier never costs a higher one its slot.
 
-A class that starves in lasting overload goes before what is more important
-in its tier, for a part of the slots' time; see
+A class that starves in lasting overload is placed before more important classes
+of its tier, for a fraction of the slot time; see
 :mod:`geraniumweir.scheduling.ontime.classes`.
 
-While newcomers take nearly all slots, the important go first instead: in the
-order of latest starts those with the longest targets come last, and as the
-pace falls in overload they miss them, though they are worth most.
+While new requests take nearly all slots, the order is by importance instead. In
+the order of latest start times, requests with the longest targets come last,
+and as the pace falls in overload they miss their targets, though they are the
+most important.
 
-A plain answer counts once it is whole, and how long it takes isn't known
-before: of those that start at their latest useful start every other one just
-misses its target. Where more comes than can be served, among equals the newest
-goes first instead, with time to spare, and the oldest gives way.
+A plain response counts once it is complete, and how long it takes isn't known
+in advance: if it starts at its latest useful time, every other one just misses
+its target. Above the capacity the newest of equally important requests goes
+first instead, with time to spare, and the oldest is rejected.
 
-Those that can't meet their targets any more come behind, with the slots that
-newcomers leave. Were they served before, just in time for their callers'
-patience, then every newcomer would be late too, and a pool that was overloaded
-for some seconds would serve everybody late for as long as its usual load
-leaves little room.
+Requests that can't meet their targets any more come last, with the slots that
+new requests leave. If they were served earlier, just before their callers
+leave, every new request would be late too, and a pool that was overloaded for
+some seconds would serve all requests late for as long as its usual load leaves
+little room.
 
 References
 ==========
@@ -38,46 +39,47 @@
 
 from geraniumweir.scheduling.ontime import classes, records
 
-# A plan is a prediction; a request is given up only when its turn is this
-# many times later than it may be, seen from now.
-_DOUBT = 1.5
-# Above this part of the slots the pace is too uncertain to let the important
-# wait for their last moment: what runs then is longer than what ran before.
-_CROWDED = 0.9
-# Above this part of the slots some are refused whatever the order; below it a
-# queue is shorter a moment later, and those that wait are served in time.
-_OVERRUN = 1.2
-# Where newcomers take nearly all slots, this part is thought to be left.
-_LEAST_LEFT = 0.02
+# A plan is a prediction; a request is refused only if its predicted wait
+# exceeds the time that it has by this factor.
+_MAX_LATENESS_FACTOR = 1.5
+# Above this load the pace is too uncertain to let important requests wait for
+# their latest start: those that run by then take longer than those before.
+_CROWDED_LOAD = 0.9
+# Above this load some requests are refused in any order; below it the queue
+# gets shorter soon, and those that wait are served in time.
+_OVERLOAD = 1.2
+# Lower bound for the fraction of slots that new requests are taken to leave.
+_MIN_SPARE_FRACTION = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Turn:
-    """A waiting request and when it must start to be worth something.
+    """A waiting request and its latest useful start time.
 
-    :ivar latest: on the loop's clock, in seconds.
-    :ivar late: its target can't be met any more.
-    :ivar served: where its class is owed slots, the part of its callers that
-        were served in time; 1 elsewhere. The least goes first within a tier.
+    :ivar latest_start: in seconds on the loop's clock.
+    :ivar late: whether its target can't be met any more.
+    :ivar in_time_ratio: fraction of its class's callers that were served in
+        time, where the class has a deficit, otherwise 1. Within a tier the
+        lowest goes first.
     """
 
     waiting: records.Waiting
-    latest: float
+    latest_start: float
     late: bool
-    served: float = 1
+    in_time_ratio: float = 1
 
     @property
-    def owed(self) -> bool:
-        """Tell whether it goes before what is more important."""
-        return self.served < 1
+    def has_deficit(self) -> bool:
+        """Return whether it goes before more important requests."""
+        return self.in_time_ratio < 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """The waiting requests, sorted out.
+    """The waiting requests in the order of their grants.
 
-    :ivar turns: those that can be served, the first one first.
-    :ivar hopeless: those that can't.
+    :ivar turns: requests that can be served, the first to be granted first.
+    :ivar hopeless: requests that can't be served before their callers leave.
     """
 
     turns: list[Turn]
@@ -86,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pace:
-    """How fast a pool works and how much comes.
+    """Slot rate and arrival rate of a pool.
 
     :ivar interval: seconds from one free slot to the next.
     :ivar arrivals: requests a second, lately.
@@ -97,40 +99,40 @@
 
     @property
     def load(self) -> float:
-        """Give the part of the slots that newcomers take."""
-        return _times(self.arrivals, self.interval)
+        """Return the arrival rate as a fraction of the rate of free slots."""
+        return _multiply(self.arrivals, self.interval)
 
     @property
-    def crowded(self) -> bool:
-        """Tell whether newcomers take nearly all slots."""
-        return self.load > _CROWDED
+    def is_crowded(self) -> bool:
+        """Return whether new requests take nearly all slots."""
+        return self.load > _CROWDED_LOAD
 
     @property
-    def overrun(self) -> bool:
-        """Tell whether much more comes than there are slots for."""
-        return self.load > _OVERRUN
+    def is_overloaded(self) -> bool:
+        """Return whether clearly more requests arrive than can be served."""
+        return self.load > _OVERLOAD
 
-    def late_wait(self, on_time: int, late: int) -> float:
-        """Predict the seconds until newcomers leave a slot.
+    def late_wait_seconds(self, on_time: int, late: int) -> float:
+        """Predict the seconds until new requests leave a slot for a late one.
 
-        :param on_time: requests in front that can be on time.
-        :param late: those in front that can't.
+        :param on_time: number of requests ahead that can be in time.
+        :param late: number of late requests ahead.
         """
-        left = max(1 - self.load, _LEAST_LEFT)
-        ahead = _times(on_time, self.interval)
+        left = max(1 - self.load, _MIN_SPARE_FRACTION)
+        ahead = _multiply(on_time, self.interval)
         return ahead + (late + 1) * self.interval / left
 
 
-_Worth = tuple[int, float, int, int]
-_Owed = typing.Mapping[classes.Class, float]
-_NONE_OWED: typing.Final[_Owed] = types.MappingProxyType({})
-Lead = typing.Callable[[records.Waiting], float]
+_Value = tuple[int, float, int, int]
+_Deficits = typing.Mapping[classes.Class, float]
+_NO_DEFICITS: typing.Final[_Deficits] = types.MappingProxyType({})
+LeadTime = typing.Callable[[records.Waiting], float]
 
 
-def _times(number: float, interval: float) -> float:
-    """Multiply; nothing takes no time, however long the interval is.
+def _multiply(number: float, interval: float) -> float:
+    """Return the product, or 0 for a zero number and an infinite interval.
 
-    >>> _times(0, float('inf')), _times(2, 0.5)
+    >>> _multiply(0, float('inf')), _multiply(2, 0.5)
     (0, 1.0)
     """
     return number * interval if number else 0
@@ -140,37 +142,40 @@
     waiting: typing.Sequence[records.Waiting],
     now: float,
     pace: Pace,
-    lead: Lead,
-    owed: _Owed = _NONE_OWED,
+    lead_time: LeadTime,
+    deficits: _Deficits = _NO_DEFICITS,
 ) -> Plan:
-    """Sort the waiting requests out.
+    """Order the waiting requests and find those that can't be served.
 
-    :param lead: gives the seconds from a start to the first token.
-    :param owed: classes that go before what is more important, with the part
-        of their callers that were served in time.
+    :param now: in seconds on the loop's clock.
+    :param lead_time: returns the seconds from a start to the first token.
+    :param deficits: classes that go before more important ones, with the
+        fraction of their callers that were served in time.
     """
-    leads = {one.sequence: lead(one) for one in waiting}
-    hopeful = [
+    lead_times = {one.sequence: lead_time(one) for one in waiting}
+    candidates = [
         Turn(
             one,
-            one.target - leads[one.sequence],
+            one.target - lead_times[one.sequence],
             late=False,
-            served=owed.get(classes.class_of(one.slot_request), 1),
+            in_time_ratio=deficits.get(classes.class_of(one.slot_request), 1),
         )
         for one in waiting
     ]
-    on_time, missed = _feasible(hopeful, now, pace.interval)
-    if pace.crowded:
-        on_time.sort(key=_newest_first if pace.overrun else _by_importance)
+    on_time, missed = _feasible(candidates, now, pace.interval)
+    if pace.is_crowded:
+        on_time.sort(
+            key=_newest_first if pace.is_overloaded else _by_importance
+        )
     late = sorted(
-        (_late(turn.waiting, leads) for turn in missed),
+        (_late(turn.waiting, lead_times) for turn in missed),
         key=_by_importance,
     )
     turns = list(on_time)
     hopeless = []
     for turn in late:
-        wait = pace.late_wait(len(on_time), len(turns) - len(on_time))
-        if wait > max(turn.latest - now, 0) * _DOUBT:
+        wait = pace.late_wait_seconds(len(on_time), len(turns) - len(on_time))
+        if wait > max(turn.latest_start - now, 0) * _MAX_LATENESS_FACTOR:
             hopeless.append(turn)
         else:
             turns.append(turn)
@@ -179,10 +184,10 @@
 
 def _late(
     waiting: records.Waiting,
-    leads: typing.Mapping[int, float],
+    lead_times: typing.Mapping[int, float],
 ) -> Turn:
-    until = min(waiting.slot_request.patience, waiting.slot_request.deadline)
-    return Turn(waiting, until - leads[waiting.sequence], late=True)
+    leaves_at = min(waiting.slot_request.patience, waiting.slot_request.deadline)
+    return Turn(waiting, leaves_at - lead_times[waiting.sequence], late=True)
 
 
 def _feasible(
@@ -191,44 +196,54 @@
     interval: float,
 ) -> tuple[list[Turn], list[Turn]]:
     """Split turns into those that can start in time and the others."""
-    kept: list[tuple[_Worth, Turn]] = []
-    given_up: list[Turn] = []
+    accepted: list[tuple[_Value, Turn]] = []
+    rejected: list[Turn] = []
     for turn in sorted(turns, key=_by_start):
-        left = turn.latest - now
+        left = turn.latest_start - now
         if left < 0:
-            # Too late even as the first one, so nobody gives way for it.
-            given_up.append(turn)
+            # Late even as the first one, so no other is rejected for it.
+            rejected.append(turn)
             continue
-        heapq.heappush(kept, (_worth(turn), turn))
-        if _times(len(kept) - 1, interval) > left:
-            given_up.append(heapq.heappop(kept)[1])
-    served = [entry[1] for entry in kept]
-    return sorted(served, key=_by_start), given_up
+        heapq.heappush(accepted, (_value(turn), turn))
+        if _multiply(len(accepted) - 1, interval) > left:
+            rejected.append(heapq.heappop(accepted)[1])
+    timely = [entry[1] for entry in accepted]
+    return sorted(timely, key=_by_start), rejected
 
 
 def _by_start(turn: Turn) -> tuple[float, int]:
-    return turn.latest, turn.waiting.sequence
+    return turn.latest_start, turn.waiting.sequence
 
 
 def _by_importance(turn: Turn) -> tuple[int, float, int, float]:
     slot_request = turn.waiting.slot_request
-    return int(slot_request.tier), turn.served, slot_request.rank, turn.latest
+    return (
+        int(slot_request.tier),
+        turn.in_time_ratio,
+        slot_request.rank,
+        turn.latest_start,
+    )
 
 
 def _newest_first(turn: Turn) -> tuple[int, float, int, float]:
-    """Give the importance, among equal plain answers the newest first."""
+    """Return the sort key by importance; equal plain requests newest first."""
     if turn.waiting.slot_request.streams:
         return _by_importance(turn)
     slot_request = turn.waiting.slot_request
-    return int(slot_request.tier), turn.served, slot_request.rank, -turn.latest
+    return (
+        int(slot_request.tier),
+        turn.in_time_ratio,
+        slot_request.rank,
+        -turn.latest_start,
+    )
 
 
-def _worth(turn: Turn) -> _Worth:
-    """Give the lesser value, the sooner a turn gives way."""
+def _value(turn: Turn) -> _Value:
+    """Return the value of serving a request; the lowest is rejected first."""
     slot_request = turn.waiting.slot_request
     return (
         -int(slot_request.tier),
-        -turn.served,
+        -turn.in_time_ratio,
         -slot_request.rank,
         -turn.waiting.sequence,
     )
--- a/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
@@ -1,9 +1,9 @@
-"""Which server a request goes to.
+"""Choice of the backend server for a request.
 
-Engines differ in speed and each runs a fixed number of requests well. A
-request goes where it keeps a slot for the least, weighed by how scarce free
-slots are there, so that fast engines are shared out first while they have
-room and slow ones take what they can still answer in time.
+Engines differ in speed, and each runs a fixed number of requests well. A
+request goes where it holds a slot for the least time, weighted by how scarce
+free slots are on that server. So fast engines are shared while they have room,
+and slow ones take what they can still answer in time.
 """
 
 import dataclasses
@@ -13,301 +13,358 @@
 from geraniumweir.scheduling import requests
 from geraniumweir.scheduling.ontime import paths, records, rests, speeds
 
-# What a server with no free slot left would count for, as a part of its
-# slots: the scarcer the free ones, the dearer the last of them.
-_LEAST_FREE = 0.15
-# A first token is predicted from a mean; this part of the time to the target
-# is used for it, which half of the predictions' errors stay within.
-_USED = 0.8
-# An answer must be predicted to end within this part of its time: lengths are
-# known at the median only and often twice as long.
-_USED_OF_DEADLINE = 0.6
-# Where no server is predicted to end it so soon, one may still do, as lengths
-# are known at the median only. What is predicted to take longer than so many
-# times what is left isn't tried.
-_LONGEST_OF_DEADLINE = 1.5
-# Pauses are kept within this part of the longest one for full worth.
-_USED_OF_GAP = 0.85
-# Of a large pool so many open servers are compared for a request. The best of
-# sixteen is within the best tenth of any number, and the time that a look
-# takes doesn't grow with the pool.
-_MOST_COMPARED = 16
-# How much dearer a server is for each part of its answers that are failures.
-_FAILURE_PRICE = 8.0
-# The same for each part of the answers that the path to it holds up: such an
-# answer is late as a failed one is lost, and both are avoided as long as
-# another server has a slot at all.
-_PATH_PRICE = 8.0
+# Free fraction that a server without free slots would count with. It bounds how
+# much the cost rises as free slots get scarce.
+_MIN_FREE_FRACTION = 0.15
+# A first token is predicted from a mean; it must fall within this fraction of
+# the time to the target, which covers half of the prediction errors.
+_TARGET_FRACTION = 0.8
+# A response must be predicted to end within this fraction of its time: only the
+# median of output lengths is known, and they are often twice as long.
+_DEADLINE_FRACTION = 0.6
+# Where no server is predicted to end a response by then, one may still do so,
+# as only the median of output lengths is known. A response predicted to take
+# longer than the time left by this factor isn't tried.
+_MAX_DEADLINE_RATIO = 1.5
+# Pauses between events must stay within this fraction of the longest one that
+# has full worth.
+_GAP_FRACTION = 0.85
+# Number of open servers of a large pool that are compared for a request. The
+# best of sixteen is on average within the best tenth of any number, and the
+# time of a cycle doesn't grow with the pool.
+_MAX_COMPARED = 16
+# Increase of a server's cost with the fraction of its responses that fail.
+_FAILURE_COST_FACTOR = 8.0
+# The same for the fraction of responses that the path to it delays: a delayed
+# response is late and a failed one is lost, and both are avoided as long as
+# another server has a free slot.
+_PATH_COST_FACTOR = 8.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Learnt:
-    """What is known of servers and the paths to them.
+class Estimates:
+    """Estimated speeds of servers and quality of the paths to them.
 
-    :ivar now: in seconds.
+    :ivar now: time of the estimates, in seconds on the loop's clock.
     """
 
-    speeds: speeds.Speeds
+    speeds: speeds.SpeedEstimator
     path_quality: paths.Paths
     now: float
 
 
 @dataclasses.dataclass(slots=True)
 class Offer:
-    """A server with a free slot, as it stands now.
+    """A server with a free slot and its current estimates.
 
-    Hundreds of requests may be compared with it before it gets one, so what
-    is the same for all of them is worked out once.
+    Hundreds of requests may be compared with it before it gets one, so values
+    that are the same for all of them are computed once.
 
-    :ivar free: slots.
+    :ivar free_slots: number of free slots.
     :ivar unread: prompt tokens granted and not known to be read.
-    :ivar overdue: seconds by which its next first token is late.
-    :ivar fixed: seconds to a first token with nothing to read.
-    :ivar each: seconds more for each prompt token.
-    :ivar decode: seconds for an output token.
-    :ivar reading: seconds for which all that runs there stands still, for
-        each prompt token.
-    :ivar longest_read: prompt tokens that may be unread without making the
+    :ivar overdue_seconds: seconds by which its next first token is late.
+    :ivar fixed_seconds: seconds to a first token of an empty prompt.
+    :ivar seconds_per_token: additional seconds for each prompt token.
+    :ivar seconds_per_output_token: seconds for each output token.
+    :ivar stall_seconds_per_token: seconds for which all running streams of the
+        server stop, for each prompt token.
+    :ivar max_unread_tokens: prompt tokens that may be unread without making the
         pauses of running streams too long.
     """
 
     server: records.Server
-    free: int
+    free_slots: int
     unread: float
-    overdue: float
-    fixed: float
-    each: float
-    decode: float
-    reading: float
-    longest_read: float
-
-    def first(self, slot_request: requests.SlotRequest) -> float:
+    overdue_seconds: float
+    fixed_seconds: float
+    seconds_per_token: float
+    seconds_per_output_token: float
+    stall_seconds_per_token: float
+    max_unread_tokens: float
+
+    def first_token_seconds(self, slot_request: requests.SlotRequest) -> float:
         """Predict the seconds to a first token."""
         if not slot_request.streams:
-            return self.fixed + self.each * slot_request.prompt_tokens
-        read = slot_request.prompt_tokens + self.unread
-        return self.fixed + self.each * read + self.overdue
-
-    def held(self, waiting: records.Waiting, first: float) -> float:
-        """Predict the seconds for which a request keeps a slot.
-
-        :param first: to its first token.
+            return (
+                self.fixed_seconds
+                + self.seconds_per_token * slot_request.prompt_tokens
+            )
+        tokens_to_read = slot_request.prompt_tokens + self.unread
+        return (
+            self.fixed_seconds
+            + self.seconds_per_token * tokens_to_read
+            + self.overdue_seconds
+        )
+
+    def hold_seconds(
+        self, waiting: records.Waiting, first_token_seconds: float
+    ) -> float:
+        """Predict the seconds for which a request holds a slot.
+
+        :param first_token_seconds: predicted seconds to its first token.
         """
         if not waiting.slot_request.streams:
-            return first
-        return first + self.decode * waiting.tokens
+            return first_token_seconds
+        return (
+            first_token_seconds + self.seconds_per_output_token * waiting.tokens
+        )
 
-    def read(self, slot_request: requests.SlotRequest) -> float:
-        """Give the prompt tokens to read before the first token."""
+    def tokens_to_read(self, slot_request: requests.SlotRequest) -> float:
+        """Return the prompt tokens to read before the first token."""
         if not slot_request.streams:
             return slot_request.prompt_tokens
         return slot_request.prompt_tokens + self.unread
 
     def is_on_time(self, waiting: records.Waiting, now: float) -> bool:
-        """Tell whether the first token is predicted before its target.
+        """Return whether the first token is predicted before its target.
 
-        And no stream that runs there is held up.
+        False also where the prompt would delay streams that run on the server.
         """
         slot_request = waiting.slot_request
-        if self.read(slot_request) > self.longest_read:
+        if self.tokens_to_read(slot_request) > self.max_unread_tokens:
             return False
-        return self.first(slot_request) <= (waiting.target - now) * _USED
-
-    def ends(self, waiting: records.Waiting, now: float) -> bool:
-        """Tell whether the answer is predicted well before its time is over."""
+        return (
+            self.first_token_seconds(slot_request)
+            <= (waiting.target - now) * _TARGET_FRACTION
+        )
+
+    def ends_before_deadline(
+        self, waiting: records.Waiting, now: float
+    ) -> bool:
+        """Return whether the response is predicted well before its deadline."""
         slot_request = waiting.slot_request
-        held = self.held(waiting, self.first(slot_request))
-        return held <= (slot_request.deadline - now) * _USED_OF_DEADLINE
+        hold_seconds = self.hold_seconds(
+            waiting, self.first_token_seconds(slot_request)
+        )
+        return (
+            hold_seconds <= (slot_request.deadline - now) * _DEADLINE_FRACTION
+        )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
-    """A server for a request.
+class Placement:
+    """A server chosen for a request, with predictions.
 
-    :ivar read: prompt tokens to read before its first token.
-    :ivar first: seconds predicted to the first token.
-    :ivar delays: streams there are held up.
-    :ivar held: seconds predicted for which it keeps a slot.
+    :ivar tokens_to_read: prompt tokens to read before its first token.
+    :ivar first_token_seconds: predicted seconds to the first token.
+    :ivar delays_streams: whether it delays streams of the server.
+    :ivar hold_seconds: predicted seconds for which it holds a slot.
     """
 
     offer: Offer
-    read: float
-    first: float
-    delays: bool
-    held: float
+    tokens_to_read: float
+    first_token_seconds: float
+    delays_streams: bool
+    hold_seconds: float
 
 
-def open_servers(
+def open_offers(
     servers: typing.Sequence[records.Server],
-    start: int,
-    learnt: Learnt,
+    first_index: int,
+    estimates: Estimates,
 ) -> list[Offer]:
-    """List servers that may get one more request, some of many.
+    """List servers with a free slot, up to a maximum number.
 
-    :param start: place of the first server to look at; where it differs from
-        look to look, all of a large pool are looked at in turn.
+    :param first_index: index of the first server to look at. With another one
+        in each cycle, all servers of a large pool get their turn.
     """
     offers = []
-    for server in (*servers[start:], *servers[:start]):
-        stuck = server.stuck(learnt.now)
+    for server in (*servers[first_index:], *servers[:first_index]):
+        stuck = server.stuck(estimates.now)
         if server.hangs(stuck):
-            # After a rest one request tries whether it still does.
-            rests.note(server, rests.Cause.hung, learnt.now)
-        free = server.free(learnt.now, len(stuck))
-        if free > 0:
-            offers.append(offer(server, free, learnt))
-        if len(offers) == _MOST_COMPARED:
+            # After the cooldown one request probes whether it still hangs.
+            rests.record_fault(server, rests.Cause.hung, estimates.now)
+        free_slots = server.free_slots(estimates.now, len(stuck))
+        if free_slots > 0:
+            offers.append(make_offer(server, free_slots, estimates))
+        if len(offers) == _MAX_COMPARED:
             break
     return offers
 
 
-def offer(server: records.Server, free: int, learnt: Learnt) -> Offer:
-    """Work out what a server with free slots offers.
+def make_offer(
+    server: records.Server, free_slots: int, estimates: Estimates
+) -> Offer:
+    """Return the offer of a server with free slots.
 
-    :param free: its number of free slots.
+    :param free_slots: number of its free slots.
     """
-    fixed, each = learnt.speeds.line(server.speed).fit()
+    fixed_seconds, seconds_per_token = estimates.speeds.line(server.speed).fit()
     return Offer(
         server,
-        free,
+        free_slots,
         server.unread_tokens(),
-        max(server.overdue(learnt.now), 0),
-        fixed,
-        each,
-        learnt.speeds.decode(server.speed),
-        server.speed.first.slope(),
-        _longest_read(server),
+        max(server.overdue_seconds(estimates.now), 0),
+        fixed_seconds,
+        seconds_per_token,
+        estimates.speeds.decode(server.speed),
+        server.speed.first_token_line.slope(),
+        _max_unread_tokens(server),
     )
 
 
-def on_time(
+def choose_on_time(
     offers: typing.Iterable[Offer],
     waiting: records.Waiting,
-    learnt: Learnt,
-) -> Place | None:
-    """Choose where the first token comes in time, if there is a server.
+    estimates: Estimates,
+) -> Placement | None:
+    """Choose the cheapest server with a first token in time, if any.
 
-    The whole answer is predicted to end there as well.
+    The complete response must be predicted to end there before its deadline,
+    too.
     """
-    now = learnt.now
-    able = [
-        found
-        for found in offers
-        if found.is_on_time(waiting, now) and found.ends(waiting, now)
+    now = estimates.now
+    suitable = [
+        candidate
+        for candidate in offers
+        if candidate.is_on_time(waiting, now)
+        and candidate.ends_before_deadline(waiting, now)
     ]
-    if not able:
+    if not suitable:
         return None
-    return place(
-        min(able, key=lambda found: _score(found, waiting, learnt)),
+    return predict(
+        min(
+            suitable, key=lambda candidate: _cost(candidate, waiting, estimates)
+        ),
         waiting,
     )
 
 
-def earliest(
+def choose_earliest(
     offers: typing.Iterable[Offer],
     waiting: records.Waiting,
-    learnt: Learnt,
-) -> Place | None:
-    """Choose where the first token comes first and the answer ends."""
-    able = [found for found in offers if found.ends(waiting, learnt.now)]
-    first = min(able, key=lambda found: _by_first(found, waiting), default=None)
-    return first and place(first, waiting)
+    estimates: Estimates,
+) -> Placement | None:
+    """Choose the server with the earliest first token, if any is suitable.
 
+    It must be predicted to end the response before its deadline.
+    """
+    suitable = [
+        candidate
+        for candidate in offers
+        if candidate.ends_before_deadline(waiting, estimates.now)
+    ]
+    best = min(
+        suitable,
+        key=lambda candidate: _by_first_token(candidate, waiting),
+        default=None,
+    )
+    return best and predict(best, waiting)
 
-def shortest(
+
+def choose_shortest(
     offers: typing.Iterable[Offer],
     waiting: records.Waiting,
-) -> Place | None:
-    """Choose the server that is through with a request first."""
-    first = min(
+) -> Placement | None:
+    """Choose the server that holds the request for the least time."""
+    best = min(
         offers,
-        key=lambda found: _by_held(found, waiting),
+        key=lambda candidate: _by_hold_seconds(candidate, waiting),
         default=None,
     )
-    return first and place(first, waiting)
+    return best and predict(best, waiting)
 
 
-def outlasts(waiting: records.Waiting, held: float, now: float) -> bool:
-    """Tell whether a request takes too long for the time that it has left.
+def exceeds_deadline(
+    waiting: records.Waiting, hold_seconds: float, now: float
+) -> bool:
+    """Return whether a request takes far too long for its remaining time.
 
-    :param held: seconds predicted on the quickest server.
+    :param hold_seconds: predicted seconds on the quickest server.
     """
     left = waiting.slot_request.deadline - now
-    return held > left * _LONGEST_OF_DEADLINE
+    return hold_seconds > left * _MAX_DEADLINE_RATIO
 
 
-def place(found: Offer, waiting: records.Waiting) -> Place:
-    """Predict how a request does on a server."""
+def predict(candidate: Offer, waiting: records.Waiting) -> Placement:
+    """Return the predictions for a request on a server."""
     slot_request = waiting.slot_request
-    first = found.first(slot_request)
-    read = found.read(slot_request)
-    return Place(
-        found,
-        read,
-        first,
-        read > found.longest_read,
-        found.held(waiting, first),
+    first_token_seconds = candidate.first_token_seconds(slot_request)
+    tokens_to_read = candidate.tokens_to_read(slot_request)
+    return Placement(
+        candidate,
+        tokens_to_read,
+        first_token_seconds,
+        tokens_to_read > candidate.max_unread_tokens,
+        candidate.hold_seconds(waiting, first_token_seconds),
     )
 
 
-def _score(
-    found: Offer,
+def _cost(
+    candidate: Offer,
     waiting: records.Waiting,
-    learnt: Learnt,
+    estimates: Estimates,
 ) -> tuple[float, str]:
-    """Tell how dear a server is for a request; the least is the best."""
+    """Return the cost of a server for a request; the lowest is the best."""
     slot_request = waiting.slot_request
-    held = found.held(waiting, found.first(slot_request))
-    # All that runs there stands still while a prompt is read.
-    held += (
-        found.reading * slot_request.prompt_tokens * len(found.server.running)
+    hold_seconds = candidate.hold_seconds(
+        waiting, candidate.first_token_seconds(slot_request)
+    )
+    # All streams of the server stop while a prompt is read.
+    hold_seconds += (
+        candidate.stall_seconds_per_token
+        * slot_request.prompt_tokens
+        * len(candidate.server.running)
+    )
+    scarcity = 1 / (
+        candidate.free_slots / candidate.server.slots + _MIN_FREE_FRACTION
     )
-    scarcity = 1 / (found.free / found.server.slots + _LEAST_FREE)
-    return held * scarcity * _risk(found.server, slot_request, learnt), _name(
-        found
+    return hold_seconds * scarcity * _failure_factor(
+        candidate.server, slot_request, estimates
+    ), _server_id(candidate
     )
 
 
-def _risk(
+def _failure_factor(
     server: records.Server,
     slot_request: requests.SlotRequest,
-    learnt: Learnt,
+    estimates: Estimates,
 ) -> float:
-    """Give how much dearer a server is for the answers that come to nothing."""
-    trouble = learnt.path_quality.trouble(
+    """Return the cost factor for responses that fail or are delayed."""
+    delay_ratio = estimates.path_quality.delay_ratio(
         slot_request.failure_domain,
         server.announcement.failure_domain,
-        learnt.now,
+        estimates.now,
+    )
+    failure_ratio = server.condition.failure_ratio
+    return (
+        1
+        + _FAILURE_COST_FACTOR * failure_ratio
+        + _PATH_COST_FACTOR * delay_ratio
     )
-    failing = server.condition.failing
-    return 1 + _FAILURE_PRICE * failing + _PATH_PRICE * trouble
 
 
-def _longest_read(server: records.Server) -> float:
-    """Give how much may be read before the pauses of streams get too long.
+def _max_unread_tokens(server: records.Server) -> float:
+    """Return the prompt tokens that may be unread without delaying streams.
 
-    While prompts are read, each token of the others waits for a piece of
-    them. On a fast engine that is never long; on a slow one it is what makes
+    While prompts are read, each token of the running streams waits for a chunk
+    of them. On a fast engine that is never long; on a slow one it is what makes
     streams late.
     """
     limits = [one.slot_request.gap for one in server.running.values()]
-    limit = min(limits, default=math.inf) * _USED_OF_GAP
-    if server.speed.worst_gap <= limit:
+    limit = min(limits, default=math.inf) * _GAP_FRACTION
+    if server.speed.longest_gap <= limit:
         return math.inf
-    slope = server.speed.first.slope()
-    spare = limit - server.speed.usual_gap.get(0)
-    if spare < 0 or not slope:
-        return math.inf if spare >= 0 else -1
-    return spare / slope
+    slope = server.speed.first_token_line.slope()
+    spare_seconds = limit - server.speed.mean_gap.get(0)
+    if spare_seconds < 0 or not slope:
+        return math.inf if spare_seconds >= 0 else -1
+    return spare_seconds / slope
 
 
-def _name(found: Offer) -> str:
-    return found.server.server_id
+def _server_id(candidate: Offer) -> str:
+    return candidate.server.server_id
 
 
-def _by_held(found: Offer, waiting: records.Waiting) -> tuple[float, str]:
-    return found.held(waiting, found.first(waiting.slot_request)), _name(found)
+def _by_hold_seconds(
+    candidate: Offer, waiting: records.Waiting
+) -> tuple[float, str]:
+    return candidate.hold_seconds(
+        waiting, candidate.first_token_seconds(waiting.slot_request)
+    ), _server_id(candidate)
 
 
-def _by_first(found: Offer, waiting: records.Waiting) -> tuple[float, str]:
-    return found.first(waiting.slot_request), _name(found)
+def _by_first_token(
+    candidate: Offer, waiting: records.Waiting
+) -> tuple[float, str]:
+    return candidate.first_token_seconds(waiting.slot_request), _server_id(candidate)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/rests.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/rests.py
@@ -1,4 +1,4 @@
-"""Leaves servers alone for a while, and logs why."""
+"""Cooldowns of backend servers, with their log entries."""
 
 import enum
 
@@ -10,7 +10,7 @@
 
 
 class Cause(enum.Enum):
-    """What a server did that began a rest."""
+    """Fault of a server that starts a cooldown."""
 
     unreachable = 'unreachable'
     turned_away = 'turned_away'
@@ -18,44 +18,48 @@
     hung = 'hung'
 
 
-def note(
+def record_fault(
     server: records.Server,
     cause: Cause,
     now: float,
     running: records.Running | None = None,
 ) -> None:
-    """Take a sign that a server is down, full or hangs.
+    """Record a sign that a server is unreachable, full or hangs.
 
     :param now: in seconds.
-    :param running: the request that met it, None for all that it was sent.
+    :param running: the request that met the fault, None if all of them did.
     """
-    if _begins(server, cause, now, running):
+    if _starts_cooldown(server, cause, now, running):
         eventlog.emit(
             logevents.SERVER_COOLDOWN,
             pool=server.announcement.pool,
             server=server.server_id,
-            seconds=round(server.condition.until - now, _SECONDS_DIGITS),
+            seconds=round(
+                server.condition.cooldown_until - now, _SECONDS_DIGITS
+            ),
             cause=cause.value,
             owner=running.slot_request.owner if running else ids.HostId(''),
         )
 
 
-def _begins(
+def _starts_cooldown(
     server: records.Server,
     cause: Cause,
     now: float,
     running: records.Running | None,
 ) -> bool:
-    found = server.condition
+    server_condition = server.condition
     match cause:
         case Cause.unreachable:
-            return found.unreachable(now)
+            return server_condition.record_unreachable(now)
         case Cause.broke_off:
-            return found.broke_off(now)
+            return server_condition.record_truncation(now)
         case Cause.turned_away if running is not None:
             others = len(
                 server.running.keys() - {running.slot_request.request_id}
             )
-            return found.turned_away(others, running.granted, now)
+            return server_condition.record_rejection(
+                others, running.granted_at, now
+            )
         case _:
-            return found.hung(now)
+            return server_condition.record_hang(now)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/speeds.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/speeds.py
@@ -1,10 +1,10 @@
-"""Learns how fast each backend server is.
+"""Estimates of the speed of each backend server.
 
-A first token takes a fixed time and a time for each prompt token that is read
-before it; both differ from server to server (4.4 times between generations
-of hardware). They are fitted by least squares over decaying sums, starting
-from what all servers of the pool show, so that a new server counts as a usual
-one until its own first tokens come.
+A first token takes a fixed time and a time for each prompt token read before
+it; both differ between servers (4.4 times between generations of hardware).
+They are fitted by least squares over decaying sums [1]_, starting from the
+estimate for the whole pool, so that a new server counts as an average one until
+its own first tokens come.
 
 References
 ==========
@@ -14,10 +14,10 @@
 
 import dataclasses
 
-# Each further sample makes the older ones count for so much less; about 30
-# samples are remembered, a second or two at the usual load of a server.
-_KEEP = 0.97
-# A first guess, until the first answers: an engine that takes 60 ms for its
+# Each further sample reduces the weight of older ones by this factor; about 30
+# samples count, a second or two at the usual load of a server.
+_DECAY = 0.97
+# Initial guess until the first responses: an engine that takes 60 ms for its
 # first token and reads 50 prompt tokens in a millisecond.
 _FIXED_GUESS = 0.06
 _TOKEN_GUESS = 2e-5
@@ -25,8 +25,9 @@
 # Weight of the guess in samples; the second one is at a long prompt.
 _GUESS_WEIGHT = 1.0
 _GUESS_TOKENS = 4000.0
-# A fitted line may start below nothing; a first token takes a millisecond.
-_LEAST_SECONDS = 0.001
+# A fitted line may start below zero; a first token takes at least a
+# millisecond.
+_MIN_FIXED_SECONDS = 0.001
 
 
 @dataclasses.dataclass(slots=True)
@@ -36,7 +37,7 @@
     >>> line = Line()
     >>> for tokens in (100, 1000, 5000) * 50:
     ...     line.add(tokens, 0.1 + tokens * 0.0001)
-    >>> round(line.at(2000), 2)
+    >>> round(line.predict(2000), 2)
     0.3
     """
 
@@ -48,38 +49,38 @@
     _fit: tuple[float, float] | None = None
 
     def __post_init__(self) -> None:
-        """Start from the guess."""
+        """Initialize with samples of the guess."""
         self._put(0, _FIXED_GUESS, _GUESS_WEIGHT)
         at_long = _FIXED_GUESS + _GUESS_TOKENS * _TOKEN_GUESS
         self._put(_GUESS_TOKENS, at_long, _GUESS_WEIGHT)
 
     def add(self, tokens: float, seconds: float) -> None:
-        """Take a sample."""
-        self.weight *= _KEEP
-        self.sum_x *= _KEEP
-        self.sum_y *= _KEEP
-        self.sum_xx *= _KEEP
-        self.sum_xy *= _KEEP
+        """Add a sample."""
+        self.weight *= _DECAY
+        self.sum_x *= _DECAY
+        self.sum_y *= _DECAY
+        self.sum_xx *= _DECAY
+        self.sum_xy *= _DECAY
         self._put(tokens, seconds, 1)
 
-    def at(self, tokens: float) -> float:
-        """Give the seconds predicted for a number of tokens."""
+    def predict(self, tokens: float) -> float:
+        """Predict the seconds for a number of tokens."""
         fixed, slope = self.fit()
         return fixed + slope * tokens
 
     def fit(self) -> tuple[float, float]:
-        """Give the seconds for no tokens, and more for each token.
+        """Return the seconds for no tokens, and those for each token.
 
-        It is asked for much more often than samples come.
+        The result is cached: calls are much more frequent than samples.
         """
         if self._fit is None:
             slope = self._slope()
             fixed = (self.sum_y - slope * self.sum_x) / self.weight
-            self._fit = max(fixed, _LEAST_SECONDS), slope
+            self._fit = max(fixed, _MIN_FIXED_SECONDS), slope
         return self._fit
 
     def slope(self) -> float:
-        """Give the seconds for each token."""
+        """Return the seconds per token."""
         return self.fit()[1]
 
     def _slope(self) -> float:
@@ -99,7 +100,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Average:
+class DecayingMean:
     """A decaying mean.
 
     :ivar mean: None before the first sample.
@@ -108,91 +109,101 @@
     mean: float | None = None
 
     def add(self, sample: float) -> None:
-        """Take a sample."""
+        """Add a sample."""
         if self.mean is None:
             self.mean = sample
         else:
-            self.mean += (sample - self.mean) * (1 - _KEEP)
+            self.mean += (sample - self.mean) * (1 - _DECAY)
 
     def get(self, default: float) -> float:
-        """Give the mean, or a default before the first sample."""
+        """Return the mean, or a default before the first sample."""
         return default if self.mean is None else self.mean
 
 
 @dataclasses.dataclass(slots=True)
 class Speed:
-    """What is learnt of one server, or of a whole pool.
+    """Estimates of one server, or of a whole pool.
 
-    :ivar first: seconds to a first token by prompt tokens read before it.
+    :ivar first_token_line: seconds to a first token by the prompt tokens read
+        before it.
     :ivar decode: seconds for each output token.
-    :ivar usual_gap: mean pause between a stream's events, in seconds.
-    :ivar worst_gap: the longest pause lately; it comes while long prompts are
-        read between the tokens of the others.
-    :ivar samples: first tokens seen.
+    :ivar mean_gap: mean pause between a stream's events, in seconds.
+    :ivar longest_gap: longest recent pause, in seconds; it occurs while long
+        prompts are read between the tokens of running streams.
+    :ivar samples: number of first tokens.
     """
 
-    first: Line = dataclasses.field(default_factory=Line)
-    decode: Average = dataclasses.field(default_factory=Average)
-    usual_gap: Average = dataclasses.field(default_factory=Average)
-    worst_gap: float = 0
+    first_token_line: Line = dataclasses.field(default_factory=Line)
+    decode: DecayingMean = dataclasses.field(default_factory=DecayingMean)
+    mean_gap: DecayingMean = dataclasses.field(default_factory=DecayingMean)
+    longest_gap: float = 0
     samples: int = 0
 
-    def learn_gaps(self, usual: float, longest: float) -> None:
-        """Take the pauses of a whole stream, in seconds."""
-        self.usual_gap.add(usual)
-        self.worst_gap = max(longest, self.worst_gap * _KEEP)
+    def add_gaps(self, mean_seconds: float, longest: float) -> None:
+        """Add the pauses of a complete stream, in seconds."""
+        self.mean_gap.add(mean_seconds)
+        self.longest_gap = max(longest, self.longest_gap * _DECAY)
 
 
-# A server's own figures count once it has shown this many first tokens.
-_ENOUGH = 3
+# A server's own estimates are used from this number of first tokens on.
+_MIN_SAMPLES = 3
 
 
-class Speeds:
-    """The speeds of a pool's servers, with the pool to fall back on."""
+class SpeedEstimator:
+    """Speeds of a pool's servers.
+
+    The pool's estimate is used for servers with few samples.
+    """
 
     def __init__(self) -> None:
-        """Know nothing."""
+        """Initialize with the guess."""
         self.pool = Speed()
 
-    def first_token(self, server: Speed, tokens: float) -> float:
+    def first_token_seconds(self, server: Speed, tokens: float) -> float:
         """Predict the seconds to a first token.
 
-        :param tokens: read before it, those of others ahead included.
+        :param tokens: prompt tokens read before it, with those of requests
+            ahead.
         """
-        return self.line(server).at(tokens)
+        return self.line(server).predict(tokens)
 
     def line(self, server: Speed) -> Line:
-        """Give what predicts a server's first tokens."""
-        known = server if server.samples >= _ENOUGH else self.pool
-        return known.first
+        """Return the line that predicts a server's first tokens."""
+        speed = server if server.samples >= _MIN_SAMPLES else self.pool
+        return speed.first_token_line
 
     def decode(self, server: Speed) -> float:
         """Predict the seconds for an output token."""
-        usual = self.pool.decode.get(_DECODE_GUESS)
-        return server.decode.get(usual)
+        pool_mean = self.pool.decode.get(_DECODE_GUESS)
+        return server.decode.get(pool_mean)
 
-    def learn_first(
+    def add_first_token(
         self,
         server: Speed,
         tokens: float,
         seconds: float,
     ) -> None:
-        """Take a first token."""
-        for known in (server, self.pool):
-            known.first.add(tokens, seconds)
-            known.samples += 1
+        """Add a first token.
+
+        :param tokens: prompt tokens read before it.
+        :param seconds: from the grant to the first token.
+        """
+        for speed in (server, self.pool):
+            speed.first_token_line.add(tokens, seconds)
+            speed.samples += 1
 
-    def learn_end(
+    def add_response(
         self,
         server: Speed,
         tokens: float,
         decode_seconds: float,
     ) -> None:
-        """Take a whole answer.
+        """Add a complete response.
 
-        :param tokens: that came after the first ones, 0 for none.
+        :param tokens: output tokens, 0 for none.
+        :param decode_seconds: time after the first token.
         """
         if tokens <= 0:
             return
-        for known in (server, self.pool):
-            known.decode.add(decode_seconds / tokens)
+        for speed in (server, self.pool):
+            speed.decode.add(decode_seconds / tokens)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/play.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/play.py
@@ -52,9 +52,9 @@
 def make(
     *known: servers.Announcement,
     now: typing.Callable[[], float],
-) -> leader.OnTimeLeader:
+) -> leader.OnTimePoolLeader:
     """Make a leader of some servers."""
-    return leader.OnTimeLeader(
+    return leader.OnTimePoolLeader(
         settings.LeaderSettings(POOL), now, lambda: known
     )
 
@@ -137,7 +137,7 @@
 
 
 async def _caller(
-    pool: leader.OnTimeLeader,
+    pool: leader.OnTimePoolLeader,
     load: Load,
     result: Result,
     name: str,
@@ -180,7 +180,7 @@
 
 
 async def _patient(
-    pool: leader.OnTimeLeader,
+    pool: leader.OnTimePoolLeader,
     made: requests.SlotRequest,
 ) -> requests.Grant | requests.Denial | None:
     try:
@@ -191,7 +191,7 @@
 
 
 async def _serve(
-    pool: leader.OnTimeLeader,
+    pool: leader.OnTimePoolLeader,
     load: Load,
     grant: requests.Grant,
 ) -> None:
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rests.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rests.py
@@ -17,7 +17,7 @@
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
-        self.leader: leader.OnTimeLeader = play.make(
+        self.leader: leader.OnTimePoolLeader = play.make(
             play.server('a', _SLOTS),
             now=loop.time,
         )
@@ -129,12 +129,12 @@
 
 def test_limit_grows_back_with_the_answers() -> None:
     """A server that was full for a moment has all its slots again soon."""
-    found = conditions.Condition()
-    found.turned_away(6, 0, 1)
-    assert found.most(6, 1) == 4
+    condition = conditions.Condition()
+    condition.record_rejection(6, 0, 1)
+    assert condition.max_requests(6, 1) == 4
     # All were sent before it was known.
-    found.turned_away(5, 0.5, 1)
-    assert found.most(6, 1) == 4
+    condition.record_rejection(5, 0.5, 1)
+    assert condition.max_requests(6, 1) == 4
     for _ in range(10):
-        found.answered(well=True)
-    assert found.most(6, 1) == 6
+        condition.record_answer(well=True)
+    assert condition.max_requests(6, 1) == 6
--- a/libs/scheduling/geraniumweir/scheduling/ontime/trying.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/trying.py
@@ -1,31 +1,31 @@
-"""Shows a rollout's guide what the servers of each version do.
+"""Canary requests of a rollout, and reports of their results to its guide.
 
-Requests that the guide lets through go to one server of the new version
-after the other.
+Requests that the guide allows go to the servers of the new version in turn.
 """
 
 from geraniumweir.common import ids
 from geraniumweir.scheduling import requests
 from geraniumweir.scheduling.ontime import fleet, placing, records, state
 
-# Servers of the new version that get canary requests in turn.
+# Number of servers of the new version that get canary requests in turn.
 _CANARY_SERVERS = 3
-# While a part of all requests goes to the new version, so many servers are
-# compared for one, as among those that serve.
-_RAMP_SERVERS = 16
-# Quicker answers don't differ by their servers but by chance, in seconds.
-_LEAST_SECONDS = 0.05
+# While a share of all requests goes to the new version, so many of its servers
+# are compared for a request, as many as of the servers that serve.
+_MAX_RAMP_SERVERS = 16
+# First tokens quicker than this differ by chance, not by server.
+_MIN_COMPARED_SECONDS = 0.05
 
 
 def open_canaries(
-    leader: state.LeaderState,
-    learnt: placing.Learnt,
+    leader: state.OnTimeLeaderState,
+    estimates: placing.Estimates,
 ) -> list[placing.Offer]:
-    """List the server of the new version that canaries go to now.
+    """List the servers of the new version that get canary requests now.
 
-    One at a time, so that it bears as much as a server does, and another one
-    each time that canaries are let through: whether a server is broken or its
-    version shows only beside others.
+    One at a time, so that it bears the load of a usual server, and another one
+    each time that canaries are allowed: only a comparison with others shows
+    whether a single server or its version is broken. In the ramp up to
+    _MAX_RAMP_SERVERS are listed.
     """
     guide = leader.guide
     if not guide.runs:
@@ -38,19 +38,19 @@
         and server.server_id not in guide.set_aside
     ]
     if guide.is_ramping:
-        return _offers(able, _RAMP_SERVERS, learnt)
-    chosen = _of_unlike_domains(able)
+        return _offers(able, _MAX_RAMP_SERVERS, estimates)
+    chosen = _across_domains(able)
     first = guide.budget.pulses % max(len(chosen), 1)
-    return _offers(chosen[first : first + 1], 1, learnt)
+    return _offers(chosen[first : first + 1], 1, estimates)
 
 
-def _of_unlike_domains(
+def _across_domains(
     able: list[records.Server],
 ) -> list[records.Server]:
     """Choose a few servers, in as many failure domains as there are.
 
-    Of few servers each shows enough to tell what is usual there, and a path
-    that is cut isn't taken for a bad version.
+    Few servers get enough requests each to show what is usual there, and a path
+    that is partitioned isn't mistaken for a bad version.
     """
     ranked = sorted(able, key=lambda server: server.server_id)
     by_domain: dict[ids.FailureDomain, records.Server] = {}
@@ -63,62 +63,65 @@
 
 def _offers(
     servers: list[records.Server],
-    most: int,
-    learnt: placing.Learnt,
+    max_offers: int,
+    estimates: placing.Estimates,
 ) -> list[placing.Offer]:
-    found = []
+    offers_made = []
     for server in servers:
-        free = server.free(learnt.now, 0)
-        if free > 0 and len(found) < most:
-            found.append(placing.offer(server, free, learnt))
-    return found
+        free_slots = server.free_slots(estimates.now, 0)
+        if free_slots > 0 and len(offers_made) < max_offers:
+            offers_made.append(
+                placing.make_offer(server, free_slots, estimates)
+            )
+    return offers_made
 
 
 def choose(
     offers: list[placing.Offer],
     waiting: records.Waiting,
-    learnt: placing.Learnt,
-) -> placing.Place | None:
-    """Choose the server for a request that the guide lets through.
+    estimates: placing.Estimates,
+) -> placing.Placement | None:
+    """Choose the server for a canary request.
 
-    One that is slow gets its part too: the guide must see that it is.
+    A slow server gets its share too, so that the guide can find out that it is
+    slow.
     """
-    place = placing.on_time(offers, waiting, learnt)
-    return place or placing.earliest(offers, waiting, learnt)
+    placement = placing.choose_on_time(offers, waiting, estimates)
+    return placement or placing.choose_earliest(offers, waiting, estimates)
 
 
-def first_came(
-    leader: state.LeaderState,
+def first_token_arrived(
+    leader: state.OnTimeLeaderState,
     server: records.Server,
     running: records.Running,
 ) -> None:
-    """Tell the guide how long a first token took."""
+    """Report the time to a first token to the guide."""
     if not leader.guide.runs or server.announcement.cold:
         return
-    seconds = max(running.first_token or 0, _LEAST_SECONDS)
-    usual = leader.learnt.pool.first.at(running.read_tokens)
-    _tell(leader, server, running, failed=False, ratio=seconds / usual)
+    seconds = max(running.first_token or 0, _MIN_COMPARED_SECONDS)
+    usual = leader.estimates.pool.first_token_line.predict(running.read_tokens)
+    _notify_guide(leader, server, running, failed=False, ratio=seconds / usual)
 
 
-def ended(
-    leader: state.LeaderState,
+def answer_ended(
+    leader: state.OnTimeLeaderState,
     server: records.Server,
     running: records.Running,
     release: requests.Release,
 ) -> None:
-    """Tell the guide how an answer ended."""
+    """Report the outcome of a response to the guide."""
     if not leader.guide.runs:
         return
     match release.outcome:
         case requests.Outcome.answered_failure:
-            _tell(leader, server, running, failed=True)
+            _notify_guide(leader, server, running, failed=True)
         case requests.Outcome.failed | requests.Outcome.crashed:
-            if not fleet.path_holds_up(leader, running, server):
-                _tell(leader, server, running, failed=True)
+            if not fleet.path_delays(leader, running, server):
+                _notify_guide(leader, server, running, failed=True)
 
 
-def _tell(
-    leader: state.LeaderState,
+def _notify_guide(
+    leader: state.OnTimeLeaderState,
     server: records.Server,
     running: records.Running,
     *,
