--- a/libs/control/geraniumweir/control/coordination.py
+++ b/libs/control/geraniumweir/control/coordination.py
@@ -6,7 +6,7 @@
 import reactivex
 from geraniumweir.common import ids, timers
 from geraniumweir.control import roster, spent
-from geraniumweir.rollout import guiding
+from geraniumweir.rollout import controller
 from geraniumweir.routing import finding
 from geraniumweir.scheduling import (
     broker,
@@ -72,7 +72,9 @@
     retries: retrybudget.Scope
     on_ask: OnAsk | None = None
     tolerance: quotas.Tolerance = quotas.Tolerance()
-    guide: typing.Callable[[ids.PoolName], guiding.Guide] | None = None
+    guide: (
+        typing.Callable[[ids.PoolName], controller.RolloutController] | None
+    ) = None
     said: notices.Notices | None = None
     inform: typing.Callable[[leader.OnTimeLeader], None] | None = None
 
--- a/libs/control/geraniumweir/control/rollouts.py
+++ b/libs/control/geraniumweir/control/rollouts.py
@@ -13,7 +13,7 @@
 from geraniumweir.configuration import commands
 from geraniumweir.configuration import rollouts as stored
 from geraniumweir.control import errors, logaccess, logevents, recorders
-from geraniumweir.rollout import budget, guiding, orders
+from geraniumweir.rollout import budget, controller, orders
 from geraniumweir.wire.gen.configuration import ttypes
 
 _MS = 1000
@@ -33,7 +33,7 @@
 class PoolAtWork(typing.Protocol):
     """A pool's leader, as far as a rollout needs it."""
 
-    def rollout_load(self) -> guiding.Load:
+    def rollout_load(self) -> controller.Load:
         """Tell how the pool does."""
 
 
@@ -63,8 +63,8 @@
         self._clock = clock
         self._bounds = bounds
         self._again_ms = int(again_seconds * _MS)
-        self._known: dict[ids.PoolName, guiding.Sighted] = {}
-        self._guides: dict[ids.PoolName, guiding.Guide] = {}
+        self._known: dict[ids.PoolName, controller.ObservedOrder] = {}
+        self._guides: dict[ids.PoolName, controller.RolloutController] = {}
         log.rollouts.subscribe(self._put)
 
     def known(self) -> list[orders.Rollout]:
@@ -119,9 +119,9 @@
             await asyncio.sleep(_LOOK_SECONDS)
         return self.of_pool(pool)
 
-    def guide(self, pool: ids.PoolName) -> guiding.Guide:
+    def guide(self, pool: ids.PoolName) -> controller.RolloutController:
         """Make the guide of a pool that is led here from now on."""
-        made = guiding.Guide(
+        made = controller.RolloutController(
             lambda: self._known.get(pool),
             self._clock.now,
             self._bounds,
@@ -189,7 +189,7 @@
             started = before.started
         else:
             started = self._clock.now() - _age(rollout)
-        self._known[rollout.pool] = guiding.Sighted(rollout, started)
+        self._known[rollout.pool] = controller.ObservedOrder(rollout, started)
         if rollout.state is orders.State.running:
             return
         if before is None or before.rollout.state is not rollout.state:
@@ -224,14 +224,14 @@
 
 def _note(
     rollout: orders.Rollout,
-    step: guiding.Advance | guiding.End,
+    step: controller.Advance | controller.End,
 ) -> ttypes.NoteRollout:
     match step:
-        case guiding.End(state, reason):
+        case controller.End(state, reason):
             return ttypes.NoteRollout(
                 rollout.number, rollout.phase, state, 0, 0, reason, 0
             )
-        case guiding.Advance(phase, exposure, requests, answers):
+        case controller.Advance(phase, exposure, requests, answers):
             return ttypes.NoteRollout(
                 rollout.number,
                 phase,
@@ -243,11 +243,11 @@
             )
 
 
-def _named(step: guiding.Advance | guiding.End) -> str:
+def _named(step: controller.Advance | controller.End) -> str:
     match step:
-        case guiding.End(state):
+        case controller.End(state):
             return state.name
-        case guiding.Advance(phase):
+        case controller.Advance(phase):
             return phase.name
 
 
--- a/libs/control/geraniumweir/control/tests/test_rollouts.py
+++ b/libs/control/geraniumweir/control/tests/test_rollouts.py
@@ -8,17 +8,17 @@
 from geraniumweir.configuration import recordings
 from geraniumweir.control import errors, logaccess, rollouts
 from geraniumweir.control.tests import bed
-from geraniumweir.rollout import budget, guiding, orders
+from geraniumweir.rollout import budget, controller, orders
 
 _POOL = ids.PoolName('p')
 _NEW = ids.SoftwareVersion('v2')
-_LOAD = guiding.Load(old_running=0, running=1, new_slots=9, held=0.1)
+_LOAD = controller.Load(old_running=0, running=1, new_slots=9, held=0.1)
 
 
 class _IdlePool:
     """A pool's leader that serves nothing itself."""
 
-    def rollout_load(self) -> guiding.Load:
+    def rollout_load(self) -> controller.Load:
         return _LOAD
 
 
--- a/libs/control/geraniumweir/control/watching.py
+++ b/libs/control/geraniumweir/control/watching.py
@@ -21,7 +21,7 @@
     looking,
     searching,
 )
-from geraniumweir.rollout import guiding, orders
+from geraniumweir.rollout import controller, orders
 from geraniumweir.routing import finding
 from geraniumweir.scheduling import notices
 from geraniumweir.wire import errors, peers
@@ -89,7 +89,7 @@
         self._revision = 0
         self._looks = looking.Looks(self.servers)
         self._unlisted: dict[ids.ServerId, float] = {}
-        self._rollouts: dict[ids.PoolName, guiding.Sighted] = {}
+        self._rollouts: dict[ids.PoolName, controller.ObservedOrder] = {}
         self._rollouts_progress = 0
         self._changes: subject.Subject[None] = subject.Subject()
 
@@ -116,7 +116,7 @@
         """The version in force, -1 before the first."""
         return self._document.version
 
-    def rollout(self, pool: ids.PoolName) -> guiding.Sighted | None:
+    def rollout(self, pool: ids.PoolName) -> controller.ObservedOrder | None:
         """Give a pool's newest order to roll out."""
         return self._rollouts.get(pool)
 
@@ -279,7 +279,9 @@
         now = self._clock.now()
         for one in news.rollouts:
             rollout = _rollout(one)
-            self._rollouts[rollout.pool] = guiding.Sighted(rollout, now)
+            self._rollouts[rollout.pool] = controller.ObservedOrder(
+                rollout, now
+            )
         return True
 
     def _take_servers(
--- a/libs/fakes/geraniumweir/fakes/rollouts/playing.py
+++ b/libs/fakes/geraniumweir/fakes/rollouts/playing.py
@@ -8,7 +8,7 @@
 from geraniumweir.common import ids, virtual
 from geraniumweir.fakes.rollouts import versions
 from geraniumweir.membership import servers
-from geraniumweir.rollout import budget, guiding, judging, orders
+from geraniumweir.rollout import budget, controller, judging, orders
 from geraniumweir.scheduling import requests, settings
 from geraniumweir.scheduling.ontime import leader
 
@@ -108,7 +108,7 @@
         self._running = dict.fromkeys(self._known, 0)
         self._fiftieth: float | None = None
         rollout = orders.Rollout(POOL, 1, NEW, plan.seconds)
-        self._sighted = guiding.Sighted(rollout, self._start)
+        self._sighted = controller.ObservedOrder(rollout, self._start)
         self._lead()
 
     async def run(self) -> Result:
@@ -128,7 +128,7 @@
 
     def _lead(self) -> None:
         """Begin as a coordinator does: with the log and no evidence."""
-        self._guide = guiding.Guide(
+        self._guide = controller.RolloutController(
             lambda: self._sighted,
             self._now,
             self._plan.bounds,
@@ -155,10 +155,10 @@
                 await asyncio.sleep(_STORE_SECONDS)
                 self._store(step)
 
-    def _store(self, step: guiding.Advance | guiding.End) -> None:
+    def _store(self, step: controller.Advance | controller.End) -> None:
         before = self._sighted.rollout
         match step:
-            case guiding.Advance(phase, exposure, counted, answers):
+            case controller.Advance(phase, exposure, counted, answers):
                 after = dataclasses.replace(
                     before,
                     phase=max(before.phase, phase),
@@ -166,11 +166,11 @@
                     requests=max(before.requests, counted),
                     answers=max(before.answers, answers),
                 )
-            case guiding.End(state, reason):
+            case controller.End(state, reason):
                 after = dataclasses.replace(before, state=state, reason=reason)
                 self._result.ended = self._age()
                 self._end(state)
-        self._sighted = guiding.Sighted(after, self._sighted.started)
+        self._sighted = controller.ObservedOrder(after, self._sighted.started)
         self._leader.grant_waiting()
 
     def _end(self, state: orders.State) -> None:
--- a/libs/gateway/geraniumweir/gateway/host.py
+++ b/libs/gateway/geraniumweir/gateway/host.py
@@ -28,7 +28,7 @@
     serving,
 )
 from geraniumweir.observe import metricnames, metrics
-from geraniumweir.rollout import guiding
+from geraniumweir.rollout import controller
 from geraniumweir.routing import finding
 from geraniumweir.scheduling import (
     channel,
@@ -235,9 +235,9 @@
     def _spent(self, host_id: ids.HostId) -> spending.Spent:
         return self._scheduler.spent(host_id)
 
-    def _guide(self, pool: ids.PoolName) -> guiding.Guide:
+    def _guide(self, pool: ids.PoolName) -> controller.RolloutController:
         """Follow a pool's rollout; only its coordinator tries new servers."""
-        return guiding.Guide(
+        return controller.RolloutController(
             lambda: self.watcher.rollout(pool),
             self._clock.now,
         )
--- a/libs/rollout/geraniumweir/rollout/guiding.py
+++ b/libs/rollout/geraniumweir/rollout/controller.py
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sighted:
+class ObservedOrder:
     """An order and when it was given.
 
     :ivar started: on this host's clock, in seconds.
@@ -81,7 +81,7 @@
     reason: str
 
 
-Source = typing.Callable[[], Sighted | None]
+Source = typing.Callable[[], ObservedOrder | None]
 _USUAL_BOUNDS: typing.Final = budget.Bounds()
 _NONE: typing.Final[frozenset[ids.ServerId]] = frozenset()
 
@@ -102,7 +102,7 @@
     bad: str = ''
 
 
-class Guide:
+class RolloutController:
     """Decides for one pool, on the host that coordinates it.
 
     :ivar rollout: the order that is followed, None without one.
--- a/libs/rollout/geraniumweir/rollout/tests/test_guiding.py
+++ b/libs/rollout/geraniumweir/rollout/tests/test_controller.py
@@ -3,14 +3,14 @@
 import dataclasses
 
 from geraniumweir.common import ids
-from geraniumweir.rollout import budget, guiding, orders
+from geraniumweir.rollout import budget, controller, orders
 from hypothesis import given
 from hypothesis import strategies as st
 
 _OLD = ids.SoftwareVersion('v1')
 _NEW = ids.SoftwareVersion('v2')
 _SECONDS = 12
-_LOAD = guiding.Load(old_running=5, running=5, new_slots=20, held=0.5)
+_LOAD = controller.Load(old_running=5, running=5, new_slots=20, held=0.5)
 
 
 class _Scene:
@@ -22,9 +22,9 @@
         self.rollout = orders.Rollout(ids.PoolName('p'), 1, _NEW, _SECONDS)
         self.guide = self.make()
 
-    def make(self) -> guiding.Guide:
-        guide = guiding.Guide(
-            lambda: guiding.Sighted(self.rollout, 0),
+    def make(self) -> controller.RolloutController:
+        guide = controller.RolloutController(
+            lambda: controller.ObservedOrder(self.rollout, 0),
             lambda: self.now,
             spends=lambda: self.leads,
         )
@@ -32,10 +32,10 @@
         guide.new_servers = 4
         return guide
 
-    def step(self) -> guiding.Advance | guiding.End | None:
+    def step(self) -> controller.Advance | controller.End | None:
         """Store what the guide wants noted."""
         step = self.guide.next_step(_LOAD)
-        if isinstance(step, guiding.Advance):
+        if isinstance(step, controller.Advance):
             self.rollout = dataclasses.replace(
                 self.rollout,
                 phase=step.phase,
@@ -93,7 +93,7 @@
     """A part of the traffic, all of it, the end."""
     some = _Scene()
     step = None
-    while not isinstance(step, guiding.End):
+    while not isinstance(step, controller.End):
         some.serve(10)
         some.now += 0.1
         step = some.step()
@@ -110,7 +110,7 @@
     assert some.guide.role(_NEW) is orders.Role.barred
     assert not some.guide.may_try('r')
     step = some.guide.next_step(_LOAD)
-    assert isinstance(step, guiding.End)
+    assert isinstance(step, controller.End)
     assert step.state is orders.State.rolled_back
 
 
@@ -136,7 +136,7 @@
     some.serve(80)
     some.now = 10
     step = some.step()
-    assert isinstance(step, guiding.Advance)
+    assert isinstance(step, controller.Advance)
     assert step.phase is orders.Phase.ramp
 
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
@@ -4,7 +4,7 @@
 
 from geraniumweir.common import eventlog, ids
 from geraniumweir.membership import servers
-from geraniumweir.rollout import guiding, orders
+from geraniumweir.rollout import controller, orders
 from geraniumweir.scheduling import logevents, notices, ratelimits
 from geraniumweir.scheduling.ontime import records, state
 
@@ -171,11 +171,11 @@
     return trouble > _LEAST_TROUBLE
 
 
-def rollout_load(leader: state.LeaderState) -> guiding.Load:
+def rollout_load(leader: state.LeaderState) -> controller.Load:
     """Tell how the pool does, for its rollout."""
     to = leader.guide.to
     known = leader.servers.values()
-    return guiding.Load(
+    return controller.Load(
         old_running=sum(len(one.running) for one in known if one.version != to),
         running=len(leader.running),
         new_slots=sum(
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -14,7 +14,7 @@
 
 from geraniumweir.common import ids
 from geraniumweir.membership import servers
-from geraniumweir.rollout import guiding
+from geraniumweir.rollout import controller
 from geraniumweir.scheduling import (
     joining,
     notices,
@@ -46,7 +46,7 @@
         cfg: settings.LeaderSettings,
         now: typing.Callable[[], float],
         live: typing.Callable[[], typing.Sequence[servers.Announcement]],
-        guide: guiding.Guide | None = None,
+        guide: controller.RolloutController | None = None,
         rates: typing.Callable[
             [],
             typing.Mapping[notices.Start, float],
@@ -69,7 +69,7 @@
             live=live,
             suspects=suspects.Suspects(cfg.quarantine_seconds, cfg.origin),
             dice=random.Random(cfg.seed),
-            guide=guide or guiding.Guide(lambda: None, now),
+            guide=guide or controller.RolloutController(lambda: None, now),
             rates=rates,
             pauses=pauses,
             settle_by=now() + cfg.settle_seconds,
@@ -178,7 +178,7 @@
         fleet.sync(self._state)
         granting.fill(self._state)
 
-    def rollout_load(self) -> guiding.Load:
+    def rollout_load(self) -> controller.Load:
         """Tell how the pool does, for its rollout."""
         fleet.sync(self._state)
         return fleet.rollout_load(self._state)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/state.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/state.py
@@ -7,7 +7,7 @@
 
 from geraniumweir.common import ids
 from geraniumweir.membership import servers
-from geraniumweir.rollout import guiding
+from geraniumweir.rollout import controller
 from geraniumweir.scheduling import notices, requests, suspects
 from geraniumweir.scheduling.ontime import (
     arrivals,
@@ -71,7 +71,7 @@
     live: typing.Callable[[], typing.Sequence[servers.Announcement]]
     suspects: suspects.Suspects
     dice: random.Random
-    guide: guiding.Guide
+    guide: controller.RolloutController
     rates: typing.Callable[[], typing.Mapping[notices.Start, float]]
     pauses: Pauses
     settle_by: float
