--- a/libs/control/geraniumweir/control/rollouts.py
+++ b/libs/control/geraniumweir/control/rollouts.py
@@ -125,7 +125,7 @@
             lambda: self._known.get(pool),
             self._clock.now,
             self._bounds,
-            spends=self._log.is_leading,
+            may_spend_budget=self._log.is_leading,
         )
         self._guides[pool] = made
         return made
@@ -164,7 +164,7 @@
             to=rollout.to,
             step=_named(step),
             old_running=load.old_running,
-            **guide.outline(),
+            **guide.summary(),
         )
         note = _note(rollout, step)
         now_ms = int(time.time() * _MS)
--- a/libs/fakes/geraniumweir/fakes/rollouts/playing.py
+++ b/libs/fakes/geraniumweir/fakes/rollouts/playing.py
@@ -132,7 +132,7 @@
             lambda: self._sighted,
             self._now,
             self._plan.bounds,
-            spends=lambda: True,
+            may_spend_budget=lambda: True,
             judge=self._plan.judge,
         )
         self._leader = leader.OnTimeLeader(
--- a/libs/rollout/geraniumweir/rollout/budget.py
+++ b/libs/rollout/geraniumweir/rollout/budget.py
@@ -71,20 +71,20 @@
 
     :ivar spent: requests that the new version may have got.
     :ivar requests: that the pool got.
-    :ivar pulses: how often canaries were let through.
+    :ivar batches: how often canaries were let through.
 
     >>> some = Budget(Bounds(), 0, 0)
     >>> some.canaries()
     25.0
-    >>> some.granted('r', orders.Phase.canary, new=False)
-    >>> some.may_try('r', orders.Phase.canary, 40, 6)
+    >>> some.record_grant('r', orders.Phase.canary, new=False)
+    >>> some.may_grant_new_version('r', orders.Phase.canary, 40, 6)
     True
     """
 
     bounds: Bounds
     spent: int
     requests: int
-    pulses: int = 0
+    batches: int = 0
     _pulse: _Pulse | None = None
     _by_rule: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter,
@@ -96,7 +96,9 @@
         """Give the requests that canaries may have got by now."""
         return self.bounds.allowed(self.requests) * _CANARY_PART
 
-    def granted(self, rule: str, phase: orders.Phase, *, new: bool) -> None:
+    def record_grant(
+        self, rule: str, phase: orders.Phase, *, new: bool
+    ) -> None:
         """Count a request that a server of the pool gets."""
         ramps = phase is orders.Phase.ramp
         self.requests += 1
@@ -108,7 +110,7 @@
             if self._pulse is not None:
                 self._pulse.by_rule[rule] += 1
 
-    def may_try(
+    def may_grant_new_version(
         self,
         rule: str,
         phase: orders.Phase,
@@ -144,5 +146,5 @@
         size = min(slots * _PULSE_FILLS, most)
         if self._pulse is None and left >= size:
             self._pulse = _Pulse(size, self.requests)
-            self.pulses += 1
+            self.batches += 1
         return self._pulse
--- a/libs/rollout/geraniumweir/rollout/controller.py
+++ b/libs/rollout/geraniumweir/rollout/controller.py
@@ -106,8 +106,8 @@
     """Decides for one pool, on the host that coordinates it.
 
     :ivar rollout: the order that is followed, None without one.
-    :ivar new_servers: how many servers of the new version there are.
-    :ivar most_slots: that one of them has.
+    :ivar new_server_count: how many servers of the new version there are.
+    :ivar max_slots: that one of them has.
     :ivar budget: what the new version may get before it is trusted.
     """
 
@@ -117,24 +117,24 @@
         now: typing.Callable[[], float],
         bounds: budget.Bounds = _USUAL_BOUNDS,
         *,
-        spends: typing.Callable[[], bool] | None = None,
+        may_spend_budget: typing.Callable[[], bool] | None = None,
         judge: typing.Callable[[], judging.Test] = judging.Judge,
     ) -> None:
         """Follow the pool's orders.
 
         :param source: gives the newest one.
         :param now: gives the time in seconds.
-        :param spends: tells whether this host may spend the budget: only the
+        :param may_spend_budget: tells whether this host may spend the budget: only the
             one that leads the log may; None where it never may.
         :param judge: makes what tells bad versions from good ones.
         """
         self.rollout: orders.Rollout | None = None
-        self.new_servers = 0
-        self.most_slots = 1
+        self.new_server_count = 0
+        self.max_slots = 1
         self._source = source
         self._now = now
         self._bounds = bounds
-        self._spends = spends
+        self._spends = may_spend_budget
         self._make_judge = judge
         self._started: float = 0
         self._moved_at: float = 0
@@ -142,23 +142,23 @@
         self._evidence = _Evidence(judge())
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         """Tell whether a rollout is under way."""
         found = self.rollout
         return found is not None and found.state is orders.State.running
 
     @property
-    def to(self) -> ids.SoftwareVersion | None:
+    def target_version(self) -> ids.SoftwareVersion | None:
         """Give the version that the pool is to move to."""
         return None if self.rollout is None else self.rollout.to
 
     @property
     def is_ramping(self) -> bool:
         """Tell whether the new version gets a part of all requests."""
-        return self.runs and self.rollout.phase is orders.Phase.ramp
+        return self.is_running and self.rollout.phase is orders.Phase.ramp
 
     @property
-    def set_aside(self) -> frozenset[ids.ServerId]:
+    def excluded_servers(self) -> frozenset[ids.ServerId]:
         """List servers of the new version that are broken by themselves."""
         return self._evidence.set_aside
 
@@ -188,27 +188,27 @@
         """Give what servers of a version may get."""
         if self.rollout is None:
             return orders.Role.serves
-        if self.runs and self._evidence.bad:
+        if self.is_running and self._evidence.bad:
             is_new = version == self.rollout.to
             return orders.Role.barred if is_new else orders.Role.serves
         return self.rollout.role(version)
 
-    def may_try(self, rule: str) -> bool:
+    def may_grant_new_version(self, rule: str) -> bool:
         """Tell whether the new version may get a request of a route."""
         may_spend = self._spends is not None and self._spends()
-        if not self.runs or self._evidence.bad or not may_spend:
+        if not self.is_running or self._evidence.bad or not may_spend:
             return False
         found = self.rollout
-        return self.budget.may_try(
-            rule, found.phase, found.exposure, self.most_slots
+        return self.budget.may_grant_new_version(
+            rule, found.phase, found.exposure, self.max_slots
         )
 
-    def granted(self, rule: str, *, new: bool) -> None:
+    def record_grant(self, rule: str, *, new: bool) -> None:
         """Count a request that a server of the pool gets."""
-        if self.runs:
-            self.budget.granted(rule, self.rollout.phase, new=new)
+        if self.is_running:
+            self.budget.record_grant(rule, self.rollout.phase, new=new)
 
-    def answered(
+    def record_answer(
         self,
         version: ids.SoftwareVersion,
         server: ids.ServerId,
@@ -222,7 +222,7 @@
         :param ratio: its time by what the pool usually takes for its like;
             None where it says nothing.
         """
-        if not self.runs:
+        if not self.is_running:
             return
         known = self._evidence
         old = version != self.rollout.to
@@ -241,7 +241,7 @@
 
     def next_step(self, load: Load) -> Advance | End | None:
         """Give what the log should note now, if anything."""
-        if not self.runs:
+        if not self.is_running:
             return None
         if self._evidence.bad:
             return End(orders.State.rolled_back, self._evidence.bad)
@@ -257,7 +257,7 @@
             return End(orders.State.completed, self._account())
         return None
 
-    def outline(self) -> dict[str, object]:
+    def summary(self) -> dict[str, object]:
         """Give what is known, for the log."""
         known = self._evidence
         return {
@@ -340,7 +340,7 @@
         is set aside, and what the others do decides.
         """
         known = self._evidence
-        alone = len(verdict.culprits) == 1 and self.new_servers > 1
+        alone = len(verdict.culprits) == 1 and self.new_server_count > 1
         if alone and not known.set_aside:
             known.set_aside = frozenset(verdict.culprits)
             known.judge.start_again()
--- a/libs/rollout/geraniumweir/rollout/tests/test_controller.py
+++ b/libs/rollout/geraniumweir/rollout/tests/test_controller.py
@@ -26,10 +26,10 @@
         guide = controller.RolloutController(
             lambda: controller.ObservedOrder(self.rollout, 0),
             lambda: self.now,
-            spends=lambda: self.leads,
+            may_spend_budget=lambda: self.leads,
         )
         guide.refresh()
-        guide.new_servers = 4
+        guide.new_server_count = 4
         return guide
 
     def step(self) -> controller.Advance | controller.End | None:
@@ -50,12 +50,12 @@
         """Let requests come; give how many the new version got."""
         tried = 0
         for _ in range(number):
-            new = self.guide.may_try('r')
-            self.guide.granted('r', new=new)
+            new = self.guide.may_grant_new_version('r')
+            self.guide.record_grant('r', new=new)
             if new:
                 tried += 1
                 name = ids.ServerId(str(tried % 3))
-                self.guide.answered(_NEW, name, 'r', failed=bad)
+                self.guide.record_answer(_NEW, name, 'r', failed=bad)
             self.step()
         return tried
 
@@ -63,10 +63,10 @@
 def test_nothing_is_spent_before_the_log_has_it() -> None:
     """A coordinator that takes over must know what was spent."""
     some = _Scene()
-    some.guide.granted('r', new=False)
-    assert not some.guide.may_try('r')
+    some.guide.record_grant('r', new=False)
+    assert not some.guide.may_grant_new_version('r')
     some.step()
-    assert some.guide.may_try('r')
+    assert some.guide.may_grant_new_version('r')
 
 
 def test_host_that_does_not_lead_tries_nothing() -> None:
@@ -108,7 +108,7 @@
     some.step()
     some.serve(100, bad=True)
     assert some.guide.role(_NEW) is orders.Role.barred
-    assert not some.guide.may_try('r')
+    assert not some.guide.may_grant_new_version('r')
     step = some.guide.next_step(_LOAD)
     assert isinstance(step, controller.End)
     assert step.state is orders.State.rolled_back
@@ -120,10 +120,10 @@
     some.step()
     broken = ids.ServerId('broken')
     for number in range(40):
-        some.guide.answered(_NEW, broken, 'r', failed=True)
+        some.guide.record_answer(_NEW, broken, 'r', failed=True)
         name = ids.ServerId(str(number % 3))
-        some.guide.answered(_NEW, name, 'r', failed=False)
-    assert some.guide.set_aside == {broken}
+        some.guide.record_answer(_NEW, name, 'r', failed=False)
+    assert some.guide.excluded_servers == {broken}
     assert some.guide.role(_NEW) is orders.Role.canary
 
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
@@ -119,7 +119,7 @@
         for one in known
         if guide.role(one.version) is not orders.Role.barred
     ]
-    if found or not guide.runs:
+    if found or not guide.is_running:
         return found
     return [one for one in known if one.version != guide.rollout.to]
 
@@ -130,9 +130,13 @@
         return
     for server in leader.servers.values():
         server.canary = guide.role(server.version) is orders.Role.canary
-    new = [one for one in leader.servers.values() if one.version == guide.to]
-    guide.new_servers = len(new)
-    guide.most_slots = max((one.slots for one in new), default=1)
+    new = [
+        one
+        for one in leader.servers.values()
+        if one.version == guide.target_version
+    ]
+    guide.new_server_count = len(new)
+    guide.max_slots = max((one.slots for one in new), default=1)
 
 
 def _set_throttles(leader: state.LeaderState) -> None:
@@ -173,7 +177,7 @@
 
 def rollout_load(leader: state.LeaderState) -> controller.Load:
     """Tell how the pool does, for its rollout."""
-    to = leader.guide.to
+    to = leader.guide.target_version
     known = leader.servers.values()
     return controller.Load(
         old_running=sum(len(one.running) for one in known if one.version != to),
--- a/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
@@ -224,7 +224,9 @@
     turn: ordering.Turn,
 ) -> bool:
     """Grant a request a server of a new version, where it may get one."""
-    if not look.canaries or not leader.guide.may_try(turn.waiting.ask.rule):
+    if not look.canaries or not leader.guide.may_grant_new_version(
+        turn.waiting.ask.rule
+    ):
         return False
     offers = look.allowed(look.canaries, turn.waiting.ask.owner)
     place = trying.choose(offers, turn.waiting, look.learnt)
@@ -351,7 +353,9 @@
         server.announcement.address,
         server.version,
     )
-    leader.guide.granted(ask.rule, new=server.version == leader.guide.to)
+    leader.guide.record_grant(
+        ask.rule, new=server.version == leader.guide.target_version
+    )
     running = records.Running(
         ask=ask,
         grant=grant,
--- a/libs/scheduling/geraniumweir/scheduling/ontime/trying.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/trying.py
@@ -28,19 +28,19 @@
     version shows only beside others.
     """
     guide = leader.guide
-    if not guide.runs:
+    if not guide.is_running:
         return []
     able = [
         server
         for server in leader.servers.values()
         if server.live
         and server.canary
-        and server.server_id not in guide.set_aside
+        and server.server_id not in guide.excluded_servers
     ]
     if guide.is_ramping:
         return _offers(able, _RAMP_SERVERS, learnt)
     chosen = _of_unlike_domains(able)
-    first = guide.budget.pulses % max(len(chosen), 1)
+    first = guide.budget.batches % max(len(chosen), 1)
     return _offers(chosen[first : first + 1], 1, learnt)
 
 
@@ -93,7 +93,7 @@
     running: records.Running,
 ) -> None:
     """Tell the guide how long a first token took."""
-    if not leader.guide.runs or server.announcement.cold:
+    if not leader.guide.is_running or server.announcement.cold:
         return
     seconds = max(running.first_token or 0, _LEAST_SECONDS)
     usual = leader.learnt.pool.first.at(running.read_tokens)
@@ -107,7 +107,7 @@
     release: requests.Release,
 ) -> None:
     """Tell the guide how an answer ended."""
-    if not leader.guide.runs:
+    if not leader.guide.is_running:
         return
     match release.outcome:
         case requests.Outcome.answered_failure:
@@ -125,7 +125,7 @@
     failed: bool,
     ratio: float | None = None,
 ) -> None:
-    leader.guide.answered(
+    leader.guide.record_answer(
         server.version,
         server.server_id,
         running.ask.rule,
