--- a/libs/fakes/geraniumweir/fakes/rollouts/main.py
+++ b/libs/fakes/geraniumweir/fakes/rollouts/main.py
@@ -7,11 +7,11 @@
 import typing
 
 from geraniumweir.fakes.rollouts import playing, thresholds, versions
-from geraniumweir.rollout import judging, orders
+from geraniumweir.rollout import detection, orders
 
 _JUDGES = types.MappingProxyType(
     {
-        'cumulative-sum': judging.Judge,
+        'cumulative-sum': detection.CusumDetector,
         'threshold': thresholds.Threshold,
     }
 )
@@ -22,7 +22,7 @@
     kind: versions.Kind,
     trouble: versions.Trouble,
     seeds: typing.Iterable[int],
-    judge: typing.Callable[[], judging.Test] = judging.Judge,
+    judge: typing.Callable[[], detection.Detector] = detection.CusumDetector,
 ) -> list[playing.Result]:
     """Play a kind of version beside a trouble, once for each seed."""
     return [
--- a/libs/fakes/geraniumweir/fakes/rollouts/playing.py
+++ b/libs/fakes/geraniumweir/fakes/rollouts/playing.py
@@ -8,7 +8,7 @@
 from geraniumweir.common import ids, virtual
 from geraniumweir.fakes.rollouts import versions
 from geraniumweir.membership import servers
-from geraniumweir.rollout import budget, controller, judging, orders
+from geraniumweir.rollout import budget, controller, detection, orders
 from geraniumweir.scheduling import requests, settings
 from geraniumweir.scheduling.ontime import leader
 
@@ -52,7 +52,7 @@
     slots: int = 6
     seconds: float = 12
     bounds: budget.Bounds = budget.Bounds()
-    judge: typing.Callable[[], judging.Test] = judging.Judge
+    judge: typing.Callable[[], detection.Detector] = detection.CusumDetector
 
 
 @dataclasses.dataclass(slots=True)
--- a/libs/fakes/geraniumweir/fakes/rollouts/thresholds.py
+++ b/libs/fakes/geraniumweir/fakes/rollouts/thresholds.py
@@ -3,7 +3,7 @@
 import collections
 
 from geraniumweir.common import ids
-from geraniumweir.rollout import judging
+from geraniumweir.rollout import detection
 
 # A version is bad where this part of its last answers was, beyond what is
 # usual, and at least so many.
@@ -14,7 +14,7 @@
 
 
 class Threshold:
-    """Counts bad answers among the last ones; see :class:`judging.Test`."""
+    """Counts bad answers among the last ones; see :class:`judging.Detector`."""
 
     def __init__(self) -> None:
         """Start without evidence."""
@@ -30,26 +30,26 @@
         """Give how near it is to going off, 1 where it does."""
         return self._bad() / max(self._limit(), _LEAST_BAD)
 
-    def old(self, _rule: str, *, bad: bool) -> None:
+    def record_old_answer(self, _rule: str, *, bad: bool) -> None:
         """Take an answer of the old version."""
         self._old.append(bad)
 
-    def new(
+    def record_new_answer(
         self,
         _rule: str,
         server: ids.ServerId,
         *,
         bad: bool,
-    ) -> judging.Verdict | None:
+    ) -> detection.Detection | None:
         """Take an answer of the new version."""
         self._new.append((server, bad))
         if self.suspicion < 1:
             return None
         counts = collections.Counter(name for name, ill in self._new if ill)
         culprits = tuple(name for name, count in counts.items() if count > 1)
-        return judging.Verdict('', culprits, self._bad(), len(self._new))
+        return detection.Detection('', culprits, self._bad(), len(self._new))
 
-    def start_again(self) -> None:
+    def reset(self) -> None:
         """Drop the evidence."""
         self._new.clear()
 
--- a/libs/rollout/geraniumweir/rollout/__init__.py
+++ b/libs/rollout/geraniumweir/rollout/__init__.py
@@ -6,5 +6,5 @@
 See Also
 ========
 geraniumweir.rollout.orders, geraniumweir.rollout.controller,
-geraniumweir.rollout.judging, geraniumweir.rollout.schedule
+geraniumweir.rollout.detection, geraniumweir.rollout.schedule
 """
--- a/libs/rollout/geraniumweir/rollout/controller.py
+++ b/libs/rollout/geraniumweir/rollout/controller.py
@@ -12,7 +12,7 @@
 from geraniumweir.common import ids
 from geraniumweir.rollout import (
     budget,
-    judging,
+    detection,
     orders,
     schedule,
     slowness,
@@ -95,7 +95,7 @@
     :ivar bad: why it is taken for a bad one, empty while it isn't.
     """
 
-    judge: judging.Test
+    judge: detection.Detector
     paces: slowness.Paces = dataclasses.field(default_factory=slowness.Paces)
     answers: int = 0
     set_aside: frozenset[ids.ServerId] = _NONE
@@ -118,7 +118,9 @@
         bounds: budget.Bounds = _USUAL_BOUNDS,
         *,
         may_spend_budget: typing.Callable[[], bool] | None = None,
-        judge: typing.Callable[[], judging.Test] = judging.Judge,
+        judge: typing.Callable[
+            [], detection.Detector
+        ] = detection.CusumDetector,
     ) -> None:
         """Follow the pool's orders.
 
@@ -230,12 +232,12 @@
         if ratio is not None and not failed:
             bad = known.paces.is_slow(server, ratio, old=old)
         if old:
-            known.judge.old(rule, bad=bad)
+            known.judge.record_old_answer(rule, bad=bad)
             return
         if server in known.set_aside:
             return
         known.answers += 1
-        verdict = known.judge.new(rule, server, bad=bad)
+        verdict = known.judge.record_new_answer(rule, server, bad=bad)
         if verdict is not None:
             self._conclude(verdict)
 
@@ -333,17 +335,17 @@
             and load.new_slots >= max(load.running, 1)
         )
 
-    def _conclude(self, verdict: judging.Verdict) -> None:
+    def _conclude(self, verdict: detection.Detection) -> None:
         """Take that a test went off.
 
         One server that gave the bad answers alone may be broken by itself: it
         is set aside, and what the others do decides.
         """
         known = self._evidence
-        alone = len(verdict.culprits) == 1 and self.new_server_count > 1
+        alone = len(verdict.failing_servers) == 1 and self.new_server_count > 1
         if alone and not known.set_aside:
-            known.set_aside = frozenset(verdict.culprits)
-            known.judge.start_again()
+            known.set_aside = frozenset(verdict.failing_servers)
+            known.judge.reset()
             return
         where = f'on route {verdict.rule}' if verdict.rule else 'on all routes'
         known.bad = (
--- a/libs/rollout/geraniumweir/rollout/judging.py
+++ b/libs/rollout/geraniumweir/rollout/detection.py
@@ -36,15 +36,15 @@
 _CULPRIT_PART = 0.3
 
 
-class Verdict(typing.NamedTuple):
+class Detection(typing.NamedTuple):
     """A test went off.
 
     :ivar rule: the route on which it did, empty for all together.
-    :ivar culprits: servers that gave a good part of the bad answers.
+    :ivar failing_servers: servers that gave a good part of the bad answers.
     """
 
     rule: str
-    culprits: tuple[ids.ServerId, ...]
+    failing_servers: tuple[ids.ServerId, ...]
     bad: int
     answers: int
 
@@ -101,37 +101,37 @@
         self.bad.clear()
 
 
-class Test(typing.Protocol):
+class Detector(typing.Protocol):
     """Tells a bad version from a good one."""
 
     @property
     def suspicion(self) -> float:
         """Give how near it is to going off, 1 where it does."""
 
-    def old(self, rule: str, *, bad: bool) -> None:
+    def record_old_answer(self, rule: str, *, bad: bool) -> None:
         """Take an answer of the old version."""
 
-    def new(
+    def record_new_answer(
         self,
         rule: str,
         server: ids.ServerId,
         *,
         bad: bool,
-    ) -> Verdict | None:
+    ) -> Detection | None:
         """Take an answer of the new version."""
 
-    def start_again(self) -> None:
+    def reset(self) -> None:
         """Drop the evidence: its cause was one server, not its version."""
 
 
-class Judge:
+class CusumDetector:
     """Weighs the answers of one rollout.
 
-    >>> judge = Judge()
+    >>> judge = CusumDetector()
     >>> for _ in range(500):
-    ...     judge.old('r', bad=False)
+    ...     judge.record_old_answer('r', bad=False)
     >>> name = ids.ServerId('s')
-    >>> [judge.new('r', name, bad=True) is None for _ in range(5)]
+    >>> [judge.record_new_answer('r', name, bad=True) is None for _ in range(5)]
     [True, True, True, True, False]
     """
 
@@ -147,17 +147,17 @@
         totals = [one.total for one in self._by_rule.values()]
         return max(self._together.total, *totals, 0) / _THRESHOLD
 
-    def old(self, rule: str, *, bad: bool) -> None:
+    def record_old_answer(self, rule: str, *, bad: bool) -> None:
         """Take an answer of the old version."""
         self._usual.setdefault(rule, _Usual()).add(bad=bad)
 
-    def new(
+    def record_new_answer(
         self,
         rule: str,
         server: ids.ServerId,
         *,
         bad: bool,
-    ) -> Verdict | None:
+    ) -> Detection | None:
         """Take an answer of the new version.
 
         :returns: what was found, where a test goes off.
@@ -172,15 +172,17 @@
             return _verdict(rule, by_rule)
         return None
 
-    def start_again(self) -> None:
+    def reset(self) -> None:
         """Drop the evidence: its cause was one server, not its version."""
         self._together.clear()
         self._by_rule.clear()
 
 
-def _verdict(rule: str, evidence: _Evidence) -> Verdict:
+def _verdict(rule: str, evidence: _Evidence) -> Detection:
     least = max(_FEW_BAD, evidence.bad.total() * _CULPRIT_PART)
-    culprits = tuple(
+    failing_servers = tuple(
         server for server, count in evidence.bad.items() if count >= least
     )
-    return Verdict(rule, culprits, evidence.bad.total(), evidence.answers)
+    return Detection(
+        rule, failing_servers, evidence.bad.total(), evidence.answers
+    )
--- a/libs/rollout/geraniumweir/rollout/tests/test_judging.py
+++ b/libs/rollout/geraniumweir/rollout/tests/test_detection.py
@@ -4,7 +4,7 @@
 
 import pytest
 from geraniumweir.common import ids
-from geraniumweir.rollout import judging
+from geraniumweir.rollout import detection
 
 _ANSWERS = 600
 _MOST_BAD = 25
@@ -15,20 +15,20 @@
     usual: float,
     seed: int,
     servers: int = 4,
-) -> tuple[int, judging.Verdict | None]:
+) -> tuple[int, detection.Detection | None]:
     """Judge answers of which a part is bad, beside a usual part.
 
     :returns: the bad answers until then and the verdict.
     """
     chance = random.Random(seed)
-    judge = judging.Judge()
+    judge = detection.CusumDetector()
     bad_answers = 0
     for number in range(_ANSWERS):
-        judge.old('r', bad=chance.random() < usual)
+        judge.record_old_answer('r', bad=chance.random() < usual)
         bad = chance.random() < part
         bad_answers += bad
         server = ids.ServerId(str(number % servers))
-        verdict = judge.new('r', server, bad=bad)
+        verdict = judge.record_new_answer('r', server, bad=bad)
         if verdict is not None:
             return bad_answers, verdict
     return bad_answers, None
@@ -56,22 +56,24 @@
 
 def test_version_that_turns_bad_is_found_as_fast() -> None:
     """What it did well before doesn't count for it."""
-    judge = judging.Judge()
+    judge = detection.CusumDetector()
     server = ids.ServerId('s')
     for _ in range(2000):
-        judge.old('r', bad=False)
-        judge.new('r', server, bad=False)
-    found = [judge.new('r', server, bad=True) for _ in range(6)]
+        judge.record_old_answer('r', bad=False)
+        judge.record_new_answer('r', server, bad=False)
+    found = [judge.record_new_answer('r', server, bad=True) for _ in range(6)]
     assert found[-1] is not None
 
 
 def test_bad_route_is_found_among_good_ones() -> None:
     """One answer in ten is on it."""
-    judge = judging.Judge()
+    judge = detection.CusumDetector()
     server = ids.ServerId('s')
     for number in range(100):
         rare = number % 10 == 0
-        verdict = judge.new('rare' if rare else 'r', server, bad=rare)
+        verdict = judge.record_new_answer(
+            'rare' if rare else 'r', server, bad=rare
+        )
         if verdict is not None:
             assert verdict.rule == 'rare'
             return
