--- a/libs/gateway/geraniumweir/gateway/admission.py
+++ b/libs/gateway/geraniumweir/gateway/admission.py
@@ -52,7 +52,7 @@
 
 def admit(
     known: Knowledge,
-    call: codec.Call,
+    call: codec.Request,
     body: bytes,
     asker: Asker,
     chance: random.Random,
@@ -103,7 +103,7 @@
     )
 
 
-def find_route(known: Knowledge, call: codec.Call) -> tables.Route:
+def find_route(known: Knowledge, call: codec.Request) -> tables.Route:
     """Find the rule that decides.
 
     :raises geraniumweir.common.errors.Refused: when none matches.
@@ -118,7 +118,7 @@
 
 def find_customer(
     known: Knowledge,
-    call: codec.Call,
+    call: codec.Request,
     route: tables.Route,
 ) -> tables.Customer | None:
     """Find who calls; None on a document without customers.
@@ -143,7 +143,7 @@
     return ids.Tier(min(max(rank, 0), _LOWEST))
 
 
-def _cost(call: codec.Call, customer: tables.Customer | None) -> float:
+def _cost(call: codec.Request, customer: tables.Customer | None) -> float:
     """Give what a request takes of its customer's quota."""
     quota = customer.quota if customer else None
     if quota is None or not quota.per_second:
@@ -152,10 +152,10 @@
         return 1
     if call.generation is None:
         return quota.plain_cost
-    return call.generation.prompt_tokens + call.generation.most_tokens
+    return call.generation.prompt_tokens + call.generation.max_tokens
 
 
-def _generation(call: codec.Call, pool: tables.Pool) -> dict[str, object]:
+def _generation(call: codec.Request, pool: tables.Pool) -> dict[str, object]:
     """Give what an ask says of its prompt."""
     said = call.generation
     if said is None or pool.engine is None:
@@ -164,14 +164,14 @@
     return {
         'model': said.model,
         'prompt_tokens': said.prompt_tokens,
-        'max_tokens': said.most_tokens,
+        'max_tokens': said.max_tokens,
         'likely_tokens': said.likely_tokens,
         'blocks': _blocks(said.parts),
         'streams': True,
     }
 
 
-def _blocks(parts: tuple[codec.Part, ...]) -> tuple[ids.BlockHash, ...]:
+def _blocks(parts: tuple[codec.PromptPart, ...]) -> tuple[ids.BlockHash, ...]:
     """Cut a prompt's parts into blocks, each named with all before it."""
     blocks = []
     seed = 0
@@ -185,7 +185,7 @@
     return tuple(blocks)
 
 
-def _fingerprint(call: codec.Call, body: bytes) -> ids.Fingerprint:
+def _fingerprint(call: codec.Request, body: bytes) -> ids.Fingerprint:
     """Give a number that is the same for the same request sent again."""
     head = f'{call.method} {call.host} {call.target} {call.key}\n'.encode()
     return ids.Fingerprint(xxhash.xxh3_64_intdigest(head + body))
--- a/libs/gateway/geraniumweir/gateway/attempts.py
+++ b/libs/gateway/geraniumweir/gateway/attempts.py
@@ -78,7 +78,7 @@
 
     session: aiohttp.ClientSession
     codec: codec.Codec
-    call: codec.Call
+    call: codec.Request
     body: bytes
     dispatch: codec.Dispatch
     address: ids.Address
@@ -86,7 +86,7 @@
     stream: Stream
     story: story.Story
     on_first: typing.Callable[[float], None]
-    on_head: typing.Callable[[codec.Answered], None]
+    on_head: typing.Callable[[codec.ResponseHead], None]
     first: float | None = None
     pauses: Pauses = dataclasses.field(default_factory=Pauses)
 
@@ -122,7 +122,7 @@
         answer: calls.Answer,
         started: float,
     ) -> outcomes.Outcome:
-        answered = self.codec.read_answer(answer.status, answer.headers)
+        answered = self.codec.read_response_head(answer.status, answer.headers)
         if answered.request_id != self.call.request_id:
             raise backend_errors.ForeignAnswerError(
                 f'the answer is of request {answered.request_id!r}',
@@ -137,7 +137,7 @@
     async def _pass_on(
         self,
         answer: calls.Answer,
-        answered: codec.Answered,
+        answered: codec.ResponseHead,
         started: float,
     ) -> outcomes.Outcome:
         if answered.encoded or not answered.signed:
--- a/libs/gateway/geraniumweir/gateway/codec.py
+++ b/libs/gateway/geraniumweir/gateway/codec.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Part:
+class PromptPart:
     """A part of a prompt that requests may share.
 
     :ivar part_id: equal for equal content behind equal parts before it.
@@ -31,20 +31,20 @@
     """What a caller says of the generation it asks for.
 
     :ivar prompt_tokens: of the whole prompt.
-    :ivar most_tokens: most that may be generated.
+    :ivar max_tokens: most that may be generated.
     :ivar likely_tokens: the caller's own estimate, 0 for none.
     :ivar parts: of the prompt, first to last.
     """
 
     prompt_tokens: int = 0
-    most_tokens: int = 0
+    max_tokens: int = 0
     likely_tokens: int = 0
     model: str | None = None
-    parts: tuple[Part, ...] = ()
+    parts: tuple[PromptPart, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Call:
+class Request:
     """A caller's request, read.
 
     :ivar request_id: the caller's own, new for each attempt of its.
@@ -85,7 +85,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answered:
+class ResponseHead:
     """The head of a server's answer, read.
 
     :ivar request_id: of the request that it answers, empty where unsaid.
@@ -110,20 +110,20 @@
 class Codec(typing.Protocol):
     """Names and forms of a protocol."""
 
-    def read_call(self, req: web.BaseRequest) -> Call:
+    def read_request(self, req: web.BaseRequest) -> Request:
         """Read a caller's request.
 
         :raises geraniumweir.gateway.errors.BadCallError: when it can't be.
         """
 
-    def dispatch_headers(self, call: Call, dispatch: Dispatch) -> Headers:
+    def dispatch_headers(self, call: Request, dispatch: Dispatch) -> Headers:
         """Give the headers of a dispatch."""
 
-    def read_answer(
+    def read_response_head(
         self,
         status: int,
         headers: typing.Mapping[str, str],
-    ) -> Answered:
+    ) -> ResponseHead:
         """Read the head of a server's answer."""
 
     def refusal(self, call_id: str, refusal: errors.Refusal) -> web.Response:
--- a/libs/gateway/geraniumweir/gateway/errors.py
+++ b/libs/gateway/geraniumweir/gateway/errors.py
@@ -9,7 +9,7 @@
     code = 'GW-1700'
 
 
-class BadCallError(GatewayError, ValueError):
+class BadRequestError(GatewayError, ValueError):
     """A call can't be read."""
 
     code = 'GW-1701'
--- a/libs/gateway/geraniumweir/gateway/forwarding.py
+++ b/libs/gateway/geraniumweir/gateway/forwarding.py
@@ -66,7 +66,7 @@
     :ivar event_tokens: tokens that one event of its stream holds.
     """
 
-    call: codec.Call
+    call: codec.Request
     body: bytes
     route: tables.Route
     customer: tables.Customer | None
@@ -326,7 +326,7 @@
         self,
         grant: requests.Grant,
         started: float,
-        answered: codec.Answered,
+        answered: codec.ResponseHead,
     ) -> None:
         """Take what a server says of itself."""
         for content in answered.said:
--- a/libs/gateway/geraniumweir/gateway/outcomes.py
+++ b/libs/gateway/geraniumweir/gateway/outcomes.py
@@ -9,7 +9,7 @@
 class Whole:
     """A whole answer, not yet given to the caller."""
 
-    answered: codec.Answered
+    answered: codec.ResponseHead
     body: bytes
 
 
--- a/libs/gateway/geraniumweir/gateway/serving.py
+++ b/libs/gateway/geraniumweir/gateway/serving.py
@@ -237,10 +237,10 @@
             known = self._know()
         return known
 
-    def _read_call(self, req: web.BaseRequest) -> codec.Call:
+    def _read_call(self, req: web.BaseRequest) -> codec.Request:
         try:
-            return self._means.codec.read_call(req)
-        except errors.BadCallError as exc:
+            return self._means.codec.read_request(req)
+        except errors.BadRequestError as exc:
             raise refusals.never(
                 _BAD_REQUEST,
                 'bad_request',
--- a/libs/gateway/geraniumweir/gateway/talk.py
+++ b/libs/gateway/geraniumweir/gateway/talk.py
@@ -44,7 +44,7 @@
         self.resp = resp
         return resp
 
-    async def begin(self, answered: codec.Answered) -> None:
+    async def begin(self, answered: codec.ResponseHead) -> None:
         """Send the head of a stream."""
         resp = web.StreamResponse(
             status=answered.status,
--- a/libs/gateway/geraniumweir/gateway/tests/bed.py
+++ b/libs/gateway/geraniumweir/gateway/tests/bed.py
@@ -37,12 +37,12 @@
 class PlainCodec:
     """The least protocol that the gateway can speak."""
 
-    def read_call(self, req: web.BaseRequest) -> codec.Call:
+    def read_request(self, req: web.BaseRequest) -> codec.Request:
         head = multidict.CIMultiDict(req.headers)
         head.pop('Content-Length', None)
         last = req.headers.get('Last-Event-Id')
         patience = req.headers.get('Patience')
-        return codec.Call(
+        return codec.Request(
             request_id=req.headers.get('Id', ''),
             method=req.method,
             host='host',
@@ -57,7 +57,7 @@
 
     def dispatch_headers(
         self,
-        call: codec.Call,
+        call: codec.Request,
         dispatch: codec.Dispatch,
     ) -> codec.Headers:
         head = call.headers.copy()
@@ -65,17 +65,17 @@
             head['Last-Event-Id'] = str(dispatch.last_event)
         return head
 
-    def read_answer(
+    def read_response_head(
         self,
         status: int,
         headers: typing.Mapping[str, str],
-    ) -> codec.Answered:
+    ) -> codec.ResponseHead:
         kept = multidict.CIMultiDict(
             (name, text)
             for name, text in headers.items()
             if name in {'Signed', 'Id', 'Content-Type'}
         )
-        return codec.Answered(
+        return codec.ResponseHead(
             status,
             headers.get('Id', ''),
             'Not-Run' in headers,
