--- a/libs/gateway/geraniumweir/gateway/__init__.py
+++ b/libs/gateway/geraniumweir/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""Serves callers by the routes of a document.
+"""Forwards callers' requests to backend servers by a routing document.
 
 See Also
 ========
--- a/libs/gateway/geraniumweir/gateway/admission.py
+++ b/libs/gateway/geraniumweir/gateway/admission.py
@@ -1,8 +1,8 @@
-"""From a caller's request to what is asked of a coordinator.
+"""Admits callers' requests: finds route, customer, pool and slot request.
 
-A key or a route that is unknown here is refused for good only while this host
-is sure that its document is the newest; one that is cut off says that it
-can't tell.
+A request with an unknown key or route is refused permanently only while the
+routing document of this host is up to date. A host that is partitioned from
+the control hosts refuses it with a retry time instead.
 """
 
 import dataclasses
@@ -16,9 +16,9 @@
 
 _UNAUTHORIZED = 401
 _NOT_FOUND = 404
-# Blocks of a prompt that a coordinator compares, in tokens. Parts of prompts
-# differ in length; in equal pieces they weigh by their length. 256 keeps the
-# longest prompt of the users (54,600 tokens) below the 512 blocks that an
+# Length of the prompt blocks that a pool leader compares. Blocks of equal size
+# weigh the parts of a prompt by their length. With 256 tokens the longest
+# prompt of the users (54,600 tokens) has fewer than the 512 blocks that an
 # index keeps.
 _BLOCK_TOKENS = 256
 _LOWEST_TIER = int(max(ids.Tier))
@@ -26,10 +26,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DocumentState:
-    """What this host decides by.
+    """Routing document of this host.
 
-    :ivar index: the document in force, or None before the first.
-    :ivar sure: it is known to be the newest.
+    :ivar index: index of the document in force, None before the first.
+    :ivar sure: whether it is up to date.
     """
 
     index: finding.Index | None
@@ -38,10 +38,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestOrigin:
-    """Who asks the coordinator: this host, for one request.
+    """Host and request for which a slot is requested.
 
-    :ivar request_id: unique among all that this host ever asked for.
-    :ivar arrived: in seconds on the loop's clock.
+    :ivar request_id: unique among all requests of this host.
+    :ivar arrived: when the request arrived, in seconds on the loop's clock.
     """
 
     host_id: ids.HostId
@@ -57,9 +57,10 @@
     origin: RequestOrigin,
     rng: random.Random,
 ) -> forwarding.AdmittedRequest:
-    """Decide by the first rule that matches.
+    """Return the request as admitted by the first matching route.
 
-    :raises geraniumweir.common.errors.Refused: when it can't be served.
+    :param rng: chooses among the pools of the route.
+    :raises geraniumweir.common.errors.Refused: if it can't be served.
     """
     index = document_state.index
     if index is None:
@@ -106,9 +107,9 @@
 def find_route(
     document_state: DocumentState, caller_request: codec.Request
 ) -> tables.Route:
-    """Find the rule that decides.
+    """Return the first matching route.
 
-    :raises geraniumweir.common.errors.Refused: when none matches.
+    :raises geraniumweir.common.errors.Refused: if none matches.
     """
     route = document_state.index and document_state.index.route(
         caller_request.host, caller_request.path
@@ -117,7 +118,9 @@
         return route
     if not document_state.sure:
         raise refusals.possibly_outdated()
-    raise refusals.permanent(_NOT_FOUND, 'no_route', 'no route leads from here')
+    raise refusals.permanent(
+        _NOT_FOUND, 'no_route', 'no route matches this host and path'
+    )
 
 
 def find_customer(
@@ -125,9 +128,11 @@
     caller_request: codec.Request,
     route: tables.Route,
 ) -> tables.Customer | None:
-    """Find who calls; None on a document without customers.
+    """Return the customer of a request.
 
-    :raises geraniumweir.common.errors.Refused: when nobody has the key.
+    :returns: None for a public route without a known key, or for a document
+        without customers.
+    :raises geraniumweir.common.errors.Refused: if no customer has the key.
     """
     index = document_state.index
     customer = (
@@ -141,9 +146,7 @@
         return None
     if not document_state.sure:
         raise refusals.possibly_outdated()
-    raise refusals.permanent(
-        _UNAUTHORIZED, 'unknown_key', 'nobody has this key'
-    )
+    raise refusals.permanent(_UNAUTHORIZED, 'unknown_key', 'unknown API key')
 
 
 def _tier(route: tables.Route, customer: tables.Customer | None) -> ids.Tier:
@@ -156,7 +159,7 @@
 def _cost(
     caller_request: codec.Request, customer: tables.Customer | None
 ) -> float:
-    """Give what a request takes of its customer's quota."""
+    """Return what a request costs of its customer's quota, in its unit."""
     quota = customer.quota if customer else None
     if quota is None or not quota.per_second:
         return 0
@@ -173,10 +176,10 @@
 def _generation(
     caller_request: codec.Request, pool: tables.Pool
 ) -> dict[str, object]:
-    """Give what an ask says of its prompt."""
+    """Return the fields of a slot request that describe the generation."""
     requested = caller_request.generation
     if requested is None or pool.engine is None:
-        # To the scheduler a plain answer is one token behind no prompt.
+        # The scheduler treats a plain response as one token without a prompt.
         return {'max_tokens': 1, 'streams': False}
     return {
         'model': requested.model,
@@ -189,7 +192,7 @@
 
 
 def _blocks(parts: tuple[codec.PromptPart, ...]) -> tuple[ids.BlockHash, ...]:
-    """Cut a prompt's parts into blocks, each named with all before it."""
+    """Return the prompt's blocks; each hash covers all blocks before it."""
     blocks = []
     seed = 0
     for part in parts:
@@ -203,7 +206,7 @@
 
 
 def _fingerprint(caller_request: codec.Request, body: bytes) -> ids.Fingerprint:
-    """Give a number that is the same for the same request sent again."""
+    """Return a hash that is equal for a repeated request."""
     head = (
         f'{caller_request.method} {caller_request.host}'
         f' {caller_request.target} {caller_request.key}\n'
--- a/libs/gateway/geraniumweir/gateway/attempts.py
+++ b/libs/gateway/geraniumweir/gateway/attempts.py
@@ -1,7 +1,7 @@
-"""One dispatch of a request to one server, and what comes back.
+"""Dispatches a request to one server and receives the response.
 
-A plain answer is read whole and judged before the caller gets a byte of it.
-Of a stream whole events are passed on as they come.
+A plain response is read completely and checked before any byte of it is sent
+to the caller. Of a stream, complete events are forwarded as they arrive.
 """
 
 import contextlib
@@ -24,7 +24,8 @@
 _OK = 200
 _MIN_SERVER_ERROR = 500
 _WRONG_SERVER = 421
-# What these promise to a caller only a server's own word can back.
+# These tell a caller that the request did not run; they are forwarded only if
+# the server itself states that.
 _NOT_RUN_STATUSES = frozenset(
     (
         408,
@@ -37,10 +38,10 @@
 
 @dataclasses.dataclass(slots=True)
 class StreamState:
-    """A stream to the caller, over all servers that had a part in it.
+    """State of a stream to the caller, across all servers that sent it.
 
-    :ivar splitter: cuts events and knows the last one.
-    :ivar begun: the caller has the head.
+    :ivar splitter: splits events and keeps the number of the last one.
+    :ivar begun: whether the head was sent to the caller.
     """
 
     splitter: events.EventSplitter
@@ -49,7 +50,7 @@
 
 @dataclasses.dataclass(slots=True)
 class EventGaps:
-    """The pauses between the events of one run of a stream, in seconds."""
+    """Gaps between the events of one attempt, in seconds."""
 
     longest: float = 0
     total: float = 0
@@ -57,9 +58,9 @@
     _last: float | None = None
 
     def note(self, now: float) -> None:
-        """Take that events came.
+        """Record the arrival of events.
 
-        :param now: in seconds.
+        :param now: in seconds on the loop's clock.
         """
         if self._last is not None:
             pause = now - self._last
@@ -70,17 +71,18 @@
 
     @property
     def mean(self) -> float:
-        """Give the mean."""
+        """Return the mean gap, 0 without any."""
         return self.total / self.count if self.count else 0
 
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One dispatch.
+    """One dispatch to a server.
 
-    :ivar first: seconds from dispatch to the first event or the whole answer.
-    :ivar on_first: told when the first event came.
-    :ivar on_head: told what the head of the server's answer says.
+    :ivar on_first: called with the value of ``first``.
+    :ivar on_head: called with the head of the server's response.
+    :ivar first: seconds from dispatch to the first event or to the complete
+        response.
     """
 
     session: aiohttp.ClientSession
@@ -98,9 +100,9 @@
     gaps: EventGaps = dataclasses.field(default_factory=EventGaps)
 
     async def run(self) -> outcomes.Outcome:
-        """Send the request and take the answer.
+        """Return the outcome of sending the request.
 
-        :raises ConnectionError: when the caller has gone.
+        :raises ConnectionError: if the caller closed its connection.
         """
         started = response_writer.now()
         sent = calls.Call(
@@ -132,7 +134,7 @@
         head = self.codec.read_response_head(answer.status, answer.headers)
         if head.request_id != self.caller_request.request_id:
             raise backend_errors.ForeignAnswerError(
-                f'the answer is of request {head.request_id!r}',
+                f'response belongs to request {head.request_id!r}',
             )
         self.on_head(head)
         if head.status == _OK and head.streams:
@@ -148,7 +150,9 @@
         started: float,
     ) -> outcomes.Outcome:
         if head.encoded or not head.signed:
-            raise backend_errors.GarbledError('the stream is not the server’s')
+            raise backend_errors.GarbledError(
+                'stream is encoded or not signed by the server'
+            )
         splitter = self.stream.splitter
         splitter.discard_incomplete()
         async with contextlib.aclosing(answer.chunks()) as chunks:
@@ -163,7 +167,9 @@
                     await self.response_writer.begin(head)
                 await self.response_writer.write(complete)
         if not splitter.is_complete() or not self.stream.begun:
-            raise errors.InvalidStreamError('the stream ended within an event')
+            raise errors.InvalidStreamError(
+                'stream ended before its first or within an event'
+            )
         return outcomes.CompleteStream()
 
     def _record_first(self, started: float) -> None:
@@ -185,16 +191,18 @@
     head = complete.head
     if head.not_run:
         return outcomes.NotRun(
-            f'the server answered {head.status}',
+            f'server rejected the request with {head.status}',
             arrived=True,
             wrong_server=head.status == _WRONG_SERVER,
         )
     if head.encoded or not head.signed:
-        return outcomes.Failed('the answer is not as the server made it')
+        return outcomes.Failed(
+            'response is encoded or not signed by the server'
+        )
     if head.status in _NOT_RUN_STATUSES:
         return outcomes.Failed(
-            f'the server answered {head.status} and may have run it',
+            f'server answered {head.status} and may have run the request',
         )
     if head.status >= _MIN_SERVER_ERROR:
-        return outcomes.Failed(f'the server failed: {head.status}', complete)
+        return outcomes.Failed(f'server failed with {head.status}', complete)
     return complete
--- a/libs/gateway/geraniumweir/gateway/forwarding.py
+++ b/libs/gateway/geraniumweir/gateway/forwarding.py
@@ -1,10 +1,10 @@
-"""An admitted request on its way: wait, dispatch, repeat or go on, answer.
+"""Forwards one admitted request: waits for a grant, dispatches and retries.
 
-A request goes to one server at a time. It goes to another one only where the
-last surely didn't run it, or where the route allows that it runs again, and
-while its time, the route's attempts and the retry budget last. A stream that
-may be resumed goes on at another server behind the last event that the caller
-has.
+A request is dispatched to one server at a time. It is retried on another one
+only if the last server certainly did not run it, or if the route allows a
+second run, and only within its deadline, the route's attempts and the retry
+budget. A resumable stream continues on another server after the last event
+that was sent to the caller.
 """
 
 import asyncio
@@ -30,24 +30,24 @@
 from geraniumweir.routing import tables
 from geraniumweir.scheduling import notices, requests, views
 
-# Servers that turn a request away, one after another: two more tries find one
-# that takes it, or there is none.
+# Rejections after which a request is refused: if two more servers reject it
+# too, it is unlikely that another one accepts it.
 _MAX_REJECTIONS = 3
-# A request whose grants are given back asks again after so long, from the
-# second time on, in seconds: whoever makes them may not have heard why yet.
+# Delay before the next slot request when a second grant in a row could not be
+# used: the pool leader may not have received the server's notice yet.
 _REPEAT_DELAY_SECONDS = 0.05
 
 
 class GrantCheck(typing.Protocol):
-    """Looks at a grant once more before its request is sent."""
+    """Check of a grant immediately before its request is sent."""
 
     def unusable_reason(self, grant: requests.Grant) -> enum.Enum | None:
-        """Tell why a request may not be sent by a grant, if so."""
+        """Return why a grant can't be used, None if it can."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SharedResources:
-    """What all requests of a host share."""
+    """Resources that all requests of a host share."""
 
     session: aiohttp.ClientSession
     codec: codec.Codec
@@ -60,10 +60,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmittedRequest:
-    """A request that a route leads to a pool.
+    """A request that was assigned to a pool.
 
-    :ivar deadline: when its answer is due, on the loop's clock.
-    :ivar event_tokens: tokens that one event of its stream holds.
+    :ivar deadline: when its response is due, in seconds on the loop's clock.
+    :ivar event_tokens: tokens in one event of its stream.
     """
 
     caller_request: codec.Request
@@ -77,14 +77,14 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestState:
-    """How far a request has come.
-
-    :ivar runs: servers that ran it, or may have.
-    :ivar rejected: servers that surely didn't.
-    :ivar arrivals: at servers, whatever became of them.
-    :ivar slot_requested: it has asked for a server.
-    :ivar sent: it is at a server now.
-    :ivar failure: the last failure that a server itself answered.
+    """Progress of a request.
+
+    :ivar runs: servers that ran it or may have run it.
+    :ivar rejected: servers that certainly did not run it.
+    :ivar arrivals: servers that it reached, whatever the outcome.
+    :ivar slot_requested: whether a slot was requested for it.
+    :ivar sent: whether it is at a server now.
+    :ivar failure: the last error response of a server itself.
     """
 
     runs: int = 0
@@ -96,7 +96,7 @@
 
     @property
     def sending(self) -> requests.Sending:
-        """Give how often the request has been sent before."""
+        """Return whether the next slot request is a first one or a retry."""
         if self.arrivals:
             return requests.Sending.retry
         if self.slot_requested:
@@ -105,7 +105,7 @@
 
 
 class RequestForwarder:
-    """One admitted request."""
+    """Forwarder of one admitted request."""
 
     def __init__(
         self,
@@ -114,7 +114,7 @@
         caller: response_writer.ResponseWriter,
         record: request_record.RequestRecord,
     ) -> None:
-        """Begin nothing yet."""
+        """Initialize without requesting a slot."""
         self._shared = shared
         self._admitted = admitted
         self._writer = caller
@@ -125,11 +125,10 @@
         )
 
     async def serve(self) -> web.StreamResponse:
-        """Answer the request.
+        """Return the response to the caller.
 
-        :raises geraniumweir.common.errors.Refused: when no server answers
-            it.
-        :raises ConnectionError: when the caller has gone.
+        :raises geraniumweir.common.errors.Refused: if no server gives one.
+        :raises ConnectionError: if the caller closed its connection.
         """
         try:
             async with asyncio.timeout_at(self._admitted.deadline):
@@ -139,7 +138,7 @@
 
     def _handle_timeout(self) -> web.StreamResponse:
         if self._stream.begun:
-            return self._abort_stream('its time is over')
+            return self._abort_stream('deadline exceeded')
         if self._state.failure is not None:
             return self._writer.complete(self._state.failure)
         if self._state.sent or self._state.runs:
@@ -164,7 +163,7 @@
                 return resp
 
     async def _acquire_grant(self) -> requests.Grant | requests.Denial:
-        """Wait for a grant that may be used, or for a denial."""
+        """Return a grant that can be used, or a denial."""
         delay = float(0)
         while True:
             slot_request = self._next_slot_request()
@@ -194,7 +193,7 @@
         )
 
     def _next_slot_request(self) -> requests.Ask:
-        """Give the ask; what was counted once takes no quota again."""
+        """Return the next slot request; quota is charged for one run only."""
         slot_request = self._admitted.slot_request
         cost = 0 if self._state.runs else slot_request.quota_cost
         sending = self._state.sending
@@ -206,7 +205,7 @@
         self,
         answer: requests.Grant | requests.Denial,
     ) -> None:
-        """Tell of a retry that may be sent, or not for want of budget."""
+        """Record a retry that was granted or that the budget denied."""
         match answer:
             case requests.Grant():
                 event, outcome = logevents.RETRIED, 'sent'
@@ -232,7 +231,7 @@
         grant: requests.Grant,
         outcome: outcomes.Outcome,
     ) -> web.StreamResponse | None:
-        """Answer the caller, or give None to try again."""
+        """Return the response to the caller, None to retry."""
         match outcome:
             case outcomes.CompleteResponse():
                 return self._writer.complete(outcome)
@@ -300,7 +299,7 @@
             ended = _release_outcome(outcome)
             return outcome
         finally:
-            # Where its time is over, a server has had the request.
+            # After a timeout the request was still at a server.
             self._state.sent = ended is requests.Outcome.cancelled
             self._release(
                 grant, attempt, ended, response_writer.now() - started
@@ -338,7 +337,7 @@
         started: float,
         head: codec.ResponseHead,
     ) -> None:
-        """Take what a server says of itself."""
+        """Record the notices in the head of a server's response."""
         for content in head.said:
             if isinstance(content, notices.Unreadable):
                 eventlog.emit(
--- a/libs/gateway/geraniumweir/gateway/grant_check.py
+++ b/libs/gateway/geraniumweir/gateway/grant_check.py
@@ -1,7 +1,7 @@
-"""Whether a grant may still be used when its request is about to be sent.
+"""Checks whether a grant can still be used when its request is to be sent.
 
-A grant may be older than what its server said: on its way from the
-coordinator, or made by one that hasn't heard it yet.
+A grant may be older than a notice of its server: it was in transit, or the
+pool leader had not received the notice when it granted the slot.
 """
 
 import enum
@@ -12,10 +12,10 @@
 
 
 class UnusableReason(enum.Enum):
-    """Why a grant is given back.
+    """Why a grant can't be used.
 
-    :cvar leaving: its server leaves.
-    :cvar pausing: its server wants nothing from this host for a while.
+    :cvar leaving: its server is leaving.
+    :cvar pausing: its server requested a pause from this host.
     """
 
     leaving = 'leaving'
@@ -23,7 +23,7 @@
 
 
 class GrantCheck:
-    """Looks at grants; see :class:`forwarding.GrantCheck`."""
+    """Check by server notices; see :class:`forwarding.GrantCheck`."""
 
     def __init__(
         self,
@@ -32,9 +32,9 @@
         servers: roster.Roster,
         clock: timers.TimerService,
     ) -> None:
-        """Go by what this host knows.
+        """Initialize with the state of this host.
 
-        :param host_id: this host's.
+        :param host_id: of this host.
         """
         self._host_id = host_id
         self._server_notices = server_notices
@@ -42,9 +42,10 @@
         self._clock = clock
 
     def unusable_reason(self, grant: requests.Grant) -> UnusableReason | None:
-        """Tell why a request may not be sent by a grant, if so.
+        """Return why a grant can't be used, None if it can.
 
-        Whoever made the grant is told of a server that leaves.
+        A server that is leaving is also recorded as a notice, so that the
+        pool leader learns of it.
         """
         if self._servers.is_leaving(grant.start):
             now = self._clock.now()
--- a/libs/gateway/geraniumweir/gateway/request_record.py
+++ b/libs/gateway/geraniumweir/gateway/request_record.py
@@ -1,4 +1,4 @@
-"""What happened to one request, for its line in the log."""
+"""Record of one request, which is written with its events to the log."""
 
 import dataclasses
 
@@ -9,19 +9,20 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestRecord:
-    """The inputs and outcomes of the decisions about a request.
+    """Inputs and outcomes of the decisions about a request.
 
-    :ivar arrived: in seconds on the loop's clock.
-    :ivar version: of the document that decided.
-    :ivar gap: longest pause between events for full worth, in seconds.
-    :ivar patience: seconds that the caller said it waits.
-    :ivar cost: taken from the customer's quota, in its unit.
-    :ivar content: equal for the same request sent again.
-    :ivar granted: seconds from arrival to the last grant, None for none.
-    :ivar first: seconds from arrival to the first byte of an answer.
-    :ivar longest_pause: between two events, in seconds.
-    :ivar servers: that it was sent to, in order.
-    :ivar software: versions of these servers.
+    :ivar arrived: when it arrived, in seconds on the loop's clock.
+    :ivar version: version of the routing document that was applied.
+    :ivar target: time to the first answer for full value, in seconds.
+    :ivar gap: longest gap between events for full value, in seconds.
+    :ivar patience: seconds that the caller waits, None if it sent none.
+    :ivar cost: charged to the customer's quota, in the quota's unit.
+    :ivar content: fingerprint, equal for a repeated request.
+    :ivar granted: seconds from arrival to the last grant, None without one.
+    :ivar first: seconds from arrival to the first byte of a response.
+    :ivar longest_pause: longest gap between two events, in seconds.
+    :ivar servers: servers that it was sent to, in order.
+    :ivar software: software versions of these servers.
     """
 
     request: str
@@ -48,7 +49,7 @@
         now: float,
         **outcome: object,
     ) -> None:
-        """Log an event with all that is known so far.
+        """Log an event with all values recorded so far.
 
         :param now: in seconds on the loop's clock.
         """
--- a/libs/gateway/geraniumweir/gateway/response_writer.py
+++ b/libs/gateway/geraniumweir/gateway/response_writer.py
@@ -1,4 +1,4 @@
-"""The caller's side of one request: the answer on its way to the caller."""
+"""Writes the response to one request to its caller."""
 
 import asyncio
 import typing
@@ -8,16 +8,16 @@
 
 
 class ResponseWriter:
-    """Gives one answer to one caller.
+    """Writer of one response to one caller.
 
-    :ivar resp: the answer that has begun, or None.
-    :ivar aborted: the answer was broken off.
+    :ivar resp: the response that was started, or None.
+    :ivar aborted: whether the connection was closed before its end.
     """
 
     def __init__(self, req: web.BaseRequest, closes: bool) -> None:
-        """Begin nothing yet.
+        """Initialize without a response.
 
-        :param closes: the connection is to end with this answer.
+        :param closes: whether the connection closes after this response.
         """
         self.resp: web.StreamResponse | None = None
         self.aborted = False
@@ -25,11 +25,11 @@
         self._closes = closes
 
     def close_after(self) -> None:
-        """End the connection with this answer."""
+        """Close the connection after this response."""
         self._closes = True
 
     def complete(self, answer: outcomes.CompleteResponse) -> web.Response:
-        """Make the response of a whole answer."""
+        """Return the response made from a server's complete response."""
         resp = web.Response(
             status=answer.head.status,
             headers=answer.head.headers,
@@ -38,14 +38,14 @@
         return self.finish(resp)
 
     def finish(self, resp: web.Response) -> web.Response:
-        """Take a response as the answer."""
+        """Return a response after recording it as the one to send."""
         if self._closes:
             resp.force_close()
         self.resp = resp
         return resp
 
     async def begin(self, head: codec.ResponseHead) -> None:
-        """Send the head of a stream."""
+        """Send the head of a stream to the caller."""
         resp = web.StreamResponse(
             status=head.status,
             headers=head.headers,
@@ -56,20 +56,20 @@
         await resp.prepare(self._req)
 
     async def write(self, chunk: bytes) -> None:
-        """Send whole events.
+        """Send complete events.
 
-        :raises ConnectionError: when the caller has gone.
+        :raises ConnectionError: if the caller closed its connection.
         """
         resp = typing.cast(web.StreamResponse, self.resp)
         await resp.write(chunk)
 
     async def end(self) -> None:
-        """End a whole stream."""
+        """End a complete stream."""
         resp = typing.cast(web.StreamResponse, self.resp)
         await resp.write_eof()
 
     def abort(self) -> web.StreamResponse:
-        """End the connection, so that the answer can't look whole."""
+        """Close the connection, so that the response can't look complete."""
         self.aborted = True
         transport = self._req.transport
         if transport is not None:
@@ -81,5 +81,5 @@
 
 
 def now() -> float:
-    """Give the time of the loop's clock, in seconds."""
+    """Return the time of the loop's clock, in seconds."""
     return asyncio.get_running_loop().time()
