--- a/libs/control/geraniumweir/control/pool_coordination.py
+++ b/libs/control/geraniumweir/control/pool_coordination.py
@@ -6,7 +6,7 @@
 import reactivex
 from geraniumweir.common import ids, timers
 from geraniumweir.control import pool_servers, usage_codec
-from geraniumweir.rollout import guiding
+from geraniumweir.rollout import controller
 from geraniumweir.routing import finding
 from geraniumweir.scheduling import (
     broker,
@@ -72,7 +72,9 @@
     retries: retrybudget.Scope
     on_slot_request: OnSlotRequest | None = None
     tolerance: quotas.Tolerance = quotas.Tolerance()
-    guide: typing.Callable[[ids.PoolName], guiding.Guide] | None = None
+    guide: (
+        typing.Callable[[ids.PoolName], controller.RolloutController] | None
+    ) = None
     server_notices: notices.Notices | None = None
     on_new_leader: typing.Callable[[leader.OnTimePoolLeader], None] | None = None
 
--- a/libs/gateway/geraniumweir/gateway/admission.py
+++ b/libs/gateway/geraniumweir/gateway/admission.py
@@ -1,8 +1,8 @@
-"""From a caller's request to what is asked of a coordinator.
+"""Admits callers' requests: finds route, customer, pool and slot request.
 
-A key or a route that is unknown here is refused for good only while this host
-is sure that its document is the newest; one that is cut off says that it
-can't tell.
+A request with an unknown key or route is refused permanently only while the
+routing document of this host is up to date. A host that is partitioned from
+the control hosts refuses it with a retry time instead.
 """
 
 import dataclasses
@@ -14,22 +14,22 @@
 from geraniumweir.routing import finding, tables
 from geraniumweir.scheduling import requests
 
-_UNKNOWN_KEY = 401
-_NO_ROUTE = 404
-# Blocks of a prompt that a coordinator compares, in tokens. Parts of prompts
-# differ in length; in equal pieces they weigh by their length. 256 keeps the
-# longest prompt of the users (54,600 tokens) below the 512 blocks that an
+_UNAUTHORIZED = 401
+_NOT_FOUND = 404
+# Length of the prompt blocks that a pool leader compares. Blocks of equal size
+# weigh the parts of a prompt by their length. With 256 tokens the longest
+# prompt of the users (54,600 tokens) has fewer than the 512 blocks that an
 # index keeps.
 _BLOCK_TOKENS = 256
-_LOWEST = int(max(ids.Tier))
+_LOWEST_TIER = int(max(ids.Tier))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Knowledge:
-    """What this host decides by.
+class DocumentState:
+    """Routing document of this host.
 
-    :ivar index: the document in force, or None before the first.
-    :ivar sure: it is known to be the newest.
+    :ivar index: index of the document in force, None before the first.
+    :ivar sure: whether it is up to date.
     """
 
     index: finding.Index | None
@@ -37,11 +37,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asker:
-    """Who asks the coordinator: this host, for one request.
+class RequestOrigin:
+    """Host and request for which a slot is requested.
 
-    :ivar request_id: unique among all that this host ever asked for.
-    :ivar arrived: in seconds on the loop's clock.
+    :ivar request_id: unique among all requests of this host.
+    :ivar arrived: when the request arrived, in seconds on the loop's clock.
     """
 
     host_id: ids.HostId
@@ -51,128 +51,148 @@
 
 
 def admit(
-    known: Knowledge,
-    call: codec.Call,
+    document_state: DocumentState,
+    caller_request: codec.Request,
     body: bytes,
-    asker: Asker,
-    chance: random.Random,
-) -> forwarding.Admitted:
-    """Decide by the first rule that matches.
+    origin: RequestOrigin,
+    rng: random.Random,
+) -> forwarding.AdmittedRequest:
+    """Return the request as admitted by the first matching route.
 
-    :raises geraniumweir.common.errors.Refused: when it can't be served.
+    :param rng: chooses among the pools of the route.
+    :raises geraniumweir.common.errors.Refused: if it can't be served.
     """
-    index = known.index
+    index = document_state.index
     if index is None:
         raise refusals.starting()
-    route = find_route(known, call)
-    customer = find_customer(known, call, route)
+    route = find_route(document_state, caller_request)
+    customer = find_customer(document_state, caller_request, route)
     seconds = route.timeout
-    if call.patience is not None:
-        seconds = min(seconds, call.patience)
-    deadline = asker.arrived + seconds
-    pool = index.pool(finding.choose_pool(route.targets, chance))
+    if caller_request.patience is not None:
+        seconds = min(seconds, caller_request.patience)
+    deadline = origin.arrived + seconds
+    pool = index.pool(finding.choose_pool(route.targets, rng))
     if pool is None:
         raise refusals.starting()
-    ask = requests.SlotRequest(
-        request_id=asker.request_id,
-        owner=asker.host_id,
+    slot_request = requests.SlotRequest(
+        request_id=origin.request_id,
+        owner=origin.host_id,
         pool=pool.name,
         customer=ids.CustomerName(customer.name if customer else ''),
         rule=route.name,
         tier=_tier(route, customer),
         deadline=deadline,
-        fingerprint=_fingerprint(call, body),
+        fingerprint=_fingerprint(caller_request, body),
         idempotent=route.repeatable or route.resumable,
-        quota_cost=_cost(call, customer),
-        target=asker.arrived + route.target,
+        quota_cost=_cost(caller_request, customer),
+        target=origin.arrived + route.target,
         rank=route.rank,
-        patience=asker.arrived + route.patience,
+        patience=origin.arrived + route.patience,
         gap=route.gap or float('inf'),
-        failure_domain=asker.failure_domain,
-        **_generation(call, pool),
+        failure_domain=origin.failure_domain,
+        **_generation(caller_request, pool),
     )
     event_tokens = pool.engine.event_tokens if pool.engine else 1
-    return forwarding.Admitted(
-        call,
+    return forwarding.AdmittedRequest(
+        caller_request,
         body,
         route,
         customer,
-        ask,
+        slot_request,
         deadline,
         event_tokens,
     )
 
 
-def find_route(known: Knowledge, call: codec.Call) -> tables.Route:
-    """Find the rule that decides.
+def find_route(
+    document_state: DocumentState, caller_request: codec.Request
+) -> tables.Route:
+    """Return the first matching route.
 
-    :raises geraniumweir.common.errors.Refused: when none matches.
+    :raises geraniumweir.common.errors.Refused: if none matches.
     """
-    route = known.index and known.index.route(call.host, call.path)
+    route = document_state.index and document_state.index.route(
+        caller_request.host, caller_request.path
+    )
     if route is not None:
         return route
-    if not known.sure:
-        raise refusals.unsure()
-    raise refusals.never(_NO_ROUTE, 'no_route', 'no route leads from here')
+    if not document_state.sure:
+        raise refusals.possibly_outdated()
+    raise refusals.permanent(
+        _NOT_FOUND, 'no_route', 'no route matches this host and path'
+    )
 
 
 def find_customer(
-    known: Knowledge,
-    call: codec.Call,
+    document_state: DocumentState,
+    caller_request: codec.Request,
     route: tables.Route,
 ) -> tables.Customer | None:
-    """Find who calls; None on a document without customers.
+    """Return the customer of a request.
 
-    :raises geraniumweir.common.errors.Refused: when nobody has the key.
+    :returns: None for a public route without a known key, or for a document
+        without customers.
+    :raises geraniumweir.common.errors.Refused: if no customer has the key.
     """
-    index = known.index
-    customer = index.customer(call.key) if index and call.key else None
+    index = document_state.index
+    customer = (
+        index.customer(caller_request.key)
+        if index and caller_request.key
+        else None
+    )
     if customer is not None or route.public:
         return customer
     if index is None or not index.document.customers:
         return None
-    if not known.sure:
-        raise refusals.unsure()
-    raise refusals.never(_UNKNOWN_KEY, 'unknown_key', 'nobody has this key')
+    if not document_state.sure:
+        raise refusals.possibly_outdated()
+    raise refusals.permanent(_UNAUTHORIZED, 'unknown_key', 'unknown API key')
 
 
 def _tier(route: tables.Route, customer: tables.Customer | None) -> ids.Tier:
     rank = route.rank
     if customer is not None and customer.rank is not None:
         rank = customer.rank
-    return ids.Tier(min(max(rank, 0), _LOWEST))
+    return ids.Tier(min(max(rank, 0), _LOWEST_TIER))
 
 
-def _cost(call: codec.Call, customer: tables.Customer | None) -> float:
-    """Give what a request takes of its customer's quota."""
+def _cost(
+    caller_request: codec.Request, customer: tables.Customer | None
+) -> float:
+    """Return what a request costs of its customer's quota, in its unit."""
     quota = customer.quota if customer else None
     if quota is None or not quota.per_second:
         return 0
     if not quota.in_tokens:
         return 1
-    if call.generation is None:
+    if caller_request.generation is None:
         return quota.plain_cost
-    return call.generation.prompt_tokens + call.generation.most_tokens
+    return (
+        caller_request.generation.prompt_tokens
+        + caller_request.generation.max_tokens
+    )
 
 
-def _generation(call: codec.Call, pool: tables.Pool) -> dict[str, object]:
-    """Give what an ask says of its prompt."""
-    said = call.generation
-    if said is None or pool.engine is None:
-        # To the scheduler a plain answer is one token behind no prompt.
+def _generation(
+    caller_request: codec.Request, pool: tables.Pool
+) -> dict[str, object]:
+    """Return the fields of a slot request that describe the generation."""
+    requested = caller_request.generation
+    if requested is None or pool.engine is None:
+        # The scheduler treats a plain response as one token without a prompt.
         return {'max_tokens': 1, 'streams': False}
     return {
-        'model': said.model,
-        'prompt_tokens': said.prompt_tokens,
-        'max_tokens': said.most_tokens,
-        'likely_tokens': said.likely_tokens,
-        'blocks': _blocks(said.parts),
+        'model': requested.model,
+        'prompt_tokens': requested.prompt_tokens,
+        'max_tokens': requested.max_tokens,
+        'likely_tokens': requested.likely_tokens,
+        'blocks': _blocks(requested.parts),
         'streams': True,
     }
 
 
-def _blocks(parts: tuple[codec.Part, ...]) -> tuple[ids.BlockHash, ...]:
-    """Cut a prompt's parts into blocks, each named with all before it."""
+def _blocks(parts: tuple[codec.PromptPart, ...]) -> tuple[ids.BlockHash, ...]:
+    """Return the prompt's blocks; each hash covers all blocks before it."""
     blocks = []
     seed = 0
     for part in parts:
@@ -185,7 +205,10 @@
     return tuple(blocks)
 
 
-def _fingerprint(call: codec.Call, body: bytes) -> ids.Fingerprint:
-    """Give a number that is the same for the same request sent again."""
-    head = f'{call.method} {call.host} {call.target} {call.key}\n'.encode()
+def _fingerprint(caller_request: codec.Request, body: bytes) -> ids.Fingerprint:
+    """Return a hash that is equal for a repeated request."""
+    head = (
+        f'{caller_request.method} {caller_request.host}'
+        f' {caller_request.target} {caller_request.key}\n'
+    ).encode()
     return ids.Fingerprint(xxhash.xxh3_64_intdigest(head + body))
--- a/libs/gateway/geraniumweir/gateway/attempts.py
+++ b/libs/gateway/geraniumweir/gateway/attempts.py
@@ -1,7 +1,7 @@
-"""One dispatch of a request to one server, and what comes back.
+"""Dispatches a request to one server and receives the response.
 
-A plain answer is read whole and judged before the caller gets a byte of it.
-Of a stream whole events are passed on as they come.
+A plain response is read completely and checked before any byte of it is sent
+to the caller. Of a stream, complete events are forwarded as they arrive.
 """
 
 import contextlib
@@ -12,13 +12,21 @@
 from geraniumweir.backends import calls
 from geraniumweir.backends import errors as backend_errors
 from geraniumweir.common import ids
-from geraniumweir.gateway import codec, errors, events, outcomes, story, talk
+from geraniumweir.gateway import (
+    codec,
+    errors,
+    events,
+    outcomes,
+    request_record,
+    response_writer,
+)
 
 _OK = 200
-_FIRST_FAILURE = 500
+_MIN_SERVER_ERROR = 500
 _WRONG_SERVER = 421
-# What these promise to a caller only a server's own word can back.
-_PROMISES = frozenset(
+# These tell a caller that the request did not run; they are forwarded only if
+# the server itself states that.
+_NOT_RUN_STATUSES = frozenset(
     (
         408,
         421,
@@ -29,20 +37,20 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Stream:
-    """A stream to the caller, over all servers that had a part in it.
+class StreamState:
+    """State of a stream to the caller, across all servers that sent it.
 
-    :ivar splitter: cuts events and knows the last one.
-    :ivar begun: the caller has the head.
+    :ivar splitter: splits events and keeps the number of the last one.
+    :ivar begun: whether the head was sent to the caller.
     """
 
-    splitter: events.Splitter
+    splitter: events.EventSplitter
     begun: bool = False
 
 
 @dataclasses.dataclass(slots=True)
-class Pauses:
-    """The pauses between the events of one run of a stream, in seconds."""
+class EventGaps:
+    """Gaps between the events of one attempt, in seconds."""
 
     longest: float = 0
     total: float = 0
@@ -50,9 +58,9 @@
     _last: float | None = None
 
     def note(self, now: float) -> None:
-        """Take that events came.
+        """Record the arrival of events.
 
-        :param now: in seconds.
+        :param now: in seconds on the loop's clock.
         """
         if self._last is not None:
             pause = now - self._last
@@ -62,44 +70,45 @@
         self._last = now
 
     @property
-    def usual(self) -> float:
-        """Give the mean."""
+    def mean(self) -> float:
+        """Return the mean gap, 0 without any."""
         return self.total / self.count if self.count else 0
 
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One dispatch.
+    """One dispatch to a server.
 
-    :ivar first: seconds from dispatch to the first event or the whole answer.
-    :ivar on_first: told when the first event came.
-    :ivar on_head: told what the head of the server's answer says.
+    :ivar on_first: called with the value of ``first``.
+    :ivar on_head: called with the head of the server's response.
+    :ivar first: seconds from dispatch to the first event or to the complete
+        response.
     """
 
     session: aiohttp.ClientSession
     codec: codec.Codec
-    call: codec.Call
+    caller_request: codec.Request
     body: bytes
     dispatch: codec.Dispatch
     address: ids.Address
-    talk: talk.Talk
-    stream: Stream
-    story: story.Story
+    response_writer: response_writer.ResponseWriter
+    stream: StreamState
+    request_record: request_record.RequestRecord
     on_first: typing.Callable[[float], None]
-    on_head: typing.Callable[[codec.Answered], None]
+    on_head: typing.Callable[[codec.ResponseHead], None]
     first: float | None = None
-    pauses: Pauses = dataclasses.field(default_factory=Pauses)
+    gaps: EventGaps = dataclasses.field(default_factory=EventGaps)
 
     async def run(self) -> outcomes.Outcome:
-        """Send the request and take the answer.
+        """Return the outcome of sending the request.
 
-        :raises ConnectionError: when the caller has gone.
+        :raises ConnectionError: if the caller closed its connection.
         """
-        started = talk.now()
+        started = response_writer.now()
         sent = calls.Call(
-            self.call.method,
-            self.call.target,
-            self.codec.dispatch_headers(self.call, self.dispatch),
+            self.caller_request.method,
+            self.caller_request.target,
+            self.codec.dispatch_headers(self.caller_request, self.dispatch),
             self.body,
         )
         try:
@@ -110,82 +119,90 @@
             return outcomes.Failed(exc.message)
         try:
             async with answer:
-                return await self._take(answer, started)
+                return await self._receive(answer, started)
         except (
             backend_errors.AnswerError,
-            errors.BrokenStreamError,
+            errors.InvalidStreamError,
         ) as exc:
             return outcomes.Failed(exc.message)
 
-    async def _take(
+    async def _receive(
         self,
         answer: calls.Answer,
         started: float,
     ) -> outcomes.Outcome:
-        answered = self.codec.read_answer(answer.status, answer.headers)
-        if answered.request_id != self.call.request_id:
+        head = self.codec.read_response_head(answer.status, answer.headers)
+        if head.request_id != self.caller_request.request_id:
             raise backend_errors.ForeignAnswerError(
-                f'the answer is of request {answered.request_id!r}',
+                f'response belongs to request {head.request_id!r}',
             )
-        self.on_head(answered)
-        if answered.status == _OK and answered.streams:
-            return await self._pass_on(answer, answered, started)
-        body = await _whole_body(answer)
-        self._note_first(started)
-        return _judge(outcomes.Whole(answered, body))
-
-    async def _pass_on(
+        self.on_head(head)
+        if head.status == _OK and head.streams:
+            return await self._forward_stream(answer, head, started)
+        body = await _read_body_bytes(answer)
+        self._record_first(started)
+        return _classify(outcomes.CompleteResponse(head, body))
+
+    async def _forward_stream(
         self,
         answer: calls.Answer,
-        answered: codec.Answered,
+        head: codec.ResponseHead,
         started: float,
     ) -> outcomes.Outcome:
-        if answered.encoded or not answered.signed:
-            raise backend_errors.GarbledError('the stream is not the server’s')
+        if head.encoded or not head.signed:
+            raise backend_errors.GarbledError(
+                'stream is encoded or not signed by the server'
+            )
         splitter = self.stream.splitter
-        splitter.go_on()
+        splitter.discard_incomplete()
         async with contextlib.aclosing(answer.chunks()) as chunks:
             async for chunk in chunks:
-                whole = splitter.feed(chunk)
-                if not whole:
+                complete = splitter.feed(chunk)
+                if not complete:
                     continue
-                self._note_first(started)
-                self.pauses.note(talk.now())
+                self._record_first(started)
+                self.gaps.note(response_writer.now())
                 if not self.stream.begun:
                     self.stream.begun = True
-                    await self.talk.begin(answered)
-                await self.talk.write(whole)
-        if not splitter.is_whole() or not self.stream.begun:
-            raise errors.BrokenStreamError('the stream ended within an event')
-        return outcomes.Streamed()
+                    await self.response_writer.begin(head)
+                await self.response_writer.write(complete)
+        if not splitter.is_complete() or not self.stream.begun:
+            raise errors.InvalidStreamError(
+                'stream ended before its first or within an event'
+            )
+        return outcomes.CompleteStream()
 
-    def _note_first(self, started: float) -> None:
+    def _record_first(self, started: float) -> None:
         if self.first is None:
-            self.first = talk.now() - started
+            self.first = response_writer.now() - started
             self.on_first(self.first)
-            if self.story.first is None:
-                self.story.first = talk.now() - self.story.arrived
+            if self.request_record.first is None:
+                self.request_record.first = (
+                    response_writer.now() - self.request_record.arrived
+                )
 
 
-async def _whole_body(answer: calls.Answer) -> bytes:
+async def _read_body_bytes(answer: calls.Answer) -> bytes:
     chunks = [chunk async for chunk in answer.chunks()]
     return b''.join(chunks)
 
 
-def _judge(whole: outcomes.Whole) -> outcomes.Outcome:
-    answered = whole.answered
-    if answered.not_run:
+def _classify(complete: outcomes.CompleteResponse) -> outcomes.Outcome:
+    head = complete.head
+    if head.not_run:
         return outcomes.NotRun(
-            f'the server answered {answered.status}',
+            f'server rejected the request with {head.status}',
             arrived=True,
-            wrong_server=answered.status == _WRONG_SERVER,
+            wrong_server=head.status == _WRONG_SERVER,
+        )
+    if head.encoded or not head.signed:
+        return outcomes.Failed(
+            'response is encoded or not signed by the server'
         )
-    if answered.encoded or not answered.signed:
-        return outcomes.Failed('the answer is not as the server made it')
-    if answered.status in _PROMISES:
+    if head.status in _NOT_RUN_STATUSES:
         return outcomes.Failed(
-            f'the server answered {answered.status} and may have run it',
+            f'server answered {head.status} and may have run the request',
         )
-    if answered.status >= _FIRST_FAILURE:
-        return outcomes.Failed(f'the server failed: {answered.status}', whole)
-    return whole
+    if head.status >= _MIN_SERVER_ERROR:
+        return outcomes.Failed(f'server failed with {head.status}', complete)
+    return complete
--- a/libs/gateway/geraniumweir/gateway/errors.py
+++ b/libs/gateway/geraniumweir/gateway/errors.py
@@ -9,13 +9,13 @@
     code = 'GW-1700'
 
 
-class BadCallError(GatewayError, ValueError):
+class BadRequestError(GatewayError, ValueError):
     """A call can't be read."""
 
     code = 'GW-1701'
 
 
-class BrokenStreamError(GatewayError):
+class InvalidStreamError(GatewayError):
     """A stream ended before its last event, or its events don't follow."""
 
     code = 'GW-1702'
--- a/libs/gateway/geraniumweir/gateway/talk.py
+++ b/libs/gateway/geraniumweir/gateway/response_writer.py
@@ -1,4 +1,4 @@
-"""The caller's side of one request: the answer on its way to the caller."""
+"""Writes the response to one request to its caller."""
 
 import asyncio
 import typing
@@ -7,48 +7,48 @@
 from geraniumweir.gateway import codec, outcomes
 
 
-class Talk:
-    """Gives one answer to one caller.
+class ResponseWriter:
+    """Writer of one response to one caller.
 
-    :ivar resp: the answer that has begun, or None.
-    :ivar broken: the answer was broken off.
+    :ivar resp: the response that was started, or None.
+    :ivar aborted: whether the connection was closed before its end.
     """
 
     def __init__(self, req: web.BaseRequest, closes: bool) -> None:
-        """Begin nothing yet.
+        """Initialize without a response.
 
-        :param closes: the connection is to end with this answer.
+        :param closes: whether the connection closes after this response.
         """
         self.resp: web.StreamResponse | None = None
-        self.broken = False
+        self.aborted = False
         self._req = req
         self._closes = closes
 
     def close_after(self) -> None:
-        """End the connection with this answer."""
+        """Close the connection after this response."""
         self._closes = True
 
-    def whole(self, answer: outcomes.Whole) -> web.Response:
-        """Make the response of a whole answer."""
+    def complete(self, answer: outcomes.CompleteResponse) -> web.Response:
+        """Return the response made from a server's complete response."""
         resp = web.Response(
-            status=answer.answered.status,
-            headers=answer.answered.headers,
+            status=answer.head.status,
+            headers=answer.head.headers,
             body=answer.body,
         )
         return self.finish(resp)
 
     def finish(self, resp: web.Response) -> web.Response:
-        """Take a response as the answer."""
+        """Return a response after recording it as the one to send."""
         if self._closes:
             resp.force_close()
         self.resp = resp
         return resp
 
-    async def begin(self, answered: codec.Answered) -> None:
-        """Send the head of a stream."""
+    async def begin(self, head: codec.ResponseHead) -> None:
+        """Send the head of a stream to the caller."""
         resp = web.StreamResponse(
-            status=answered.status,
-            headers=answered.headers,
+            status=head.status,
+            headers=head.headers,
         )
         if self._closes:
             resp.force_close()
@@ -56,21 +56,21 @@
         await resp.prepare(self._req)
 
     async def write(self, chunk: bytes) -> None:
-        """Send whole events.
+        """Send complete events.
 
-        :raises ConnectionError: when the caller has gone.
+        :raises ConnectionError: if the caller closed its connection.
         """
         resp = typing.cast(web.StreamResponse, self.resp)
         await resp.write(chunk)
 
     async def end(self) -> None:
-        """End a whole stream."""
+        """End a complete stream."""
         resp = typing.cast(web.StreamResponse, self.resp)
         await resp.write_eof()
 
-    def break_off(self) -> web.StreamResponse:
-        """End the connection, so that the answer can't look whole."""
-        self.broken = True
+    def abort(self) -> web.StreamResponse:
+        """Close the connection, so that the response can't look complete."""
+        self.aborted = True
         transport = self._req.transport
         if transport is not None:
             transport.close()
@@ -81,5 +81,5 @@
 
 
 def now() -> float:
-    """Give the time of the loop's clock, in seconds."""
+    """Return the time of the loop's clock, in seconds."""
     return asyncio.get_running_loop().time()
--- a/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
@@ -4,7 +4,7 @@
 
 from geraniumweir.common import eventlog, ids
 from geraniumweir.membership import servers
-from geraniumweir.rollout import guiding, orders
+from geraniumweir.rollout import controller, orders
 from geraniumweir.scheduling import logevents, notices, ratelimits
 from geraniumweir.scheduling.ontime import records, state
 
@@ -124,7 +124,7 @@
         for one in known
         if guide.role(one.version) is not orders.Role.barred
     ]
-    if found or not guide.runs:
+    if found or not guide.is_running:
         return found
     return [one for one in known if one.version != guide.rollout.to]
 
@@ -135,9 +135,13 @@
         return
     for server in leader.servers.values():
         server.canary = guide.role(server.version) is orders.Role.canary
-    new = [one for one in leader.servers.values() if one.version == guide.to]
-    guide.new_servers = len(new)
-    guide.most_slots = max((one.slots for one in new), default=1)
+    new = [
+        one
+        for one in leader.servers.values()
+        if one.version == guide.target_version
+    ]
+    guide.new_server_count = len(new)
+    guide.max_slots = max((one.slots for one in new), default=1)
 
 
 def _set_throttles(leader: state.OnTimeLeaderState) -> None:
@@ -177,11 +181,11 @@
     return delay_ratio > _MIN_DELAYED_RATIO
 
 
-def rollout_load(leader: state.OnTimeLeaderState) -> guiding.Load:
+def rollout_load(leader: state.OnTimeLeaderState) -> controller.Load:
     """Return the load of the pool, for its rollout."""
-    to = leader.guide.to
+    to = leader.guide.target_version
     known = leader.servers.values()
-    return guiding.Load(
+    return controller.Load(
         old_running=sum(len(one.running) for one in known if one.version != to),
         running=len(leader.running),
         new_slots=sum(
--- a/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
@@ -237,7 +237,7 @@
 
     :returns: whether it was granted.
     """
-    if not cycle.canaries or not leader.guide.may_try(
+    if not cycle.canaries or not leader.guide.may_grant_new_version(
         turn.waiting.slot_request.rule
     ):
         return False
@@ -371,8 +371,9 @@
         server.announcement.address,
         server.version,
     )
-    leader.guide.granted(
-        slot_request.rule, new=server.version == leader.guide.to
+    leader.guide.record_grant(
+        slot_request.rule, new=server.version == leader.guide.target_version
+    
     )
     running = records.Running(
         slot_request=slot_request,
--- a/libs/scheduling/geraniumweir/scheduling/ontime/state.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/state.py
@@ -7,7 +7,7 @@
 
 from geraniumweir.common import ids
 from geraniumweir.membership import servers
-from geraniumweir.rollout import guiding
+from geraniumweir.rollout import controller
 from geraniumweir.scheduling import notices, requests, suspects
 from geraniumweir.scheduling.ontime import (
     arrivals,
@@ -76,7 +76,7 @@
     live: typing.Callable[[], typing.Sequence[servers.Announcement]]
     suspects: suspects.Suspects
     rng: random.Random
-    guide: guiding.Guide
+    guide: controller.RolloutController
     rates: typing.Callable[[], typing.Mapping[notices.ServerIncarnation, float]]
     pauses: Pauses
     takeover_ends_at: float
--- a/libs/scheduling/geraniumweir/scheduling/ontime/trying.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/trying.py
@@ -28,19 +28,19 @@
     _MAX_RAMP_SERVERS are listed.
     """
     guide = leader.guide
-    if not guide.runs:
+    if not guide.is_running:
         return []
     able = [
         server
         for server in leader.servers.values()
         if server.live
         and server.canary
-        and server.server_id not in guide.set_aside
+        and server.server_id not in guide.excluded_servers
     ]
     if guide.is_ramping:
         return _offers(able, _MAX_RAMP_SERVERS, estimates)
     chosen = _across_domains(able)
-    first = guide.budget.pulses % max(len(chosen), 1)
+    first = guide.budget.batches % max(len(chosen), 1)
     return _offers(chosen[first : first + 1], 1, estimates)
 
 
@@ -96,7 +96,7 @@
     running: records.Running,
 ) -> None:
     """Report the time to a first token to the guide."""
-    if not leader.guide.runs or server.announcement.cold:
+    if not leader.guide.is_running or server.announcement.cold:
         return
     seconds = max(running.first_token or 0, _MIN_COMPARED_SECONDS)
     usual = leader.estimates.pool.first_token_line.predict(running.read_tokens)
@@ -110,7 +110,7 @@
     release: requests.Release,
 ) -> None:
     """Report the outcome of a response to the guide."""
-    if not leader.guide.runs:
+    if not leader.guide.is_running:
         return
     match release.outcome:
         case requests.Outcome.answered_failure:
@@ -128,7 +128,7 @@
     failed: bool,
     ratio: float | None = None,
 ) -> None:
-    leader.guide.answered(
+    leader.guide.record_answer(
         server.version,
         server.server_id,
         running.slot_request.rule,
