--- a/libs/scheduling/geraniumweir/scheduling/admitting.py
+++ b/libs/scheduling/geraniumweir/scheduling/admitting.py
@@ -4,13 +4,13 @@
 import math
 
 from geraniumweir.scheduling import (
-    granting,
+    deadline_granting,
     learning,
     predicting,
-    records,
+    deadline_records,
     requests,
     shedding,
-    state,
+    deadline_state,
     suspects,
     waitlist,
 )
@@ -24,9 +24,9 @@
 
 
 def admit(
-    leader: state.LeaderState,
+    leader: deadline_state.LeaderState,
     ask: requests.Ask,
-) -> records.Waiting | requests.Denial:
+) -> deadline_records.Waiting | requests.Denial:
     """Take an ask that is neither waiting nor granted.
 
     :returns: it as it waits, perhaps decided already, or a denial.
@@ -42,7 +42,7 @@
     waiting = _waiting(leader, ask)
     if _too_late(leader, waiting):
         return shedding.denial(leader, ask, requests.DenialReason.too_late)
-    if granting.try_now(leader, waiting):
+    if deadline_granting.try_now(leader, waiting):
         return waiting
     reason = _refuse_to_wait(leader, waiting, within_budget)
     if reason is not None:
@@ -51,20 +51,22 @@
     return waiting
 
 
-def _wait(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def _wait(
+    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+) -> None:
     full = len(leader.waiting) >= leader.cfg.queue_limit
     room = not full or shedding.make_room(leader, waiting.ask)
     waitlist.enqueue(leader, waiting)
     if room or shedding.preempt(leader, waiting):
         if not waiting.fut.done():
-            granting.keep_room(leader, waiting)
+            deadline_granting.keep_room(leader, waiting)
             shedding.watch(leader, waiting)
         return
     shedding.refuse(leader, waiting, requests.DenialReason.queue_full)
 
 
 def _deny_at_once(
-    leader: state.LeaderState,
+    leader: deadline_state.LeaderState,
     ask: requests.Ask,
 ) -> requests.Denial | None:
     reason = _refuse_at_once(leader, ask)
@@ -81,7 +83,7 @@
 
 
 def _refuse_at_once(
-    leader: state.LeaderState,
+    leader: deadline_state.LeaderState,
     ask: requests.Ask,
 ) -> requests.DenialReason | None:
     now = leader.now()
@@ -93,7 +95,7 @@
     return None
 
 
-def _serves_nothing(leader: state.LeaderState) -> bool:
+def _serves_nothing(leader: deadline_state.LeaderState) -> bool:
     before = leader.now() - shedding.NO_SERVER_SECONDS
     return leader.settled and leader.served_at < before
 
@@ -108,8 +110,8 @@
 
 
 def _refuse_to_wait(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
     within_budget: bool,
 ) -> requests.DenialReason | None:
     ask = waiting.ask
@@ -125,21 +127,21 @@
 
 
 def _over_waiting_limit(
-    leader: state.LeaderState,
+    leader: deadline_state.LeaderState,
     ask: requests.Ask,
 ) -> bool:
     if ask.max_waiting is None:
         return False
-    rule = leader.rules.get(ask.rule, records.RuleCount())
+    rule = leader.rules.get(ask.rule, deadline_records.RuleCount())
     return rule.waiting >= ask.max_waiting
 
 
 def _waiting(
-    leader: state.LeaderState,
+    leader: deadline_state.LeaderState,
     ask: requests.Ask,
-) -> records.Waiting:
+) -> deadline_records.Waiting:
     leader.sequence += 1
-    waiting = records.Waiting(
+    waiting = deadline_records.Waiting(
         ask,
         leader.sequence,
         leader.now(),
@@ -151,8 +153,8 @@
 
 
 def _set_starts(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
 ) -> None:
     waiting.latest = predicting.starts(leader, waiting)
     if not waiting.latest:
@@ -164,7 +166,9 @@
     waiting.cost = seconds / leader.cfg.safety
 
 
-def _doubt(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def _doubt(
+    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+) -> None:
     """Take an answer whose length is hardly known for a short one."""
     waiting.expected = learning.Expected(
         min(waiting.expected.mean, _SHORT_ANSWER),
@@ -174,7 +178,9 @@
     waiting.best_start = max(waiting.latest.values())
 
 
-def _too_late(leader: state.LeaderState, waiting: records.Waiting) -> bool:
+def _too_late(
+    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+) -> bool:
     """Tell whether a request can't end in time even on an idle server.
 
     Now and then one is let in on an idle pool nevertheless: a prediction
@@ -196,8 +202,8 @@
 
 
 def _queue_too_long(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether a request's turn will hardly come before it is too late.
 
--- a/libs/scheduling/geraniumweir/scheduling/adoption.py
+++ b/libs/scheduling/geraniumweir/scheduling/adoption.py
@@ -5,19 +5,21 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import (
     fleet,
-    granting,
+    deadline_granting,
     learning,
     progressing,
-    records,
+    deadline_records,
     requests,
     shedding,
-    state,
+    deadline_state,
     stragglers,
     waitlist,
 )
 
 
-def adopt(leader: state.LeaderState, taken: requests.OpenGrant) -> None:
+def adopt(
+    leader: deadline_state.LeaderState, taken: requests.OpenGrant
+) -> None:
     """Count a grant in use that another leader gave."""
     request_id = taken.ask.request_id
     if request_id in leader.running:
@@ -28,7 +30,7 @@
         waitlist.unpromise(leader, waiting)
         waiting.fut.set_result(taken.grant)
     running = _running(leader, taken)
-    granting.count_running(leader, running)
+    deadline_granting.count_running(leader, running)
     server_id = taken.grant.server_id
     server = leader.servers.get(server_id)
     if server is None:
@@ -39,7 +41,7 @@
         leader.prefixes.granted(server_id, taken.ask.blocks)
 
 
-def owner_gone(leader: state.LeaderState, owner: ids.HostId) -> None:
+def owner_gone(leader: deadline_state.LeaderState, owner: ids.HostId) -> None:
     """End the grants and the waiting requests of a lost entry host."""
     for waiting in _of_owner(leader.waiting.values(), owner):
         shedding.refuse(leader, waiting, requests.DenialReason.withdrawn)
@@ -53,7 +55,9 @@
         )
 
 
-_Owned = typing.TypeVar('_Owned', records.Waiting, records.Running)
+_Owned = typing.TypeVar(
+    '_Owned', deadline_records.Waiting, deadline_records.Running
+)
 
 
 def _of_owner(
@@ -64,13 +68,13 @@
 
 
 def _running(
-    leader: state.LeaderState,
+    leader: deadline_state.LeaderState,
     taken: requests.OpenGrant,
-) -> records.Running:
+) -> deadline_records.Running:
     expected = learning.length_of(leader.lengths, taken.ask)
     # How it went on until now is not known, so it is given its whole time.
     left = max(taken.ask.deadline - leader.now(), 0)
-    return records.Running(
+    return deadline_records.Running(
         ask=taken.ask,
         grant=taken.grant,
         granted=leader.now() - taken.age,
--- a/libs/scheduling/geraniumweir/scheduling/affinity.py
+++ b/libs/scheduling/geraniumweir/scheduling/affinity.py
@@ -4,7 +4,7 @@
 it for another request will have it soon.
 """
 
-from geraniumweir.scheduling import predicting, records, state
+from geraniumweir.scheduling import predicting, deadline_records, deadline_state
 
 _LEAST_SAVED = 0.1
 _WAIT_FACTOR = 20.0
@@ -13,9 +13,9 @@
 
 
 def saved_seconds(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> float:
     """Give the seconds of prefill that a server's cache saves a request."""
     ask = waiting.ask
@@ -28,18 +28,18 @@
 
 
 def holds(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether a server's cache saves a request much prefill."""
     return saved_seconds(leader, server, waiting) >= _LEAST_SAVED
 
 
 def warms(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
 ) -> None:
     """Take that a server begins to compute a prompt that others may share."""
     if not running.ask.blocks or running.prefill < _LEAST_SAVED:
@@ -50,16 +50,18 @@
     server.warming[first] = leader.now() + running.ahead + running.prefill
 
 
-def warmed(server: records.Server, running: records.Running) -> None:
+def warmed(
+    server: deadline_records.Server, running: deadline_records.Running
+) -> None:
     """Take that a prompt is computed."""
     if running.ask.blocks:
         server.warming.pop(running.ask.blocks[0], None)
 
 
 def is_warming(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether a request rather waits until its prefix is computed.
 
@@ -77,9 +79,9 @@
 
 
 def waits_for_holder(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether a request rather waits for a server that has its prefix.
 
@@ -104,9 +106,9 @@
 
 
 def _best_share(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> float:
     """Give the largest share of a prompt that another fit server holds."""
     best: float = 0
--- a/libs/scheduling/geraniumweir/scheduling/crashes.py
+++ b/libs/scheduling/geraniumweir/scheduling/crashes.py
@@ -3,13 +3,13 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import (
     fleet,
-    granting,
+    deadline_granting,
     placement,
     progressing,
-    records,
+    deadline_records,
     requests,
     shedding,
-    state,
+    deadline_state,
 )
 
 _RECENT_SECONDS = 120.0
@@ -17,8 +17,8 @@
 
 
 def crashed(
-    leader: state.LeaderState,
-    server: records.Server,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
     incarnation: ids.Incarnation,
 ) -> None:
     """Take that an incarnation of a server is gone.
@@ -49,10 +49,10 @@
     placement.refresh(leader, server)
     _refuse_condemned(leader, set(condemned))
     for running in lost:
-        granting.unpark(leader, running.ask.rule)
+        deadline_granting.unpark(leader, running.ask.rule)
 
 
-def synced(leader: state.LeaderState) -> None:
+def synced(leader: deadline_state.LeaderState) -> None:
     """Follow the live servers and take the crashes that show."""
     for server in fleet.sync(leader):
         current = server.announcement.incarnation
@@ -61,7 +61,7 @@
 
 
 def _refuse_condemned(
-    leader: state.LeaderState,
+    leader: deadline_state.LeaderState,
     condemned: set[ids.Fingerprint],
 ) -> None:
     if not condemned:
--- a/libs/scheduling/geraniumweir/scheduling/granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_granting.py
@@ -17,9 +17,9 @@
     fleet,
     placement,
     predicting,
-    records,
+    deadline_records,
     requests,
-    state,
+    deadline_state,
     stragglers,
     waitlist,
 )
@@ -31,7 +31,9 @@
 _LATER = (0, 1, 4)
 
 
-def try_now(leader: state.LeaderState, waiting: records.Waiting) -> bool:
+def try_now(
+    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+) -> bool:
     """Grant a request if a server can end it in time from now."""
     ask = waiting.ask
     if not leader.settled or waitlist.over_running_limit(leader, ask):
@@ -46,7 +48,9 @@
     return True
 
 
-def keep_room(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def keep_room(
+    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+) -> None:
     """Keep a server for a request that lacks only KV room there."""
     if leader.settled and not waiting.held:
         server = placement.choose_crowded(leader, waiting)
@@ -54,7 +58,9 @@
             waitlist.promise(leader, server, waiting)
 
 
-def fill(leader: state.LeaderState, server: records.Server) -> int:
+def fill(
+    leader: deadline_state.LeaderState, server: deadline_records.Server
+) -> int:
     """Grant a server as much as it may run now.
 
     :returns: number of grants.
@@ -72,7 +78,7 @@
     return granted
 
 
-def fill_open(leader: state.LeaderState) -> None:
+def fill_open(leader: deadline_state.LeaderState) -> None:
     """Grant what a few open servers of each class can take."""
     if not leader.waiting or not leader.settled:
         return
@@ -83,9 +89,9 @@
 
 
 def grant(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-    server: records.Server,
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
+    server: deadline_records.Server,
 ) -> None:
     """Grant a request a server's slot."""
     ask = waiting.ask
@@ -107,21 +113,21 @@
 
 
 def count_running(
-    leader: state.LeaderState,
-    running: records.Running,
+    leader: deadline_state.LeaderState,
+    running: deadline_records.Running,
 ) -> None:
     """Count a grant in use, whoever gave it."""
     ask = running.ask
     leader.running[ask.request_id] = running
     leader.running_by_tier[ask.tier] += 1
     leader.running_prints[ask.fingerprint] += 1
-    leader.rules.setdefault(ask.rule, records.RuleCount()).running += 1
+    leader.rules.setdefault(ask.rule, deadline_records.RuleCount()).running += 1
     watch_progress(leader, running)
 
 
 def watch_progress(
-    leader: state.LeaderState,
-    running: records.Running,
+    leader: deadline_state.LeaderState,
+    running: deadline_records.Running,
 ) -> None:
     """Look at a grant again when its next sign of progress is late."""
     leader.sequence += 1
@@ -131,7 +137,7 @@
     )
 
 
-def unpark(leader: state.LeaderState, name: ids.RuleName) -> None:
+def unpark(leader: deadline_state.LeaderState, name: ids.RuleName) -> None:
     """Let parked requests of a rule into the queue, as its limit allows."""
     rule = leader.rules.get(name)
     if rule is None or not rule.parked:
@@ -147,10 +153,10 @@
 
 
 def _running(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-    server: records.Server,
-) -> records.Running:
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
+    server: deadline_records.Server,
+) -> deadline_records.Running:
     grant_given = requests.Grant(
         waiting.ask.request_id,
         server.server_id,
@@ -159,7 +165,7 @@
     )
     uncached = predicting.uncached_tokens(leader, server, waiting)
     rates = predicting.rates_of(leader, server, waiting.ask.model)
-    return records.Running(
+    return deadline_records.Running(
         ask=waiting.ask,
         grant=grant_given,
         granted=leader.now(),
@@ -174,9 +180,9 @@
 
 
 def _pick(
-    leader: state.LeaderState,
-    server: records.Server,
-) -> records.Waiting | None:
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+) -> deadline_records.Waiting | None:
     """Find the first request, in order, that a server can end in time."""
     for tier in ids.Tier:
         if not leader.by_tier[tier]:
@@ -190,8 +196,8 @@
 
 
 def _higher_first(
-    leader: state.LeaderState,
-    server: records.Server,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
     tier: ids.Tier,
 ) -> bool:
     """Tell whether a server is left to those of higher tiers who wait."""
@@ -203,8 +209,8 @@
 
 
 def _needs(
-    leader: state.LeaderState,
-    server: records.Server,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
     tier: ids.Tier,
 ) -> bool:
     """Tell whether one of a tier waits that a server could still serve.
@@ -226,10 +232,10 @@
 
 
 def _pick_of_tier(
-    leader: state.LeaderState,
-    server: records.Server,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
     tier: ids.Tier,
-) -> records.Waiting | None:
+) -> deadline_records.Waiting | None:
     """Find the first of a tier, or one after it whose prefix is here."""
     in_line = itertools.islice(_in_order(leader, server, tier), _MOST_LOOKED)
     first = next(
@@ -247,9 +253,9 @@
 
 
 def _goes_first(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     if not _fits(leader, server, waiting):
         return False
@@ -259,9 +265,9 @@
 
 
 def _may_be_passed(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether one whose prefix is on the server may go before."""
     if waiting.passed >= _MOST_PASSED:
@@ -274,10 +280,10 @@
 
 
 def _in_order(
-    leader: state.LeaderState,
-    server: records.Server,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
     tier: ids.Tier,
-) -> typing.Iterator[records.Waiting]:
+) -> typing.Iterator[deadline_records.Waiting]:
     for promised in list(server.promised.values()):
         if promised.ask.tier == tier and not promised.held:
             yield promised
@@ -298,9 +304,9 @@
 
 
 def _fits(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     if waitlist.hold_if_needed(leader, waiting):
         return False
@@ -319,14 +325,14 @@
 
 
 def _fill_best(
-    leader: state.LeaderState,
-    kind: records.ServerClass,
+    leader: deadline_state.LeaderState,
+    kind: deadline_records.ServerClass,
 ) -> int:
     best = leader.open_servers.best(kind)
     return sum(fill(leader, leader.servers[name]) for name in best)
 
 
-def _place_held(leader: state.LeaderState) -> None:
+def _place_held(leader: deadline_state.LeaderState) -> None:
     """Grant suspects, unless someone of a higher tier waits."""
     if not leader.held:
         return
@@ -344,16 +350,16 @@
             grant(leader, waiting, server)
 
 
-def _higher_waits(leader: state.LeaderState, tier: ids.Tier) -> bool:
+def _higher_waits(leader: deadline_state.LeaderState, tier: ids.Tier) -> bool:
     higher = (leader.by_tier[other] for other in ids.Tier if other < tier)
     waiting = itertools.chain.from_iterable(queue.values() for queue in higher)
     return any(not other.held for other in waiting)
 
 
 def _server_for_suspect(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-) -> records.Server | None:
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
+) -> deadline_records.Server | None:
     mark = waiting.ask.fingerprint
     if mark in leader.running_prints:
         return None
--- a/libs/scheduling/geraniumweir/scheduling/state.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_state.py
@@ -14,7 +14,7 @@
     limits,
     openings,
     prefix,
-    records,
+    deadline_records,
     requests,
     retries,
     settings,
@@ -36,10 +36,10 @@
     served_at: float
     dice: random.Random
     suspects: suspects.Suspects
-    waiting: dict[ids.RequestId, records.Waiting] = dataclasses.field(
+    waiting: dict[ids.RequestId, deadline_records.Waiting] = dataclasses.field(
         default_factory=dict,
     )
-    by_tier: dict[ids.Tier, dict[ids.RequestId, records.Waiting]] = (
+    by_tier: dict[ids.Tier, dict[ids.RequestId, deadline_records.Waiting]] = (
         dataclasses.field(
             default_factory=lambda: {tier: {} for tier in ids.Tier},
         )
@@ -47,46 +47,50 @@
     cost_by_tier: dict[ids.Tier, float] = dataclasses.field(
         default_factory=lambda: dict.fromkeys(ids.Tier, float(0)),
     )
-    queue: fairqueue.FairQueue[records.ServerClass, records.Waiting] = (
-        dataclasses.field(
-            default_factory=fairqueue.FairQueue,
-        )
+    queue: fairqueue.FairQueue[
+        deadline_records.ServerClass, deadline_records.Waiting
+    ] = dataclasses.field(
+        default_factory=fairqueue.FairQueue,
     )
-    held: dict[ids.RequestId, records.Waiting] = dataclasses.field(
+    held: dict[ids.RequestId, deadline_records.Waiting] = dataclasses.field(
         default_factory=dict,
     )
-    running: dict[ids.RequestId, records.Running] = dataclasses.field(
+    running: dict[ids.RequestId, deadline_records.Running] = dataclasses.field(
         default_factory=dict,
     )
     running_by_tier: dict[ids.Tier, int] = dataclasses.field(
         default_factory=lambda: dict.fromkeys(ids.Tier, 0),
     )
-    orphans: dict[ids.ServerId, dict[ids.RequestId, records.Running]] = (
-        dataclasses.field(default_factory=dict)
-    )
+    orphans: dict[
+        ids.ServerId, dict[ids.RequestId, deadline_records.Running]
+    ] = dataclasses.field(default_factory=dict)
     running_prints: collections.Counter[ids.Fingerprint] = dataclasses.field(
         default_factory=collections.Counter,
     )
     cost_by_flow: collections.Counter[fairqueue.Flow] = dataclasses.field(
         default_factory=collections.Counter,
     )
-    rules: dict[ids.RuleName, records.RuleCount] = dataclasses.field(
+    rules: dict[ids.RuleName, deadline_records.RuleCount] = dataclasses.field(
         default_factory=dict,
     )
     rates: limits.Rates = dataclasses.field(default_factory=limits.Rates)
-    servers: dict[ids.ServerId, records.Server] = dataclasses.field(
+    servers: dict[ids.ServerId, deadline_records.Server] = dataclasses.field(
         default_factory=dict,
     )
-    classes: dict[tuple[typing.Any, ...], records.ServerClass] = (
+    classes: dict[tuple[typing.Any, ...], deadline_records.ServerClass] = (
         dataclasses.field(
             default_factory=dict,
         )
     )
-    open_servers: openings.Openings[records.ServerClass] = dataclasses.field(
-        default_factory=openings.Openings,
+    open_servers: openings.Openings[deadline_records.ServerClass] = (
+        dataclasses.field(
+            default_factory=openings.Openings,
+        )
     )
-    preemptible: victims.Victims[records.ServerClass] = dataclasses.field(
-        default_factory=victims.Victims,
+    preemptible: victims.Victims[deadline_records.ServerClass] = (
+        dataclasses.field(
+            default_factory=victims.Victims,
+        )
     )
     lengths: learning.OutputLengths = dataclasses.field(
         default_factory=learning.OutputLengths,
--- a/libs/scheduling/geraniumweir/scheduling/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/fleet.py
@@ -8,15 +8,15 @@
     concurrency,
     placement,
     predicting,
-    records,
-    state,
+    deadline_records,
+    deadline_state,
     stragglers,
 )
 
 _MOST_GONE = 64
 
 
-def sync(leader: state.LeaderState) -> list[records.Server]:
+def sync(leader: deadline_state.LeaderState) -> list[deadline_records.Server]:
     """Take the servers that may get new work now.
 
     :returns: those that crashed: known ones with a new incarnation.
@@ -38,7 +38,9 @@
     return crashed
 
 
-def restarted(leader: state.LeaderState, server: records.Server) -> None:
+def restarted(
+    leader: deadline_state.LeaderState, server: deadline_records.Server
+) -> None:
     """Take a server back after a crash, with a little work at first."""
     server.health.probe()
     leader.prefixes.start(
@@ -49,11 +51,11 @@
 
 
 def _appear(
-    leader: state.LeaderState,
+    leader: deadline_state.LeaderState,
     announcement: servers.Announcement,
 ) -> None:
     slots = max(announcement.slots, 1)
-    server = records.Server(
+    server = deadline_records.Server(
         announcement,
         _class_of(leader, announcement),
         concurrency.Limit(slots),
@@ -69,8 +71,8 @@
 
 
 def _take(
-    leader: state.LeaderState,
-    server: records.Server,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
     announcement: servers.Announcement,
 ) -> bool:
     """Take a known server's announcement; tell whether it crashed."""
@@ -91,16 +93,16 @@
 
 
 def _class_of(
-    leader: state.LeaderState,
+    leader: deadline_state.LeaderState,
     announcement: servers.Announcement,
-) -> records.ServerClass:
+) -> deadline_records.ServerClass:
     """Find or make a server's class; who waits learns of a new one."""
     models = (*announcement.models, *announcement.adapters)
     key = (announcement.hardware, models, announcement.max_context)
     kind = leader.classes.get(key)
     if kind is not None:
         return kind
-    kind = records.ServerClass(*key)
+    kind = deadline_records.ServerClass(*key)
     leader.classes[key] = kind
     for waiting in leader.waiting.values():
         if kind.serves(waiting.ask):
@@ -109,9 +111,9 @@
 
 
 def _widen(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-    kind: records.ServerClass,
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
+    kind: deadline_records.ServerClass,
 ) -> None:
     latest = predicting.latest_start(leader, waiting, kind)
     waiting.latest[kind] = latest
@@ -126,9 +128,9 @@
 
 
 def attach(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
 ) -> None:
     """Count a grant against its server."""
     request_id = running.grant.request_id
@@ -153,9 +155,9 @@
 
 
 def detach(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
 ) -> None:
     """Take a grant off its server."""
     request_id = running.grant.request_id
@@ -172,9 +174,9 @@
 
 
 def born(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
 ) -> None:
     """Take that a prompt is computed, or will not be."""
     if server.unborn.pop(running.ask.request_id, None) is None:
@@ -187,7 +189,7 @@
 
 
 def _close_missing(
-    leader: state.LeaderState,
+    leader: deadline_state.LeaderState,
     live: typing.Mapping[ids.ServerId, servers.Announcement],
 ) -> None:
     for server_id, server in leader.servers.items():
@@ -197,7 +199,7 @@
 
 
 def _forget_gone(
-    leader: state.LeaderState,
+    leader: deadline_state.LeaderState,
     live: typing.Mapping[ids.ServerId, servers.Announcement],
 ) -> None:
     if len(leader.servers) <= 2 * len(live) + _MOST_GONE:
--- a/libs/scheduling/geraniumweir/scheduling/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/leader.py
@@ -6,7 +6,7 @@
 
 See Also
 ========
-geraniumweir.scheduling.admitting, geraniumweir.scheduling.granting,
+geraniumweir.scheduling.admitting, geraniumweir.scheduling.deadline_granting,
 geraniumweir.scheduling.shedding, geraniumweir.scheduling.progressing
 """
 
@@ -19,7 +19,7 @@
     admitting,
     adoption,
     crashes,
-    granting,
+    deadline_granting,
     joining,
     placement,
     progressing,
@@ -29,7 +29,7 @@
 from geraniumweir.scheduling import (
     requests,
     settings,
-    state,
+    deadline_state,
     suspects,
 )
 from geraniumweir.scheduling import summary as summaries
@@ -51,7 +51,7 @@
         :param live: gives the pool's backend servers that may get work.
         :param on_preempt: told of a stream that its owner is to cancel.
         """
-        self._state = state.LeaderState(
+        self._state = deadline_state.LeaderState(
             cfg,
             now,
             live,
@@ -151,7 +151,7 @@
         server = self._state.servers.get(server_id)
         if server is not None:
             crashes.crashed(self._state, server, incarnation)
-            granting.fill_open(self._state)
+            deadline_granting.fill_open(self._state)
 
     def owner_gone(self, owner: ids.HostId) -> None:
         """End the grants and the waiting requests of a lost entry host."""
@@ -167,7 +167,7 @@
         """Start granting: all owners have handed over their grants."""
         self._state.settled = True
         ticking.look_first(self._state)
-        granting.fill_open(self._state)
+        deadline_granting.fill_open(self._state)
 
     def summary(self) -> requests.PoolSummary:
         """Sum up the pool for other hosts."""
--- a/libs/scheduling/geraniumweir/scheduling/placement.py
+++ b/libs/scheduling/geraniumweir/scheduling/placement.py
@@ -10,7 +10,12 @@
 geraniumweir.scheduling.affinity
 """
 
-from geraniumweir.scheduling import affinity, predicting, records, state
+from geraniumweir.scheduling import (
+    affinity,
+    predicting,
+    deadline_records,
+    deadline_state,
+)
 
 _REFERENCE_PROMPT = 500
 _REFERENCE_OUTPUT = 100
@@ -19,7 +24,9 @@
 _RISK = 0.17
 
 
-def refresh(leader: state.LeaderState, server: records.Server) -> None:
+def refresh(
+    leader: deadline_state.LeaderState, server: deadline_records.Server
+) -> None:
     """Put a server where it belongs among the openings."""
     if not server.is_open():
         leader.open_servers.drop(server.server_id)
@@ -38,7 +45,9 @@
     )
 
 
-def has_room(server: records.Server, waiting: records.Waiting) -> bool:
+def has_room(
+    server: deadline_records.Server, waiting: deadline_records.Waiting
+) -> bool:
     """Tell whether a server's KV cache takes a request."""
     if not server.running:
         return True
@@ -46,9 +55,9 @@
 
 
 def promised_before(
-    server: records.Server,
-    waiting: records.Waiting,
-) -> list[records.Waiting]:
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
+) -> list[deadline_records.Waiting]:
     """List who a server keeps room for and who goes before a request.
 
     A request for which others were preempted there takes the room that they
@@ -70,11 +79,13 @@
     ]
 
 
-def _urgency(waiting: records.Waiting) -> tuple[int, float, int]:
+def _urgency(waiting: deadline_records.Waiting) -> tuple[int, float, int]:
     return waiting.ask.tier, waiting.best_start, waiting.sequence
 
 
-def kept_for_another(server: records.Server, waiting: records.Waiting) -> bool:
+def kept_for_another(
+    server: deadline_records.Server, waiting: deadline_records.Waiting
+) -> bool:
     """Tell whether a server's room is kept for requests that go before."""
     before = promised_before(server, waiting)
     if not before:
@@ -87,14 +98,14 @@
 
 
 def choose(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-) -> records.Server | None:
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
+) -> deadline_records.Server | None:
     """Choose an open server on which a request ends in time.
 
     :returns: the one predicted to end it first, None if there is none.
     """
-    best: records.Server | None = None
+    best: deadline_records.Server | None = None
     best_seconds = float('inf')
     for server in _open_servers(leader, waiting):
         if not _may_take(leader, server, waiting):
@@ -108,9 +119,9 @@
 
 
 def _may_take(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether an open server may take a newcomer."""
     if kept_for_another(server, waiting) or not has_room(server, waiting):
@@ -123,9 +134,9 @@
 
 
 def _is_risky(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether a lower tier rather makes way elsewhere later.
 
@@ -144,9 +155,9 @@
 
 
 def _cost(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> float:
     """Give the predicted seconds, and what its prefill costs the others.
 
@@ -159,9 +170,9 @@
 
 
 def choose_crowded(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-) -> records.Server | None:
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
+) -> deadline_records.Server | None:
     """Choose an open server that lacks only KV room for a request."""
     for server in _open_servers(leader, waiting):
         lacks_room = not has_room(server, waiting)
@@ -171,15 +182,17 @@
     return None
 
 
-def fits(server: records.Server, waiting: records.Waiting) -> bool:
+def fits(
+    server: deadline_records.Server, waiting: deadline_records.Waiting
+) -> bool:
     """Tell whether a server's KV cache could hold a request by itself."""
     return waiting.kv_need <= server.announcement.kv_tokens
 
 
 def least_harm(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-) -> records.Server | None:
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
+) -> deadline_records.Server | None:
     """Choose the open server with the fewest others running, for a suspect.
 
     Suspects are rare, so all servers are looked at.
@@ -196,7 +209,9 @@
     )
 
 
-def _takes_suspect(server: records.Server, waiting: records.Waiting) -> bool:
+def _takes_suspect(
+    server: deadline_records.Server, waiting: deadline_records.Waiting
+) -> bool:
     if server.suspects or server.kind not in waiting.latest:
         return False
     if kept_for_another(server, waiting):
@@ -205,9 +220,9 @@
 
 
 def _open_servers(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-) -> list[records.Server]:
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
+) -> list[deadline_records.Server]:
     """List the few open servers worth a closer look."""
     found = [
         server_id
@@ -220,7 +235,7 @@
     return [server for server in servers if server.kind in waiting.latest]
 
 
-def _slowdown(server: records.Server) -> float:
+def _slowdown(server: deadline_records.Server) -> float:
     """Weigh servers by load; learnt speeds have the usual load in them."""
     load = len(server.running) / max(server.limit.whole, 1)
     return 1 + _LOAD_SLOWDOWN * load
--- a/libs/scheduling/geraniumweir/scheduling/predicting.py
+++ b/libs/scheduling/geraniumweir/scheduling/predicting.py
@@ -10,7 +10,7 @@
 
 import typing
 
-from geraniumweir.scheduling import learning, records, state
+from geraniumweir.scheduling import learning, deadline_records, deadline_state
 
 _MOST_DONE = 0.8
 _OVERDUE_FACTOR = 4.0
@@ -18,9 +18,9 @@
 
 
 def starts(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-) -> dict[records.ServerClass, float]:
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
+) -> dict[deadline_records.ServerClass, float]:
     """Give a request's latest start on each class that can run it."""
     cached = _cached_by_class(leader, waiting)
     return {
@@ -31,9 +31,9 @@
 
 
 def latest_start(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-    kind: records.ServerClass,
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
+    kind: deadline_records.ServerClass,
     cached: float = 0,
 ) -> float:
     """Give the time at which a request must start on a class of servers.
@@ -50,9 +50,9 @@
 
 
 def uncached_tokens(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> float:
     """Give the prompt tokens that a server would have to prefill."""
     ask = waiting.ask
@@ -61,9 +61,9 @@
 
 
 def finish(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> float:
     """Predict the seconds until a request started now on a server ends."""
     rates = rates_of(leader, server, waiting.ask.model)
@@ -74,7 +74,9 @@
     return seconds * waiting.hope + prefill_ahead(leader, server)
 
 
-def prefill_ahead(leader: state.LeaderState, server: records.Server) -> float:
+def prefill_ahead(
+    leader: deadline_state.LeaderState, server: deadline_records.Server
+) -> float:
     """Give the seconds of prefill granted to a server and not yet done.
 
     By the predictions, and by the first tokens that did not come yet.
@@ -92,9 +94,9 @@
 
 
 def in_time(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether a request started now on a server ends in time."""
     if waiting.probe:
@@ -103,10 +105,10 @@
 
 
 def in_time_without(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
-    gone: typing.Iterable[records.Running],
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
+    gone: typing.Iterable[deadline_records.Running],
 ) -> bool:
     """Tell the same for a server from which some requests are cancelled."""
     freed = sum(
@@ -120,11 +122,11 @@
 
 
 def _cached_by_class(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-) -> dict[records.ServerClass, float]:
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
+) -> dict[deadline_records.ServerClass, float]:
     """Give the share of a prompt cached where most of it is, by class."""
-    shares: dict[records.ServerClass, float] = {}
+    shares: dict[deadline_records.ServerClass, float] = {}
     warmest = leader.prefixes.warmest(waiting.ask.blocks)
     for server_id, share in warmest.items():
         server = leader.servers.get(server_id)
@@ -134,8 +136,8 @@
 
 
 def rates_of(
-    leader: state.LeaderState,
-    server: records.Server,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
     model: str | None,
 ) -> learning.Rates:
     """Give a server's predicted speeds for a model."""
--- a/libs/scheduling/geraniumweir/scheduling/progressing.py
+++ b/libs/scheduling/geraniumweir/scheduling/progressing.py
@@ -3,13 +3,13 @@
 from geraniumweir.scheduling import (
     affinity,
     fleet,
-    granting,
+    deadline_granting,
     learning,
     placement,
-    records,
+    deadline_records,
     requests,
     spending,
-    state,
+    deadline_state,
     stragglers,
     waitlist,
 )
@@ -17,7 +17,9 @@
 _STEPS_BETWEEN_REPORTS = 20
 
 
-def progress(leader: state.LeaderState, news: requests.Progress) -> None:
+def progress(
+    leader: deadline_state.LeaderState, news: requests.Progress
+) -> None:
     """Take how granted work goes on."""
     running = leader.running.get(news.request_id)
     if running is None:
@@ -35,7 +37,9 @@
     _moves(leader, server, running)
 
 
-def release(leader: state.LeaderState, ended: requests.Release) -> None:
+def release(
+    leader: deadline_state.LeaderState, ended: requests.Release
+) -> None:
     """Take back a grant and serve who waits."""
     running = leader.running.get(ended.request_id)
     if running is None:
@@ -43,7 +47,7 @@
     server = leader.servers.get(running.grant.server_id)
     drop(leader, running)
     if server is None:
-        granting.unpark(leader, running.ask.rule)
+        deadline_granting.unpark(leader, running.ask.rule)
         return
     _correct_charge(leader, running, ended.outcome)
     match ended.outcome:
@@ -64,14 +68,14 @@
         ):
             pass
     placement.refresh(leader, server)
-    granting.unpark(leader, running.ask.rule)
-    granting.fill(leader, server)
+    deadline_granting.unpark(leader, running.ask.rule)
+    deadline_granting.fill(leader, server)
 
 
 def _failed(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
 ) -> None:
     """Take that a server answered with an error or broke off."""
     now = leader.now()
@@ -81,7 +85,9 @@
     leader.suspects.broke_off(mark, server.server_id, now)
 
 
-def drop(leader: state.LeaderState, running: records.Running) -> None:
+def drop(
+    leader: deadline_state.LeaderState, running: deadline_records.Running
+) -> None:
     """Take a grant out of all counts."""
     ask = running.ask
     leader.running.pop(ask.request_id)
@@ -99,9 +105,9 @@
 
 
 def _first_token(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
     seconds: float,
 ) -> None:
     running.first_token = seconds
@@ -121,16 +127,16 @@
     placement.refresh(leader, server)
 
 
-def _tokens_before(running: records.Running, rate: float) -> float:
+def _tokens_before(running: deadline_records.Running, rate: float) -> float:
     """Give the tokens prefilled before a first token, its own included."""
     ahead = running.ahead / rate if rate else 0
     return running.uncached + ahead + learning.FIXED_TOKENS
 
 
 def _moves(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
 ) -> None:
     server.last_good = leader.now()
     step = _rates(leader, server, running).decode * _STEPS_BETWEEN_REPORTS
@@ -138,14 +144,14 @@
     if running.stuck:
         running.stuck = False
         server.stuck -= 1
-        granting.watch_progress(leader, running)
+        deadline_granting.watch_progress(leader, running)
         placement.refresh(leader, server)
 
 
 def _learn_end(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
     ended: requests.Release,
 ) -> None:
     first_token = running.first_token or ended.first_token
@@ -164,9 +170,9 @@
 
 
 def _learn_late_first_token(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
 ) -> None:
     """Learn a first token that was heard of only at the end."""
     rate = _rates(leader, server, running).prefill
@@ -180,9 +186,9 @@
 
 
 def _learn_decode(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
     ended: requests.Release,
 ) -> None:
     seconds = ended.seconds - (running.first_token or 0)
@@ -202,8 +208,8 @@
 
 
 def _correct_charge(
-    leader: state.LeaderState,
-    running: records.Running,
+    leader: deadline_state.LeaderState,
+    running: deadline_records.Running,
     outcome: requests.Outcome,
 ) -> None:
     """Charge the customer what was used in place of what was predicted."""
@@ -216,9 +222,9 @@
 
 
 def _rates(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
 ) -> learning.Rates:
     return leader.speeds.of_server(
         server.server_id,
--- a/libs/scheduling/geraniumweir/scheduling/shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/shedding.py
@@ -13,12 +13,12 @@
 
 from geraniumweir.common import ids
 from geraniumweir.scheduling import (
-    granting,
+    deadline_granting,
     placement,
     predicting,
-    records,
+    deadline_records,
     requests,
-    state,
+    deadline_state,
     waitlist,
 )
 
@@ -35,7 +35,9 @@
 _MS = 1000
 
 
-def watch(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def watch(
+    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+) -> None:
     """See to it that a request is decided when its latest start comes."""
     if not waiting.latest:
         by = min(waiting.ask.deadline, waiting.arrived + NO_SERVER_SECONDS)
@@ -48,7 +50,7 @@
         _arm(leader, waiting, at, urgent)
 
 
-def give_up(leader: state.LeaderState) -> None:
+def give_up(leader: deadline_state.LeaderState) -> None:
     """Refuse what the servers that left could have served.
 
     No other live server can; another failure domain may, and is asked next.
@@ -63,8 +65,8 @@
 
 
 def _least_ahead(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
 ) -> float:
     """Give the least seconds of prefill ahead on a few servers at hand.
 
@@ -82,9 +84,11 @@
     return min(ahead, default=0) * leader.cfg.safety
 
 
-def urgent(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def urgent(
+    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+) -> None:
     """Serve a request that nears its latest start, or make way for it."""
-    if waiting.fut.done() or granting.try_now(leader, waiting):
+    if waiting.fut.done() or deadline_granting.try_now(leader, waiting):
         return
     left = waiting.best_start - leader.cfg.preempt_slack - leader.now()
     if left > _least_ahead(leader, waiting):
@@ -101,9 +105,11 @@
         _arm(leader, waiting, waiting.best_start, expire)
 
 
-def expire(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def expire(
+    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+) -> None:
     """Decide a request at its latest start."""
-    if waiting.fut.done() or granting.try_now(leader, waiting):
+    if waiting.fut.done() or deadline_granting.try_now(leader, waiting):
         return
     if not waiting.extended and preempt(leader, waiting):
         waiting.extended = True
@@ -114,8 +120,8 @@
 
 
 def _reason_at_end(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
 ) -> requests.DenialReason:
     """Tell what kept a request from being served until its latest start."""
     if not waiting.latest:
@@ -128,8 +134,8 @@
 
 
 def refuse(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
     reason: requests.DenialReason,
 ) -> None:
     """End a request that waits."""
@@ -137,11 +143,11 @@
     kept = waitlist.unpromise(leader, waiting)
     waiting.fut.set_result(denial(leader, waiting.ask, reason))
     if kept is not None:
-        granting.fill(leader, kept)
+        deadline_granting.fill(leader, kept)
 
 
 def denial(
-    leader: state.LeaderState,
+    leader: deadline_state.LeaderState,
     ask: requests.Ask,
     reason: requests.DenialReason,
 ) -> requests.Denial:
@@ -159,20 +165,20 @@
     return requests.Denial(ask.request_id, reason, int(seconds * spread * _MS))
 
 
-def expected_wait(leader: state.LeaderState, tier: ids.Tier) -> float:
+def expected_wait(leader: deadline_state.LeaderState, tier: ids.Tier) -> float:
     """Give the seconds that the work ahead of a tier takes the pool."""
     ahead = work_above(leader, tier) + leader.cost_by_tier[tier]
     return max(ahead, 0) / max(leader.slots, 1)
 
 
-def work_above(leader: state.LeaderState, tier: ids.Tier) -> float:
+def work_above(leader: deadline_state.LeaderState, tier: ids.Tier) -> float:
     """Give the predicted slot seconds of what waits in higher tiers."""
     return sum(
         cost for other, cost in leader.cost_by_tier.items() if other < tier
     )
 
 
-def make_room(leader: state.LeaderState, ask: requests.Ask) -> bool:
+def make_room(leader: deadline_state.LeaderState, ask: requests.Ask) -> bool:
     """Shed the lowest, latest request if it is lower than a newcomer."""
     for tier in reversed(ids.Tier):
         if tier <= ask.tier:
@@ -184,7 +190,7 @@
     return False
 
 
-def lower_is_served(leader: state.LeaderState, tier: ids.Tier) -> bool:
+def lower_is_served(leader: deadline_state.LeaderState, tier: ids.Tier) -> bool:
     """Tell whether anything of a lower tier runs or waits."""
     return any(
         leader.running_by_tier[lower] or leader.by_tier[lower]
@@ -193,7 +199,9 @@
     )
 
 
-def preempt(leader: state.LeaderState, waiting: records.Waiting) -> bool:
+def preempt(
+    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+) -> bool:
     """Have streams of a lower tier cancelled to make way for a request.
 
     :returns: whether some are on their way out.
@@ -227,9 +235,9 @@
 
 
 def _choose_victims(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-) -> list[records.Running]:
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
+) -> list[deadline_records.Running]:
     for tier in reversed(ids.Tier):
         if tier <= waiting.ask.tier:
             return []
@@ -240,10 +248,10 @@
 
 
 def _options(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
     tier: ids.Tier,
-) -> list[list[records.Running]]:
+) -> list[list[deadline_records.Running]]:
     """List what could be cancelled together, starting from one tier."""
     streams = itertools.chain.from_iterable(
         leader.preemptible.least(kind, tier) for kind in waiting.latest
@@ -254,15 +262,15 @@
     return [chosen for chosen in options if chosen]
 
 
-def _waste(chosen: typing.Iterable[records.Running]) -> float:
+def _waste(chosen: typing.Iterable[deadline_records.Running]) -> float:
     return sum(running.uncached for running in chosen)
 
 
 def _with_company(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
     request_id: ids.RequestId,
-) -> list[records.Running]:
+) -> list[deadline_records.Running]:
     """Find what must go, with a stream, so that a request fits its server."""
     first = leader.running[request_id]
     server = leader.servers[first.grant.server_id]
@@ -286,8 +294,8 @@
 
 
 def _lacking(
-    server: records.Server,
-    waiting: records.Waiting,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> tuple[int, float]:
     """Give the slots and KV tokens that a server lacks for a request.
 
@@ -312,11 +320,11 @@
 
 
 def _others(
-    leader: state.LeaderState,
-    server: records.Server,
-    first: records.Running,
-    waiting: records.Waiting,
-) -> list[records.Running]:
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    first: deadline_records.Running,
+    waiting: deadline_records.Waiting,
+) -> list[deadline_records.Running]:
     others = [
         running
         for request_id, running in server.running.items()
@@ -330,7 +338,9 @@
     )
 
 
-def _could_take(server: records.Server, waiting: records.Waiting) -> bool:
+def _could_take(
+    server: deadline_records.Server, waiting: deadline_records.Waiting
+) -> bool:
     """Tell whether a server that lost a stream may run a request."""
     if not server.most():
         return False
@@ -338,10 +348,12 @@
 
 
 def _arm(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
     at: float,
-    action: typing.Callable[[state.LeaderState, records.Waiting], None],
+    action: typing.Callable[
+        [deadline_state.LeaderState, deadline_records.Waiting], None
+    ],
 ) -> None:
     if waiting.timer is not None:
         waiting.timer.cancel()
--- a/libs/scheduling/geraniumweir/scheduling/summary.py
+++ b/libs/scheduling/geraniumweir/scheduling/summary.py
@@ -3,10 +3,10 @@
 import collections
 
 from geraniumweir.common import ids
-from geraniumweir.scheduling import requests, shedding, state
+from geraniumweir.scheduling import requests, shedding, deadline_state
 
 
-def summarize(leader: state.LeaderState) -> requests.PoolSummary:
+def summarize(leader: deadline_state.LeaderState) -> requests.PoolSummary:
     """Sum up a pool."""
     waits = tuple(_wait(leader, tier) for tier in ids.Tier)
     return requests.PoolSummary(
@@ -19,7 +19,7 @@
 
 
 def _capacity(
-    leader: state.LeaderState,
+    leader: deadline_state.LeaderState,
 ) -> tuple[requests.ModelCapacity, ...]:
     slots: collections.Counter[str] = collections.Counter()
     free: collections.Counter[str] = collections.Counter()
@@ -34,7 +34,9 @@
     )
 
 
-def _wait(leader: state.LeaderState, tier: ids.Tier) -> requests.TierWait:
+def _wait(
+    leader: deadline_state.LeaderState, tier: ids.Tier
+) -> requests.TierWait:
     queue = leader.by_tier[tier]
     oldest = float(0)
     if queue:
@@ -49,7 +51,7 @@
     )
 
 
-def _lowest_served(leader: state.LeaderState) -> ids.Tier | None:
+def _lowest_served(leader: deadline_state.LeaderState) -> ids.Tier | None:
     served = [
         tier
         for tier in ids.Tier
--- a/libs/scheduling/geraniumweir/scheduling/ticking.py
+++ b/libs/scheduling/geraniumweir/scheduling/ticking.py
@@ -5,11 +5,11 @@
 
 from geraniumweir.scheduling import (
     crashes,
-    granting,
+    deadline_granting,
     placement,
-    records,
+    deadline_records,
     shedding,
-    state,
+    deadline_state,
     stragglers,
 )
 
@@ -17,7 +17,7 @@
 _MIN_SYNC_GAP = 0.02
 
 
-def arm(leader: state.LeaderState) -> None:
+def arm(leader: deadline_state.LeaderState) -> None:
     """Start ticking, unless it ticks already."""
     if leader.ticker is None:
         leader.ticker = asyncio.get_running_loop().call_later(
@@ -27,7 +27,7 @@
         )
 
 
-def changed(leader: state.LeaderState) -> None:
+def changed(leader: deadline_state.LeaderState) -> None:
     """Take that servers or settings may have changed.
 
     Announcements come by the hundred in a second, so most of them wait for
@@ -35,17 +35,17 @@
     """
     if leader.now() - leader.synced >= _MIN_SYNC_GAP:
         crashes.synced(leader)
-        granting.fill_open(leader)
+        deadline_granting.fill_open(leader)
 
 
-def look_first(leader: state.LeaderState) -> None:
+def look_first(leader: deadline_state.LeaderState) -> None:
     """Follow the servers before an ask, unless that was done lately."""
     if leader.now() - leader.synced > _TICK_SECONDS:
         crashes.synced(leader)
-        granting.fill_open(leader)
+        deadline_granting.fill_open(leader)
 
 
-def beat(leader: state.LeaderState) -> None:
+def beat(leader: deadline_state.LeaderState) -> None:
     """Do what is due at a tick."""
     if leader.now() >= leader.settle_by:
         leader.settled = True
@@ -56,29 +56,31 @@
     for server in leader.servers.values():
         if server.health.wake(leader.now()):
             placement.refresh(leader, server)
-    granting.fill_open(leader)
+    deadline_granting.fill_open(leader)
 
 
-def _tick(leader: state.LeaderState) -> None:
+def _tick(leader: deadline_state.LeaderState) -> None:
     leader.ticker = None
     beat(leader)
     if leader.waiting or leader.running:
         arm(leader)
 
 
-def _find_stalls(leader: state.LeaderState) -> None:
+def _find_stalls(leader: deadline_state.LeaderState) -> None:
     while leader.due and leader.due[0][0] <= leader.now():
         _, _, request_id = heapq.heappop(leader.due)
         running = leader.running.get(request_id)
         if running is None:
             continue
         if running.due > leader.now():
-            granting.watch_progress(leader, running)
+            deadline_granting.watch_progress(leader, running)
         else:
             _stalled(leader, running)
 
 
-def _stalled(leader: state.LeaderState, running: records.Running) -> None:
+def _stalled(
+    leader: deadline_state.LeaderState, running: deadline_records.Running
+) -> None:
     server = leader.servers.get(running.grant.server_id)
     if server is None or running.stuck:
         return
--- a/libs/scheduling/geraniumweir/scheduling/waitlist.py
+++ b/libs/scheduling/geraniumweir/scheduling/waitlist.py
@@ -6,19 +6,26 @@
 """
 
 from geraniumweir.common import ids
-from geraniumweir.scheduling import records, requests, state, suspects
+from geraniumweir.scheduling import (
+    deadline_records,
+    requests,
+    deadline_state,
+    suspects,
+)
 
 _NOTHING = 1e-9
 
 
-def enqueue(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def enqueue(
+    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+) -> None:
     """Add a request to those that wait."""
     ask = waiting.ask
     leader.waiting[ask.request_id] = waiting
     leader.by_tier[ask.tier][ask.request_id] = waiting
     leader.cost_by_tier[ask.tier] += waiting.cost
     leader.cost_by_flow[waiting.flow] += waiting.cost
-    rule = leader.rules.setdefault(ask.rule, records.RuleCount())
+    rule = leader.rules.setdefault(ask.rule, deadline_records.RuleCount())
     rule.waiting += 1
     if is_suspect(leader, ask):
         waiting.held = True
@@ -30,7 +37,9 @@
         to_queue(leader, waiting)
 
 
-def leave(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def leave(
+    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+) -> None:
     """Take a request out of those that wait, if it is there."""
     ask = waiting.ask
     if leader.waiting.pop(ask.request_id, None) is None:
@@ -54,7 +63,9 @@
         _from_queue(leader, waiting)
 
 
-def forget_idle_rule(leader: state.LeaderState, name: ids.RuleName) -> None:
+def forget_idle_rule(
+    leader: deadline_state.LeaderState, name: ids.RuleName
+) -> None:
     """Drop the count of a rule that nothing runs or waits for."""
     rule = leader.rules[name]
     if not rule.running and not rule.waiting:
@@ -62,9 +73,9 @@
 
 
 def unpromise(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-) -> records.Server | None:
+    leader: deadline_state.LeaderState,
+    waiting: deadline_records.Waiting,
+) -> deadline_records.Server | None:
     """Free the room that was kept for a request.
 
     :returns: the server that kept it.
@@ -79,9 +90,9 @@
 
 
 def promise(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.LeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> None:
     """Keep a server's next room for a request."""
     unpromise(leader, waiting)
@@ -89,7 +100,9 @@
     waiting.promised_by = server.server_id
 
 
-def hold_if_needed(leader: state.LeaderState, waiting: records.Waiting) -> bool:
+def hold_if_needed(
+    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+) -> bool:
     """Hold back one that became a suspect, or whose rule is at its limit."""
     ask = waiting.ask
     if is_suspect(leader, ask):
@@ -103,7 +116,9 @@
     return True
 
 
-def to_queue(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def to_queue(
+    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+) -> None:
     """Let a request that was held back into the queue."""
     waiting.held = False
     leader.queue.add(
@@ -114,7 +129,9 @@
     )
 
 
-def _from_queue(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def _from_queue(
+    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+) -> None:
     leader.queue.remove(
         waiting,
         waiting.flow,
@@ -123,14 +140,14 @@
     )
 
 
-def is_suspect(leader: state.LeaderState, ask: requests.Ask) -> bool:
+def is_suspect(leader: deadline_state.LeaderState, ask: requests.Ask) -> bool:
     """Tell whether a request may crash the server that runs it."""
     verdict = leader.suspects.verdict(ask.fingerprint, leader.now())
     return verdict is not suspects.Verdict.clear
 
 
 def over_running_limit(
-    leader: state.LeaderState,
+    leader: deadline_state.LeaderState,
     ask: requests.Ask,
 ) -> bool:
     """Tell whether a request's rule runs as many as it may."""
