--- a/libs/fakes/geraniumweir/fakes/bench/leader_link.py
+++ b/libs/fakes/geraniumweir/fakes/bench/leader_link.py
@@ -9,7 +9,7 @@
 import collections
 import typing
 
-from geraniumweir.scheduling import leader, requests
+from geraniumweir.scheduling import deadline_leader, requests
 
 HOP_SECONDS = 0.0005
 _DETECTION_SECONDS = 1.5
@@ -24,7 +24,9 @@
 
     def __init__(
         self,
-        make_leader: typing.Callable[[float], leader.PoolLeader],
+        make_leader: typing.Callable[
+            [float], deadline_leader.DeadlinePoolLeader
+        ],
         open_grants: typing.Callable[[], list[requests.OpenGrant]],
     ) -> None:
         """Start with a leader that knows nothing.
@@ -41,7 +43,7 @@
         self._present.set()
         self._leader = make_leader(0)
 
-    def present(self) -> leader.PoolLeader | None:
+    def present(self) -> deadline_leader.DeadlinePoolLeader | None:
         """Give the leader, or None while there is none."""
         return self._leader if self._present.is_set() else None
 
@@ -81,7 +83,7 @@
 
     async def _ask_one(
         self,
-        owner: leader.PoolLeader,
+        owner: deadline_leader.DeadlinePoolLeader,
         ask: requests.Ask,
     ) -> requests.Grant | requests.Denial | None:
         asking = asyncio.create_task(owner.ask(ask))
--- a/libs/fakes/geraniumweir/fakes/bench/leader_policy.py
+++ b/libs/fakes/geraniumweir/fakes/bench/leader_policy.py
@@ -16,7 +16,7 @@
     traffic,
 )
 from geraniumweir.membership import servers
-from geraniumweir.scheduling import leader, requests, settings
+from geraniumweir.scheduling import deadline_leader, requests, settings
 
 _PROGRESS_SECONDS = 0.25
 _POOL = ids.PoolName('pool')
@@ -164,13 +164,15 @@
         """Stop reporting progress."""
         self._reporter.cancel()
 
-    def _make(self, settle_seconds: float) -> leader.PoolLeader:
+    def _make(
+        self, settle_seconds: float
+    ) -> deadline_leader.DeadlinePoolLeader:
         cfg = settings.LeaderSettings(
             pool=_POOL,
             settle_seconds=settle_seconds,
             seed=self._seed,
         )
-        return leader.PoolLeader(
+        return deadline_leader.DeadlinePoolLeader(
             cfg,
             self._loop.time,
             self._live,
@@ -204,7 +206,7 @@
             if present is not None:
                 self._report_open(present)
 
-    def _report_open(self, present: leader.PoolLeader) -> None:
+    def _report_open(self, present: deadline_leader.DeadlinePoolLeader) -> None:
         # One message carries the progress of all calls of a host.
         hosts = {held.ask.owner for held in self._open.values()}
         self.messages['progress'] += len(hosts)
--- a/libs/fakes/geraniumweir/fakes/bench_decisions.py
+++ b/libs/fakes/geraniumweir/fakes/bench_decisions.py
@@ -17,7 +17,7 @@
 
 from geraniumweir.common import ids
 from geraniumweir.membership import servers
-from geraniumweir.scheduling import leader as leaders
+from geraniumweir.scheduling import deadline_leader
 from geraniumweir.scheduling import requests, settings
 
 _WAITING = (10, 100, 1000, 10000)
@@ -71,7 +71,7 @@
 
 
 def _busy(
-    leader: leaders.PoolLeader,
+    leader: deadline_leader.DeadlinePoolLeader,
     asks: typing.Iterator[requests.Ask],
     waiting: int,
     granted: list[ids.RequestId],
@@ -85,7 +85,7 @@
 
 
 def rounds(
-    leader: leaders.PoolLeader,
+    leader: deadline_leader.DeadlinePoolLeader,
     coming: typing.Iterable[tuple[ids.RequestId, requests.Ask]],
 ) -> tuple[list['_Began'], list[float]]:
     """Let one more wait, then end a grant, and so on.
@@ -105,9 +105,9 @@
     return statistics.median(seconds) * _MICRO
 
 
-def make_leader(waiting: int, count: int) -> leaders.PoolLeader:
+def make_leader(waiting: int, count: int) -> deadline_leader.DeadlinePoolLeader:
     live = [_server(number) for number in range(count)]
-    return leaders.PoolLeader(
+    return deadline_leader.DeadlinePoolLeader(
         settings.LeaderSettings(_POOL, queue_limit=waiting * 2 + _ROUNDS),
         asyncio.get_running_loop().time,
         lambda: live,
@@ -116,7 +116,7 @@
 
 
 def fill_servers(
-    leader: leaders.PoolLeader,
+    leader: deadline_leader.DeadlinePoolLeader,
     asks: typing.Iterator[requests.Ask],
     slots: int,
 ) -> tuple[list[float], list[ids.RequestId]]:
@@ -137,7 +137,9 @@
 ]
 
 
-def begin(leader: leaders.PoolLeader, ask: requests.Ask) -> _Began:
+def begin(
+    leader: deadline_leader.DeadlinePoolLeader, ask: requests.Ask
+) -> _Began:
     """Run an ask until it waits or is granted, and time that."""
     coro = leader.ask(ask)
     began = time.process_time()
@@ -149,7 +151,9 @@
     return coro, grant, time.process_time() - began
 
 
-def release(leader: leaders.PoolLeader, request_id: ids.RequestId) -> float:
+def release(
+    leader: deadline_leader.DeadlinePoolLeader, request_id: ids.RequestId
+) -> float:
     done = requests.Release(
         request_id,
         requests.Outcome.done,
--- a/libs/fakes/geraniumweir/fakes/slopes/remote.py
+++ b/libs/fakes/geraniumweir/fakes/slopes/remote.py
@@ -8,7 +8,7 @@
 from geraniumweir.scheduling import (
     broker,
     channel,
-    leader,
+    deadline_leader,
     remote,
     requests,
     settings,
@@ -113,8 +113,8 @@
         self,
         pool: ids.PoolName,
         on_preempt: remote.OnPreempt,
-    ) -> leader.PoolLeader:
-        return leader.PoolLeader(
+    ) -> deadline_leader.DeadlinePoolLeader:
+        return deadline_leader.DeadlinePoolLeader(
             settings.LeaderSettings(pool),
             self._clock.now,
             lambda: [_SERVER],
--- a/libs/scheduling/geraniumweir/scheduling/__init__.py
+++ b/libs/scheduling/geraniumweir/scheduling/__init__.py
@@ -2,5 +2,5 @@
 
 See Also
 ========
-geraniumweir.scheduling.requests, geraniumweir.scheduling.leader
+geraniumweir.scheduling.requests, geraniumweir.scheduling.deadline_leader
 """
--- a/libs/scheduling/geraniumweir/scheduling/admitting.py
+++ b/libs/scheduling/geraniumweir/scheduling/admitting.py
@@ -24,7 +24,7 @@
 
 
 def admit(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     ask: requests.Ask,
 ) -> deadline_records.Waiting | requests.Denial:
     """Take an ask that is neither waiting nor granted.
@@ -52,7 +52,8 @@
 
 
 def _wait(
-    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> None:
     full = len(leader.waiting) >= leader.cfg.queue_limit
     room = not full or shedding.make_room(leader, waiting.ask)
@@ -66,7 +67,7 @@
 
 
 def _deny_at_once(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     ask: requests.Ask,
 ) -> requests.Denial | None:
     reason = _refuse_at_once(leader, ask)
@@ -83,7 +84,7 @@
 
 
 def _refuse_at_once(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     ask: requests.Ask,
 ) -> requests.DenialReason | None:
     now = leader.now()
@@ -95,7 +96,7 @@
     return None
 
 
-def _serves_nothing(leader: deadline_state.LeaderState) -> bool:
+def _serves_nothing(leader: deadline_state.DeadlineLeaderState) -> bool:
     before = leader.now() - shedding.NO_SERVER_SECONDS
     return leader.settled and leader.served_at < before
 
@@ -110,7 +111,7 @@
 
 
 def _refuse_to_wait(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
     within_budget: bool,
 ) -> requests.DenialReason | None:
@@ -127,7 +128,7 @@
 
 
 def _over_waiting_limit(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     ask: requests.Ask,
 ) -> bool:
     if ask.max_waiting is None:
@@ -137,7 +138,7 @@
 
 
 def _waiting(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     ask: requests.Ask,
 ) -> deadline_records.Waiting:
     leader.sequence += 1
@@ -153,7 +154,7 @@
 
 
 def _set_starts(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> None:
     waiting.latest = predicting.starts(leader, waiting)
@@ -167,7 +168,8 @@
 
 
 def _doubt(
-    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> None:
     """Take an answer whose length is hardly known for a short one."""
     waiting.expected = learning.Expected(
@@ -179,7 +181,8 @@
 
 
 def _too_late(
-    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether a request can't end in time even on an idle server.
 
@@ -202,7 +205,7 @@
 
 
 def _queue_too_long(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether a request's turn will hardly come before it is too late.
--- a/libs/scheduling/geraniumweir/scheduling/adoption.py
+++ b/libs/scheduling/geraniumweir/scheduling/adoption.py
@@ -18,7 +18,7 @@
 
 
 def adopt(
-    leader: deadline_state.LeaderState, taken: requests.OpenGrant
+    leader: deadline_state.DeadlineLeaderState, taken: requests.OpenGrant
 ) -> None:
     """Count a grant in use that another leader gave."""
     request_id = taken.ask.request_id
@@ -41,7 +41,9 @@
         leader.prefixes.granted(server_id, taken.ask.blocks)
 
 
-def owner_gone(leader: deadline_state.LeaderState, owner: ids.HostId) -> None:
+def owner_gone(
+    leader: deadline_state.DeadlineLeaderState, owner: ids.HostId
+) -> None:
     """End the grants and the waiting requests of a lost entry host."""
     for waiting in _of_owner(leader.waiting.values(), owner):
         shedding.refuse(leader, waiting, requests.DenialReason.withdrawn)
@@ -68,7 +70,7 @@
 
 
 def _running(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     taken: requests.OpenGrant,
 ) -> deadline_records.Running:
     expected = learning.length_of(leader.lengths, taken.ask)
--- a/libs/scheduling/geraniumweir/scheduling/affinity.py
+++ b/libs/scheduling/geraniumweir/scheduling/affinity.py
@@ -13,7 +13,7 @@
 
 
 def saved_seconds(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> float:
@@ -28,7 +28,7 @@
 
 
 def holds(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
@@ -37,7 +37,7 @@
 
 
 def warms(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
 ) -> None:
@@ -59,7 +59,7 @@
 
 
 def is_warming(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
@@ -79,7 +79,7 @@
 
 
 def waits_for_holder(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
@@ -106,7 +106,7 @@
 
 
 def _best_share(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> float:
--- a/libs/scheduling/geraniumweir/scheduling/crashes.py
+++ b/libs/scheduling/geraniumweir/scheduling/crashes.py
@@ -17,7 +17,7 @@
 
 
 def crashed(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     incarnation: ids.Incarnation,
 ) -> None:
@@ -52,7 +52,7 @@
         deadline_granting.unpark(leader, running.ask.rule)
 
 
-def synced(leader: deadline_state.LeaderState) -> None:
+def synced(leader: deadline_state.DeadlineLeaderState) -> None:
     """Follow the live servers and take the crashes that show."""
     for server in fleet.sync(leader):
         current = server.announcement.incarnation
@@ -61,7 +61,7 @@
 
 
 def _refuse_condemned(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     condemned: set[ids.Fingerprint],
 ) -> None:
     if not condemned:
--- a/libs/scheduling/geraniumweir/scheduling/deadline_granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_granting.py
@@ -32,7 +32,8 @@
 
 
 def try_now(
-    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Grant a request if a server can end it in time from now."""
     ask = waiting.ask
@@ -49,7 +50,8 @@
 
 
 def keep_room(
-    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> None:
     """Keep a server for a request that lacks only KV room there."""
     if leader.settled and not waiting.held:
@@ -59,7 +61,7 @@
 
 
 def fill(
-    leader: deadline_state.LeaderState, server: deadline_records.Server
+    leader: deadline_state.DeadlineLeaderState, server: deadline_records.Server
 ) -> int:
     """Grant a server as much as it may run now.
 
@@ -78,7 +80,7 @@
     return granted
 
 
-def fill_open(leader: deadline_state.LeaderState) -> None:
+def fill_open(leader: deadline_state.DeadlineLeaderState) -> None:
     """Grant what a few open servers of each class can take."""
     if not leader.waiting or not leader.settled:
         return
@@ -89,7 +91,7 @@
 
 
 def grant(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
     server: deadline_records.Server,
 ) -> None:
@@ -113,7 +115,7 @@
 
 
 def count_running(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     running: deadline_records.Running,
 ) -> None:
     """Count a grant in use, whoever gave it."""
@@ -126,7 +128,7 @@
 
 
 def watch_progress(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     running: deadline_records.Running,
 ) -> None:
     """Look at a grant again when its next sign of progress is late."""
@@ -137,7 +139,9 @@
     )
 
 
-def unpark(leader: deadline_state.LeaderState, name: ids.RuleName) -> None:
+def unpark(
+    leader: deadline_state.DeadlineLeaderState, name: ids.RuleName
+) -> None:
     """Let parked requests of a rule into the queue, as its limit allows."""
     rule = leader.rules.get(name)
     if rule is None or not rule.parked:
@@ -153,7 +157,7 @@
 
 
 def _running(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
     server: deadline_records.Server,
 ) -> deadline_records.Running:
@@ -180,7 +184,7 @@
 
 
 def _pick(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
 ) -> deadline_records.Waiting | None:
     """Find the first request, in order, that a server can end in time."""
@@ -196,7 +200,7 @@
 
 
 def _higher_first(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     tier: ids.Tier,
 ) -> bool:
@@ -209,7 +213,7 @@
 
 
 def _needs(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     tier: ids.Tier,
 ) -> bool:
@@ -232,7 +236,7 @@
 
 
 def _pick_of_tier(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     tier: ids.Tier,
 ) -> deadline_records.Waiting | None:
@@ -253,7 +257,7 @@
 
 
 def _goes_first(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
@@ -265,7 +269,7 @@
 
 
 def _may_be_passed(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
@@ -280,7 +284,7 @@
 
 
 def _in_order(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     tier: ids.Tier,
 ) -> typing.Iterator[deadline_records.Waiting]:
@@ -304,7 +308,7 @@
 
 
 def _fits(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
@@ -325,14 +329,14 @@
 
 
 def _fill_best(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     kind: deadline_records.ServerClass,
 ) -> int:
     best = leader.open_servers.best(kind)
     return sum(fill(leader, leader.servers[name]) for name in best)
 
 
-def _place_held(leader: deadline_state.LeaderState) -> None:
+def _place_held(leader: deadline_state.DeadlineLeaderState) -> None:
     """Grant suspects, unless someone of a higher tier waits."""
     if not leader.held:
         return
@@ -350,14 +354,16 @@
             grant(leader, waiting, server)
 
 
-def _higher_waits(leader: deadline_state.LeaderState, tier: ids.Tier) -> bool:
+def _higher_waits(
+    leader: deadline_state.DeadlineLeaderState, tier: ids.Tier
+) -> bool:
     higher = (leader.by_tier[other] for other in ids.Tier if other < tier)
     waiting = itertools.chain.from_iterable(queue.values() for queue in higher)
     return any(not other.held for other in waiting)
 
 
 def _server_for_suspect(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> deadline_records.Server | None:
     mark = waiting.ask.fingerprint
--- a/libs/scheduling/geraniumweir/scheduling/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_leader.py
@@ -35,7 +35,7 @@
 from geraniumweir.scheduling import summary as summaries
 
 
-class PoolLeader:
+class DeadlinePoolLeader:
     """Grants the capacity of one pool in one failure domain."""
 
     def __init__(
@@ -51,7 +51,7 @@
         :param live: gives the pool's backend servers that may get work.
         :param on_preempt: told of a stream that its owner is to cancel.
         """
-        self._state = deadline_state.LeaderState(
+        self._state = deadline_state.DeadlineLeaderState(
             cfg,
             now,
             live,
--- a/libs/scheduling/geraniumweir/scheduling/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/fleet.py
@@ -16,7 +16,9 @@
 _MOST_GONE = 64
 
 
-def sync(leader: deadline_state.LeaderState) -> list[deadline_records.Server]:
+def sync(
+    leader: deadline_state.DeadlineLeaderState,
+) -> list[deadline_records.Server]:
     """Take the servers that may get new work now.
 
     :returns: those that crashed: known ones with a new incarnation.
@@ -39,7 +41,7 @@
 
 
 def restarted(
-    leader: deadline_state.LeaderState, server: deadline_records.Server
+    leader: deadline_state.DeadlineLeaderState, server: deadline_records.Server
 ) -> None:
     """Take a server back after a crash, with a little work at first."""
     server.health.probe()
@@ -51,7 +53,7 @@
 
 
 def _appear(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     announcement: servers.Announcement,
 ) -> None:
     slots = max(announcement.slots, 1)
@@ -71,7 +73,7 @@
 
 
 def _take(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     announcement: servers.Announcement,
 ) -> bool:
@@ -93,7 +95,7 @@
 
 
 def _class_of(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     announcement: servers.Announcement,
 ) -> deadline_records.ServerClass:
     """Find or make a server's class; who waits learns of a new one."""
@@ -111,7 +113,7 @@
 
 
 def _widen(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
     kind: deadline_records.ServerClass,
 ) -> None:
@@ -128,7 +130,7 @@
 
 
 def attach(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
 ) -> None:
@@ -155,7 +157,7 @@
 
 
 def detach(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
 ) -> None:
@@ -174,7 +176,7 @@
 
 
 def born(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
 ) -> None:
@@ -189,7 +191,7 @@
 
 
 def _close_missing(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     live: typing.Mapping[ids.ServerId, servers.Announcement],
 ) -> None:
     for server_id, server in leader.servers.items():
@@ -199,7 +201,7 @@
 
 
 def _forget_gone(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     live: typing.Mapping[ids.ServerId, servers.Announcement],
 ) -> None:
     if len(leader.servers) <= 2 * len(live) + _MOST_GONE:
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -1,7 +1,8 @@
 """Grants the capacity of one pool so that first tokens come on time.
 
-The face is that of :class:`geraniumweir.scheduling.leader.PoolLeader`. The
-state is soft: a new leader adopts the grants in use.
+The interface is that of
+:class:`geraniumweir.scheduling.deadline_leader.DeadlinePoolLeader`. The state
+is soft: a new leader adopts the grants in use.
 
 See Also
 ========
--- a/libs/scheduling/geraniumweir/scheduling/placement.py
+++ b/libs/scheduling/geraniumweir/scheduling/placement.py
@@ -25,7 +25,7 @@
 
 
 def refresh(
-    leader: deadline_state.LeaderState, server: deadline_records.Server
+    leader: deadline_state.DeadlineLeaderState, server: deadline_records.Server
 ) -> None:
     """Put a server where it belongs among the openings."""
     if not server.is_open():
@@ -98,7 +98,7 @@
 
 
 def choose(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> deadline_records.Server | None:
     """Choose an open server on which a request ends in time.
@@ -119,7 +119,7 @@
 
 
 def _may_take(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
@@ -134,7 +134,7 @@
 
 
 def _is_risky(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
@@ -155,7 +155,7 @@
 
 
 def _cost(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> float:
@@ -170,7 +170,7 @@
 
 
 def choose_crowded(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> deadline_records.Server | None:
     """Choose an open server that lacks only KV room for a request."""
@@ -190,7 +190,7 @@
 
 
 def least_harm(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> deadline_records.Server | None:
     """Choose the open server with the fewest others running, for a suspect.
@@ -220,7 +220,7 @@
 
 
 def _open_servers(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> list[deadline_records.Server]:
     """List the few open servers worth a closer look."""
--- a/libs/scheduling/geraniumweir/scheduling/predicting.py
+++ b/libs/scheduling/geraniumweir/scheduling/predicting.py
@@ -18,7 +18,7 @@
 
 
 def starts(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> dict[deadline_records.ServerClass, float]:
     """Give a request's latest start on each class that can run it."""
@@ -31,7 +31,7 @@
 
 
 def latest_start(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
     kind: deadline_records.ServerClass,
     cached: float = 0,
@@ -50,7 +50,7 @@
 
 
 def uncached_tokens(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> float:
@@ -61,7 +61,7 @@
 
 
 def finish(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> float:
@@ -75,7 +75,7 @@
 
 
 def prefill_ahead(
-    leader: deadline_state.LeaderState, server: deadline_records.Server
+    leader: deadline_state.DeadlineLeaderState, server: deadline_records.Server
 ) -> float:
     """Give the seconds of prefill granted to a server and not yet done.
 
@@ -94,7 +94,7 @@
 
 
 def in_time(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
@@ -105,7 +105,7 @@
 
 
 def in_time_without(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
     gone: typing.Iterable[deadline_records.Running],
@@ -122,7 +122,7 @@
 
 
 def _cached_by_class(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> dict[deadline_records.ServerClass, float]:
     """Give the share of a prompt cached where most of it is, by class."""
@@ -136,7 +136,7 @@
 
 
 def rates_of(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     model: str | None,
 ) -> learning.Rates:
--- a/libs/scheduling/geraniumweir/scheduling/progressing.py
+++ b/libs/scheduling/geraniumweir/scheduling/progressing.py
@@ -18,7 +18,7 @@
 
 
 def progress(
-    leader: deadline_state.LeaderState, news: requests.Progress
+    leader: deadline_state.DeadlineLeaderState, news: requests.Progress
 ) -> None:
     """Take how granted work goes on."""
     running = leader.running.get(news.request_id)
@@ -38,7 +38,7 @@
 
 
 def release(
-    leader: deadline_state.LeaderState, ended: requests.Release
+    leader: deadline_state.DeadlineLeaderState, ended: requests.Release
 ) -> None:
     """Take back a grant and serve who waits."""
     running = leader.running.get(ended.request_id)
@@ -73,7 +73,7 @@
 
 
 def _failed(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
 ) -> None:
@@ -86,7 +86,8 @@
 
 
 def drop(
-    leader: deadline_state.LeaderState, running: deadline_records.Running
+    leader: deadline_state.DeadlineLeaderState,
+    running: deadline_records.Running,
 ) -> None:
     """Take a grant out of all counts."""
     ask = running.ask
@@ -105,7 +106,7 @@
 
 
 def _first_token(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
     seconds: float,
@@ -134,7 +135,7 @@
 
 
 def _moves(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
 ) -> None:
@@ -149,7 +150,7 @@
 
 
 def _learn_end(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
     ended: requests.Release,
@@ -170,7 +171,7 @@
 
 
 def _learn_late_first_token(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
 ) -> None:
@@ -186,7 +187,7 @@
 
 
 def _learn_decode(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
     ended: requests.Release,
@@ -208,7 +209,7 @@
 
 
 def _correct_charge(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     running: deadline_records.Running,
     outcome: requests.Outcome,
 ) -> None:
@@ -222,7 +223,7 @@
 
 
 def _rates(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
 ) -> learning.Rates:
--- a/libs/scheduling/geraniumweir/scheduling/shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/shedding.py
@@ -36,7 +36,8 @@
 
 
 def watch(
-    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> None:
     """See to it that a request is decided when its latest start comes."""
     if not waiting.latest:
@@ -50,7 +51,7 @@
         _arm(leader, waiting, at, urgent)
 
 
-def give_up(leader: deadline_state.LeaderState) -> None:
+def give_up(leader: deadline_state.DeadlineLeaderState) -> None:
     """Refuse what the servers that left could have served.
 
     No other live server can; another failure domain may, and is asked next.
@@ -65,7 +66,7 @@
 
 
 def _least_ahead(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> float:
     """Give the least seconds of prefill ahead on a few servers at hand.
@@ -85,7 +86,8 @@
 
 
 def urgent(
-    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> None:
     """Serve a request that nears its latest start, or make way for it."""
     if waiting.fut.done() or deadline_granting.try_now(leader, waiting):
@@ -106,7 +108,8 @@
 
 
 def expire(
-    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> None:
     """Decide a request at its latest start."""
     if waiting.fut.done() or deadline_granting.try_now(leader, waiting):
@@ -120,7 +123,7 @@
 
 
 def _reason_at_end(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> requests.DenialReason:
     """Tell what kept a request from being served until its latest start."""
@@ -134,7 +137,7 @@
 
 
 def refuse(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
     reason: requests.DenialReason,
 ) -> None:
@@ -147,7 +150,7 @@
 
 
 def denial(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     ask: requests.Ask,
     reason: requests.DenialReason,
 ) -> requests.Denial:
@@ -165,20 +168,26 @@
     return requests.Denial(ask.request_id, reason, int(seconds * spread * _MS))
 
 
-def expected_wait(leader: deadline_state.LeaderState, tier: ids.Tier) -> float:
+def expected_wait(
+    leader: deadline_state.DeadlineLeaderState, tier: ids.Tier
+) -> float:
     """Give the seconds that the work ahead of a tier takes the pool."""
     ahead = work_above(leader, tier) + leader.cost_by_tier[tier]
     return max(ahead, 0) / max(leader.slots, 1)
 
 
-def work_above(leader: deadline_state.LeaderState, tier: ids.Tier) -> float:
+def work_above(
+    leader: deadline_state.DeadlineLeaderState, tier: ids.Tier
+) -> float:
     """Give the predicted slot seconds of what waits in higher tiers."""
     return sum(
         cost for other, cost in leader.cost_by_tier.items() if other < tier
     )
 
 
-def make_room(leader: deadline_state.LeaderState, ask: requests.Ask) -> bool:
+def make_room(
+    leader: deadline_state.DeadlineLeaderState, ask: requests.Ask
+) -> bool:
     """Shed the lowest, latest request if it is lower than a newcomer."""
     for tier in reversed(ids.Tier):
         if tier <= ask.tier:
@@ -190,7 +199,9 @@
     return False
 
 
-def lower_is_served(leader: deadline_state.LeaderState, tier: ids.Tier) -> bool:
+def lower_is_served(
+    leader: deadline_state.DeadlineLeaderState, tier: ids.Tier
+) -> bool:
     """Tell whether anything of a lower tier runs or waits."""
     return any(
         leader.running_by_tier[lower] or leader.by_tier[lower]
@@ -200,7 +211,8 @@
 
 
 def preempt(
-    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Have streams of a lower tier cancelled to make way for a request.
 
@@ -235,7 +247,7 @@
 
 
 def _choose_victims(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> list[deadline_records.Running]:
     for tier in reversed(ids.Tier):
@@ -248,7 +260,7 @@
 
 
 def _options(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
     tier: ids.Tier,
 ) -> list[list[deadline_records.Running]]:
@@ -267,7 +279,7 @@
 
 
 def _with_company(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
     request_id: ids.RequestId,
 ) -> list[deadline_records.Running]:
@@ -320,7 +332,7 @@
 
 
 def _others(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     first: deadline_records.Running,
     waiting: deadline_records.Waiting,
@@ -348,11 +360,11 @@
 
 
 def _arm(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
     at: float,
     action: typing.Callable[
-        [deadline_state.LeaderState, deadline_records.Waiting], None
+        [deadline_state.DeadlineLeaderState, deadline_records.Waiting], None
     ],
 ) -> None:
     if waiting.timer is not None:
--- a/libs/scheduling/geraniumweir/scheduling/summary.py
+++ b/libs/scheduling/geraniumweir/scheduling/summary.py
@@ -6,7 +6,9 @@
 from geraniumweir.scheduling import requests, shedding, deadline_state
 
 
-def summarize(leader: deadline_state.LeaderState) -> requests.PoolSummary:
+def summarize(
+    leader: deadline_state.DeadlineLeaderState,
+) -> requests.PoolSummary:
     """Sum up a pool."""
     waits = tuple(_wait(leader, tier) for tier in ids.Tier)
     return requests.PoolSummary(
@@ -19,7 +21,7 @@
 
 
 def _capacity(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
 ) -> tuple[requests.ModelCapacity, ...]:
     slots: collections.Counter[str] = collections.Counter()
     free: collections.Counter[str] = collections.Counter()
@@ -35,7 +37,7 @@
 
 
 def _wait(
-    leader: deadline_state.LeaderState, tier: ids.Tier
+    leader: deadline_state.DeadlineLeaderState, tier: ids.Tier
 ) -> requests.TierWait:
     queue = leader.by_tier[tier]
     oldest = float(0)
@@ -51,7 +53,9 @@
     )
 
 
-def _lowest_served(leader: deadline_state.LeaderState) -> ids.Tier | None:
+def _lowest_served(
+    leader: deadline_state.DeadlineLeaderState,
+) -> ids.Tier | None:
     served = [
         tier
         for tier in ids.Tier
--- a/libs/scheduling/geraniumweir/scheduling/tests/scenes.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/scenes.py
@@ -7,7 +7,7 @@
 
 from geraniumweir.common import ids
 from geraniumweir.membership import servers
-from geraniumweir.scheduling import leader as leaders
+from geraniumweir.scheduling import deadline_leader
 from geraniumweir.scheduling import requests, settings
 
 POOL = ids.PoolName('pool')
@@ -49,7 +49,7 @@
         self.loop = asyncio.get_running_loop()
         self.live = list(live)
         self.preempts: list[requests.Preempt] = []
-        self.leader = leaders.PoolLeader(
+        self.leader = deadline_leader.DeadlinePoolLeader(
             settings.LeaderSettings(POOL, **cfg),
             self.loop.time,
             lambda: self.live,
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_over_tcp.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_over_tcp.py
@@ -8,7 +8,7 @@
 from geraniumweir.scheduling import (
     broker,
     channel,
-    leader,
+    deadline_leader,
     remote,
     requests,
     settings,
@@ -65,8 +65,8 @@
         self,
         pool: ids.PoolName,
         on_preempt: remote.OnPreempt,
-    ) -> leader.PoolLeader:
-        return leader.PoolLeader(
+    ) -> deadline_leader.DeadlinePoolLeader:
+        return deadline_leader.DeadlinePoolLeader(
             settings.LeaderSettings(pool, settle_seconds=1),
             self.clock.now,
             lambda: [worlds.server(_DOMAIN, 0)],
--- a/libs/scheduling/geraniumweir/scheduling/tests/world.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/world.py
@@ -11,7 +11,7 @@
 from geraniumweir.scheduling import (
     broker,
     channel,
-    leader,
+    deadline_leader,
     remote,
     rendezvous,
     requests,
@@ -111,13 +111,15 @@
         def make_leader(
             pool: ids.PoolName,
             on_preempt: remote.OnPreempt,
-        ) -> leader.PoolLeader:
+        ) -> deadline_leader.DeadlinePoolLeader:
             cfg = settings.LeaderSettings(
                 pool=pool,
                 settle_seconds=takeover.SETTLE_WINDOW,
             )
             live = lambda: self._servers[domain]  # noqa: E731
-            return leader.PoolLeader(cfg, self._clock.now, live, on_preempt)
+            return deadline_leader.DeadlinePoolLeader(
+                cfg, self._clock.now, live, on_preempt
+            )
 
         host = Host(
             host_id,
--- a/libs/scheduling/geraniumweir/scheduling/ticking.py
+++ b/libs/scheduling/geraniumweir/scheduling/ticking.py
@@ -17,7 +17,7 @@
 _MIN_SYNC_GAP = 0.02
 
 
-def arm(leader: deadline_state.LeaderState) -> None:
+def arm(leader: deadline_state.DeadlineLeaderState) -> None:
     """Start ticking, unless it ticks already."""
     if leader.ticker is None:
         leader.ticker = asyncio.get_running_loop().call_later(
@@ -27,7 +27,7 @@
         )
 
 
-def changed(leader: deadline_state.LeaderState) -> None:
+def changed(leader: deadline_state.DeadlineLeaderState) -> None:
     """Take that servers or settings may have changed.
 
     Announcements come by the hundred in a second, so most of them wait for
@@ -38,14 +38,14 @@
         deadline_granting.fill_open(leader)
 
 
-def look_first(leader: deadline_state.LeaderState) -> None:
+def look_first(leader: deadline_state.DeadlineLeaderState) -> None:
     """Follow the servers before an ask, unless that was done lately."""
     if leader.now() - leader.synced > _TICK_SECONDS:
         crashes.synced(leader)
         deadline_granting.fill_open(leader)
 
 
-def beat(leader: deadline_state.LeaderState) -> None:
+def beat(leader: deadline_state.DeadlineLeaderState) -> None:
     """Do what is due at a tick."""
     if leader.now() >= leader.settle_by:
         leader.settled = True
@@ -59,14 +59,14 @@
     deadline_granting.fill_open(leader)
 
 
-def _tick(leader: deadline_state.LeaderState) -> None:
+def _tick(leader: deadline_state.DeadlineLeaderState) -> None:
     leader.ticker = None
     beat(leader)
     if leader.waiting or leader.running:
         arm(leader)
 
 
-def _find_stalls(leader: deadline_state.LeaderState) -> None:
+def _find_stalls(leader: deadline_state.DeadlineLeaderState) -> None:
     while leader.due and leader.due[0][0] <= leader.now():
         _, _, request_id = heapq.heappop(leader.due)
         running = leader.running.get(request_id)
@@ -79,7 +79,8 @@
 
 
 def _stalled(
-    leader: deadline_state.LeaderState, running: deadline_records.Running
+    leader: deadline_state.DeadlineLeaderState,
+    running: deadline_records.Running,
 ) -> None:
     server = leader.servers.get(running.grant.server_id)
     if server is None or running.stuck:
--- a/libs/scheduling/geraniumweir/scheduling/waitlist.py
+++ b/libs/scheduling/geraniumweir/scheduling/waitlist.py
@@ -17,7 +17,8 @@
 
 
 def enqueue(
-    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> None:
     """Add a request to those that wait."""
     ask = waiting.ask
@@ -38,7 +39,8 @@
 
 
 def leave(
-    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> None:
     """Take a request out of those that wait, if it is there."""
     ask = waiting.ask
@@ -64,7 +66,7 @@
 
 
 def forget_idle_rule(
-    leader: deadline_state.LeaderState, name: ids.RuleName
+    leader: deadline_state.DeadlineLeaderState, name: ids.RuleName
 ) -> None:
     """Drop the count of a rule that nothing runs or waits for."""
     rule = leader.rules[name]
@@ -73,7 +75,7 @@
 
 
 def unpromise(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> deadline_records.Server | None:
     """Free the room that was kept for a request.
@@ -90,7 +92,7 @@
 
 
 def promise(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> None:
@@ -101,7 +103,8 @@
 
 
 def hold_if_needed(
-    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Hold back one that became a suspect, or whose rule is at its limit."""
     ask = waiting.ask
@@ -117,7 +120,8 @@
 
 
 def to_queue(
-    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> None:
     """Let a request that was held back into the queue."""
     waiting.held = False
@@ -130,7 +134,8 @@
 
 
 def _from_queue(
-    leader: deadline_state.LeaderState, waiting: deadline_records.Waiting
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> None:
     leader.queue.remove(
         waiting,
@@ -140,14 +145,16 @@
     )
 
 
-def is_suspect(leader: deadline_state.LeaderState, ask: requests.Ask) -> bool:
+def is_suspect(
+    leader: deadline_state.DeadlineLeaderState, ask: requests.Ask
+) -> bool:
     """Tell whether a request may crash the server that runs it."""
     verdict = leader.suspects.verdict(ask.fingerprint, leader.now())
     return verdict is not suspects.Verdict.clear
 
 
 def over_running_limit(
-    leader: deadline_state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     ask: requests.Ask,
 ) -> bool:
     """Tell whether a request's rule runs as many as it may."""
