--- a/libs/fakes/geraniumweir/fakes/slopes/scheduling.py
+++ b/libs/fakes/geraniumweir/fakes/slopes/scheduling.py
@@ -140,7 +140,7 @@
     # Hashes of prompts are large numbers, each an object of its own.
     for number in range(size):
         block = ids.BlockHash((number + 1) * _BLOCK_STEP & _MASK)
-        index.granted(server_id, (block,))
+        index.record_grant(server_id, (block,))
 
 
 def _asks(seed: int) -> typing.Any:
--- a/libs/scheduling/geraniumweir/scheduling/admitting.py
+++ b/libs/scheduling/geraniumweir/scheduling/admitting.py
@@ -63,7 +63,7 @@
             deadline_granting.keep_room(leader, waiting)
             shedding.watch(leader, waiting)
         return
-    shedding.refuse(leader, waiting, requests.DenialReason.queue_full)
+    shedding.deny(leader, waiting, requests.DenialReason.queue_full)
 
 
 def _deny_at_once(
--- a/libs/scheduling/geraniumweir/scheduling/adoption.py
+++ b/libs/scheduling/geraniumweir/scheduling/adoption.py
@@ -38,7 +38,7 @@
         orphans[request_id] = running
     else:
         fleet.attach(leader, server, running)
-        leader.prefixes.granted(server_id, taken.ask.blocks)
+        leader.prefixes.record_grant(server_id, taken.ask.blocks)
 
 
 def owner_gone(
@@ -46,7 +46,7 @@
 ) -> None:
     """End the grants and the waiting requests of a lost entry host."""
     for waiting in _of_owner(leader.waiting.values(), owner):
-        shedding.refuse(leader, waiting, requests.DenialReason.withdrawn)
+        shedding.deny(leader, waiting, requests.DenialReason.withdrawn)
     for running in _of_owner(leader.running.values(), owner):
         progressing.release(
             leader,
--- a/libs/scheduling/geraniumweir/scheduling/crashes.py
+++ b/libs/scheduling/geraniumweir/scheduling/crashes.py
@@ -39,12 +39,12 @@
     together = [running.ask.fingerprint for running in lost]
     recent = max(
         leader.now() - _RECENT_SECONDS,
-        server.last_good - _SAME_MOMENT,
+        server.last_progress_at - _SAME_MOMENT,
     )
     together.extend(mark for at, mark in server.failures if at >= recent)
     server.failures.clear()
     for running in lost:
-        progressing.drop(leader, running)
+        progressing.remove_running(leader, running)
     condemned = leader.suspects.crashed(together, leader.now())
     placement.refresh(leader, server)
     _refuse_condemned(leader, set(condemned))
@@ -57,7 +57,7 @@
     for server in fleet.sync(leader):
         current = server.announcement.incarnation
         crashed(leader, server, ids.Incarnation(current - 1))
-        fleet.restarted(leader, server)
+        fleet.readmit(leader, server)
 
 
 def _refuse_condemned(
@@ -68,7 +68,7 @@
         return
     for waiting in list(leader.waiting.values()):
         if waiting.ask.fingerprint in condemned:
-            shedding.refuse(
+            shedding.deny(
                 leader,
                 waiting,
                 requests.DenialReason.quarantined,
--- a/libs/scheduling/geraniumweir/scheduling/deadline_granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_granting.py
@@ -108,7 +108,7 @@
     count_running(leader, running)
     fleet.attach(leader, server, running)
     affinity.warms(leader, server, running)
-    leader.prefixes.granted(server.server_id, ask.blocks)
+    leader.prefixes.record_grant(server.server_id, ask.blocks)
     waiting.fut.set_result(running.grant)
     if kept is not None and kept is not server:
         fill(leader, kept)
--- a/libs/scheduling/geraniumweir/scheduling/deadline_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_leader.py
@@ -100,7 +100,7 @@
         waiting = self._state.waiting.get(request_id)
         if waiting is not None:
             reason = requests.DenialReason.withdrawn
-            shedding.refuse(self._state, waiting, reason)
+            shedding.deny(self._state, waiting, reason)
 
     def progress(self, progress: requests.Progress) -> None:
         """Take how granted work goes on."""
--- a/libs/scheduling/geraniumweir/scheduling/deadline_records.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_records.py
@@ -131,7 +131,7 @@
     :ivar born_at: when the last first token came.
     :ivar warming: first blocks of prompts in prefill, and when it should end.
     :ivar crashed: the newest incarnation known to be gone.
-    :ivar last_good: when it last made progress with anything.
+    :ivar last_progress_at: when it last made progress with anything.
     :ivar failures: time and fingerprint of the last failed requests.
     """
 
@@ -159,7 +159,7 @@
         default_factory=dict,
     )
     crashed: int = -1
-    last_good: float = float('-inf')
+    last_progress_at: float = float('-inf')
     failures: collections.deque[tuple[float, ids.Fingerprint]] = (
         dataclasses.field(
             default_factory=lambda: collections.deque(maxlen=_MOST_FAILURES)
--- a/libs/scheduling/geraniumweir/scheduling/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/fleet.py
@@ -40,7 +40,7 @@
     return crashed
 
 
-def restarted(
+def readmit(
     leader: deadline_state.DeadlineLeaderState, server: deadline_records.Server
 ) -> None:
     """Take a server back after a crash, with a little work at first."""
@@ -68,7 +68,7 @@
     orphans = leader.orphans.pop(announcement.server_id, {})
     for running in orphans.values():
         attach(leader, server, running)
-        leader.prefixes.granted(server.server_id, running.ask.blocks)
+        leader.prefixes.record_grant(server.server_id, running.ask.blocks)
     placement.refresh(leader, server)
 
 
@@ -209,4 +209,4 @@
     for server_id, server in list(leader.servers.items()):
         if not server.live and not server.running:
             leader.servers.pop(server_id)
-            leader.prefixes.forget(server_id)
+            leader.prefixes.remove_server(server_id)
--- a/libs/scheduling/geraniumweir/scheduling/prefix.py
+++ b/libs/scheduling/geraniumweir/scheduling/prefix.py
@@ -66,16 +66,16 @@
         """Take that a server runs; a new incarnation has an empty cache."""
         known = self._caches.get(server_id)
         if known is None or known.incarnation != incarnation:
-            self.forget(server_id)
+            self.remove_server(server_id)
             self._caches[server_id] = _Cache(incarnation, self._limit)
 
-    def forget(self, server_id: ids.ServerId) -> None:
+    def remove_server(self, server_id: ids.ServerId) -> None:
         """Drop all that is known of a server."""
         cache = self._caches.pop(server_id, None)
         for block in cache.blocks if cache else ():
             self._unhold(block, server_id)
 
-    def granted(self, server_id: ids.ServerId, blocks: _Blocks) -> None:
+    def record_grant(self, server_id: ids.ServerId, blocks: _Blocks) -> None:
         """Take that a prompt goes to a server, which will cache it."""
         cache = self._caches.get(server_id)
         if cache is None:
--- a/libs/scheduling/geraniumweir/scheduling/progressing.py
+++ b/libs/scheduling/geraniumweir/scheduling/progressing.py
@@ -45,7 +45,7 @@
     if running is None:
         return
     server = leader.servers.get(running.grant.server_id)
-    drop(leader, running)
+    remove_running(leader, running)
     if server is None:
         deadline_granting.unpark(leader, running.ask.rule)
         return
@@ -85,7 +85,7 @@
     leader.suspects.broke_off(mark, server.server_id, now)
 
 
-def drop(
+def remove_running(
     leader: deadline_state.DeadlineLeaderState,
     running: deadline_records.Running,
 ) -> None:
@@ -139,7 +139,7 @@
     server: deadline_records.Server,
     running: deadline_records.Running,
 ) -> None:
-    server.last_good = leader.now()
+    server.last_progress_at = leader.now()
     step = _rates(leader, server, running).decode * _STEPS_BETWEEN_REPORTS
     running.due = leader.now() + stragglers.patience(step)
     if running.stuck:
@@ -166,7 +166,7 @@
         leader.lengths.learn(ask.rule, ask.customer, ended.output_tokens)
         _learn_decode(leader, server, running, ended)
     leader.suspects.ended_well(running.ask.fingerprint)
-    server.last_good = leader.now()
+    server.last_progress_at = leader.now()
     server.health.good()
 
 
--- a/libs/scheduling/geraniumweir/scheduling/shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/shedding.py
@@ -62,7 +62,7 @@
     before = leader.now() - NO_SERVER_SECONDS
     for waiting in list(leader.waiting.values()):
         if waiting.arrived <= before and live.isdisjoint(waiting.latest):
-            refuse(leader, waiting, requests.DenialReason.no_server)
+            deny(leader, waiting, requests.DenialReason.no_server)
 
 
 def _least_ahead(
@@ -119,7 +119,7 @@
         if not waiting.fut.done():
             _arm(leader, waiting, leader.now() + _GRACE, expire)
         return
-    refuse(leader, waiting, _reason_at_end(leader, waiting))
+    deny(leader, waiting, _reason_at_end(leader, waiting))
 
 
 def _reason_at_end(
@@ -136,7 +136,7 @@
     return requests.DenialReason.too_late
 
 
-def refuse(
+def deny(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
     reason: requests.DenialReason,
@@ -194,7 +194,7 @@
             return False
         latest = next(reversed(leader.by_tier[tier].values()), None)
         if latest is not None:
-            refuse(leader, latest, requests.DenialReason.shed)
+            deny(leader, latest, requests.DenialReason.shed)
             return True
     return False
 
