--- a/libs/scheduling/geraniumweir/scheduling/deadline_state.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_state.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class LeaderState:
+class DeadlineLeaderState:
     """All that a pool leader knows."""
 
     cfg: settings.LeaderSettings
