--- a/libs/daemon/geraniumweir/daemon/host.py
+++ b/libs/daemon/geraniumweir/daemon/host.py
@@ -9,7 +9,7 @@
 from geraniumweir.membership import servers, sharing
 from geraniumweir.scheduling import (
     broker,
-    leader,
+    deadline_leader,
     remote,
     reporting,
     requests,
@@ -53,7 +53,7 @@
     timers: timers.TimerService
     session: aiohttp.ClientSession
     registry: servers.Registry
-    leaders: dict[ids.PoolName, leader.PoolLeader]
+    leaders: dict[ids.PoolName, deadline_leader.DeadlinePoolLeader]
     in_force: document.InForce = document.EMPTY
     compiled: compiling.CompiledDocument = dataclasses.field(
         default_factory=lambda: compiling.CompiledDocument(
@@ -73,17 +73,21 @@
             return self.leader_of(pool)
         return self.links.broker
 
-    def led(self, pool: ids.PoolName) -> leader.PoolLeader | None:
+    def led(
+        self, pool: ids.PoolName
+    ) -> deadline_leader.DeadlinePoolLeader | None:
         """Give the leader of a pool, or None when it is on another host."""
         if self.links is None:
             return self.leader_of(pool)
         return self.links.service.leader(pool)
 
-    def leader_of(self, pool: ids.PoolName) -> leader.PoolLeader:
+    def leader_of(
+        self, pool: ids.PoolName
+    ) -> deadline_leader.DeadlinePoolLeader:
         """Give the leader of a pool of a host alone, made on first use."""
         found = self.leaders.get(pool)
         if found is None:
-            found = leader.PoolLeader(
+            found = deadline_leader.DeadlinePoolLeader(
                 leader_settings.LeaderSettings(pool),
                 self.timers.now,
                 lambda: self.servers_of(pool),
--- a/libs/daemon/geraniumweir/daemon/joined.py
+++ b/libs/daemon/geraniumweir/daemon/joined.py
@@ -35,7 +35,7 @@
 from geraniumweir.scheduling import (
     broker,
     channel,
-    leader,
+    deadline_leader,
     remote,
     reporting,
     suspects,
@@ -274,7 +274,7 @@
     pool: ids.PoolName,
     on_preempt: remote.OnPreempt,
     heard: suspects.Suspects,
-) -> leader.PoolLeader:
+) -> deadline_leader.DeadlinePoolLeader:
     host = joined.host
     me = joined.members.me
     cfg = leader_settings.LeaderSettings(
@@ -282,7 +282,7 @@
         f'{me.host_id}/{me.incarnation}/{pool}',
         settle_seconds=takeover.SETTLE_WINDOW,
     )
-    made = leader.PoolLeader(
+    made = deadline_leader.DeadlinePoolLeader(
         cfg,
         host.timers.now,
         lambda: host.servers_of(pool),
