--- a/libs/scheduling/geraniumweir/scheduling/admitting.py
+++ b/libs/scheduling/geraniumweir/scheduling/admitting.py
@@ -5,7 +5,7 @@
 
 from geraniumweir.scheduling import (
     deadline_granting,
-    learning,
+    estimating,
     predicting,
     deadline_records,
     requests,
@@ -17,10 +17,10 @@
 
 _PROBE_EVERY = 16
 _WAIT_FACTOR = 2.0
-_WAIT_MARGIN = 0.5
+_WAIT_MARGIN_SECONDS = 0.5
 _MS = 1000
-_HOPE = 0.5
-_SHORT_ANSWER = 16.0
+_OPTIMISTIC_FACTOR = 0.5
+_SHORT_ANSWER_TOKENS = 16.0
 
 
 def admit(
@@ -39,29 +39,29 @@
     denied = _deny_at_once(leader, ask)
     if denied is not None:
         return denied
-    waiting = _waiting(leader, ask)
+    waiting = _make_waiting(leader, ask)
     if _too_late(leader, waiting):
-        return shedding.denial(leader, ask, requests.DenialReason.too_late)
-    if deadline_granting.try_now(leader, waiting):
+        return shedding.make_denial(leader, ask, requests.DenialReason.too_late)
+    if deadline_granting.try_grant(leader, waiting):
         return waiting
-    reason = _refuse_to_wait(leader, waiting, within_budget)
+    reason = _reason_not_to_queue(leader, waiting, within_budget)
     if reason is not None:
-        return shedding.denial(leader, ask, reason)
-    _wait(leader, waiting)
+        return shedding.make_denial(leader, ask, reason)
+    _enqueue(leader, waiting)
     return waiting
 
 
-def _wait(
+def _enqueue(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> None:
     full = len(leader.waiting) >= leader.cfg.queue_limit
-    room = not full or shedding.make_room(leader, waiting.ask)
+    room = not full or shedding.shed_lower(leader, waiting.ask)
     waitlist.enqueue(leader, waiting)
     if room or shedding.preempt(leader, waiting):
         if not waiting.fut.done():
-            deadline_granting.keep_room(leader, waiting)
-            shedding.watch(leader, waiting)
+            deadline_granting.reserve_room(leader, waiting)
+            shedding.schedule_decision(leader, waiting)
         return
     shedding.deny(leader, waiting, requests.DenialReason.queue_full)
 
@@ -70,20 +70,20 @@
     leader: deadline_state.DeadlineLeaderState,
     ask: requests.Ask,
 ) -> requests.Denial | None:
-    reason = _refuse_at_once(leader, ask)
+    reason = _reason_at_once(leader, ask)
     if reason is not None:
-        return shedding.denial(leader, ask, reason)
+        return shedding.make_denial(leader, ask, reason)
     seconds = leader.rates.take(ask.rule, ask.rate_per_s, leader.now())
     if seconds:
         return _over_rate(ask, seconds)
-    if _serves_nothing(leader):
+    if _has_no_server(leader):
         # Counted above: another failure domain may serve the call.
         reason = requests.DenialReason.no_server
-        return shedding.denial(leader, ask, reason)
+        return shedding.make_denial(leader, ask, reason)
     return None
 
 
-def _refuse_at_once(
+def _reason_at_once(
     leader: deadline_state.DeadlineLeaderState,
     ask: requests.Ask,
 ) -> requests.DenialReason | None:
@@ -96,9 +96,9 @@
     return None
 
 
-def _serves_nothing(leader: deadline_state.DeadlineLeaderState) -> bool:
+def _has_no_server(leader: deadline_state.DeadlineLeaderState) -> bool:
     before = leader.now() - shedding.NO_SERVER_SECONDS
-    return leader.settled and leader.served_at < before
+    return leader.takeover_complete and leader.live_server_at < before
 
 
 def _over_rate(ask: requests.Ask, seconds: float) -> requests.Denial:
@@ -110,7 +110,7 @@
     )
 
 
-def _refuse_to_wait(
+def _reason_not_to_queue(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
     within_budget: bool,
@@ -118,7 +118,7 @@
     ask = waiting.ask
     if _over_waiting_limit(leader, ask):
         return requests.DenialReason.rule_limit
-    if shedding.lower_is_served(leader, ask.tier):
+    if shedding.serves_lower_tier(leader, ask.tier):
         return None
     if not within_budget:
         return requests.DenialReason.shed
@@ -137,7 +137,7 @@
     return rule.waiting >= ask.max_waiting
 
 
-def _waiting(
+def _make_waiting(
     leader: deadline_state.DeadlineLeaderState,
     ask: requests.Ask,
 ) -> deadline_records.Waiting:
@@ -147,7 +147,7 @@
         leader.sequence,
         leader.now(),
         asyncio.get_running_loop().create_future(),
-        learning.length_of(leader.lengths, ask),
+        estimating.expected_length(leader.lengths, ask),
     )
     _set_starts(leader, waiting)
     return waiting
@@ -157,27 +157,27 @@
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> None:
-    waiting.latest = predicting.starts(leader, waiting)
-    if not waiting.latest:
+    waiting.latest_starts = predicting.starts_by_class(leader, waiting)
+    if not waiting.latest_starts:
         return
-    waiting.best_start = max(waiting.latest.values())
-    if not waiting.expected.sure and waiting.best_start < leader.now():
-        _doubt(leader, waiting)
+    waiting.best_start = max(waiting.latest_starts.values())
+    if not waiting.expected.is_reliable and waiting.best_start < leader.now():
+        _assume_short(leader, waiting)
     seconds = waiting.ask.deadline - waiting.best_start
     waiting.cost = seconds / leader.cfg.safety
 
 
-def _doubt(
+def _assume_short(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> None:
     """Take an answer whose length is hardly known for a short one."""
-    waiting.expected = learning.Expected(
-        min(waiting.expected.mean, _SHORT_ANSWER),
+    waiting.expected = estimating.Expected(
+        min(waiting.expected.mean, _SHORT_ANSWER_TOKENS),
         waiting.expected.high,
     )
-    waiting.latest = predicting.starts(leader, waiting)
-    waiting.best_start = max(waiting.latest.values())
+    waiting.latest_starts = predicting.starts_by_class(leader, waiting)
+    waiting.best_start = max(waiting.latest_starts.values())
 
 
 def _too_late(
@@ -189,10 +189,10 @@
     Now and then one is let in on an idle pool nevertheless: a prediction
     that lets nothing in would never be put right.
     """
-    if not waiting.latest or waiting.best_start >= leader.now():
+    if not waiting.latest_starts or waiting.best_start >= leader.now():
         return False
-    if shedding.lower_is_served(leader, waiting.ask.tier):
-        waiting.hope = _HOPE
+    if shedding.serves_lower_tier(leader, waiting.ask.tier):
+        waiting.duration_factor = _OPTIMISTIC_FACTOR
         _set_starts(leader, waiting)
         if waiting.best_start >= leader.now():
             return False
@@ -214,7 +214,7 @@
     customer's work at a fair share, so that one customer's long queue does
     not refuse another.
     """
-    if not waiting.latest:
+    if not waiting.latest_starts:
         return False
     ask = waiting.ask
     fair = leader.cost_by_flow[waiting.flow]
@@ -225,4 +225,4 @@
         shedding.expected_wait(leader, ask.tier),
     )
     slack = waiting.best_start - leader.now()
-    return seconds > _WAIT_FACTOR * slack + _WAIT_MARGIN
+    return seconds > _WAIT_FACTOR * slack + _WAIT_MARGIN_SECONDS
--- a/libs/scheduling/geraniumweir/scheduling/adoption.py
+++ b/libs/scheduling/geraniumweir/scheduling/adoption.py
@@ -6,7 +6,7 @@
 from geraniumweir.scheduling import (
     fleet,
     deadline_granting,
-    learning,
+    estimating,
     progressing,
     deadline_records,
     requests,
@@ -26,8 +26,8 @@
         return
     waiting = leader.waiting.get(request_id)
     if waiting is not None:
-        waitlist.leave(leader, waiting)
-        waitlist.unpromise(leader, waiting)
+        waitlist.dequeue(leader, waiting)
+        waitlist.cancel_reservation(leader, waiting)
         waiting.fut.set_result(taken.grant)
     running = _running(leader, taken)
     deadline_granting.count_running(leader, running)
@@ -73,7 +73,7 @@
     leader: deadline_state.DeadlineLeaderState,
     taken: requests.OpenGrant,
 ) -> deadline_records.Running:
-    expected = learning.length_of(leader.lengths, taken.ask)
+    expected = estimating.expected_length(leader.lengths, taken.ask)
     # How it went on until now is not known, so it is given its whole time.
     left = max(taken.ask.deadline - leader.now(), 0)
     return deadline_records.Running(
@@ -84,9 +84,9 @@
         uncached=taken.ask.prompt_tokens,
         ahead=0,
         prefill=0,
-        beside=1,
+        concurrent=1,
         cost=0,
-        due=leader.now() + stragglers.patience(0) + left,
+        due=leader.now() + stragglers.stall_timeout(0) + left,
         first_token=taken.first_token,
         output_tokens=taken.output_tokens,
     )
--- a/libs/scheduling/geraniumweir/scheduling/affinity.py
+++ b/libs/scheduling/geraniumweir/scheduling/affinity.py
@@ -6,10 +6,10 @@
 
 from geraniumweir.scheduling import predicting, deadline_records, deadline_state
 
-_LEAST_SAVED = 0.1
+_MIN_SAVED_SECONDS = 0.1
 _WAIT_FACTOR = 20.0
-_WAIT_MARGIN = 0.5
-_MOST_WARMING = 256
+_WAIT_MARGIN_SECONDS = 0.5
+_MAX_WARMING = 256
 
 
 def saved_seconds(
@@ -27,30 +27,30 @@
     )
 
 
-def holds(
+def has_useful_prefix(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether a server's cache saves a request much prefill."""
-    return saved_seconds(leader, server, waiting) >= _LEAST_SAVED
+    return saved_seconds(leader, server, waiting) >= _MIN_SAVED_SECONDS
 
 
-def warms(
+def start_warming(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
 ) -> None:
     """Take that a server begins to compute a prompt that others may share."""
-    if not running.ask.blocks or running.prefill < _LEAST_SAVED:
+    if not running.ask.blocks or running.prefill < _MIN_SAVED_SECONDS:
         return
     first = running.ask.blocks[0]
-    if len(server.warming) >= _MOST_WARMING:
+    if len(server.warming) >= _MAX_WARMING:
         server.warming.clear()
     server.warming[first] = leader.now() + running.ahead + running.prefill
 
 
-def warmed(
+def end_warming(
     server: deadline_records.Server, running: deadline_records.Running
 ) -> None:
     """Take that a prompt is computed."""
@@ -72,10 +72,16 @@
     if not blocks or waiting.probe:
         return False
     left = server.warming.get(blocks[0], 0) - leader.now()
-    if left <= 0 or not holds(leader, server, waiting):
+    if left <= 0 or not has_useful_prefix(leader, server, waiting):
         return False
-    seconds = predicting.finish(leader, server, waiting) * leader.cfg.safety
-    return leader.now() + left + seconds + _WAIT_MARGIN < waiting.ask.deadline
+    seconds = (
+        predicting.seconds_to_finish(leader, server, waiting)
+        * leader.cfg.safety
+    )
+    return (
+        leader.now() + left + seconds + _WAIT_MARGIN_SECONDS
+        < waiting.ask.deadline
+    )
 
 
 def waits_for_holder(
@@ -92,17 +98,20 @@
     if waiting.probe or not ask.blocks:
         return False
     waited = leader.now() - waiting.arrived
-    needed = max(waited / _WAIT_FACTOR, _LEAST_SAVED)
+    needed = max(waited / _WAIT_FACTOR, _MIN_SAVED_SECONDS)
     rates = predicting.rates_of(leader, server, ask.model)
-    whole = rates.prefill * ask.prompt_tokens
-    if whole < needed:
+    full_prefill = rates.prefill * ask.prompt_tokens
+    if full_prefill < needed:
         return False
-    saved = whole * _best_share(leader, server, waiting)
+    saved = full_prefill * _best_share(leader, server, waiting)
     saved -= saved_seconds(leader, server, waiting)
     if saved < needed:
         return False
-    seconds = predicting.finish(leader, server, waiting) * leader.cfg.safety
-    return leader.now() + seconds + _WAIT_MARGIN < ask.deadline
+    seconds = (
+        predicting.seconds_to_finish(leader, server, waiting)
+        * leader.cfg.safety
+    )
+    return leader.now() + seconds + _WAIT_MARGIN_SECONDS < ask.deadline
 
 
 def _best_share(
@@ -112,10 +121,12 @@
 ) -> float:
     """Give the largest share of a prompt that another fit server holds."""
     best: float = 0
-    for server_id, share in leader.prefixes.warmest(waiting.ask.blocks).items():
+    for server_id, share in leader.prefixes.longest_holders(
+        waiting.ask.blocks
+    ).items():
         holder = leader.servers.get(server_id)
-        if holder is None or holder is server or not holder.most():
+        if holder is None or holder is server or not holder.capacity():
             continue
-        if holder.kind in waiting.latest:
+        if holder.kind in waiting.latest_starts:
             best = max(best, share)
     return best
--- a/libs/scheduling/geraniumweir/scheduling/concurrency.py
+++ b/libs/scheduling/geraniumweir/scheduling/concurrency.py
@@ -22,15 +22,15 @@
 
 import dataclasses
 
-_DECREASE = 0.85
-_INCREASE = 0.5
-_TOLERANCE = 4.0
-_LEAST_SECONDS = 1.0
-_FLOOR = 0.5
-_MIN_GAP = 1.0
-_PATIENCE = 3
-_PATIENCE_OF_REPORTS = 2
-_FRESH_SECONDS = 3.0
+_DECREASE_FACTOR = 0.85
+_INCREASE_STEP = 0.5
+_SLOW_FACTOR = 4.0
+_MIN_SLOW_SECONDS = 1.0
+_MIN_SLOTS_RATIO = 0.5
+_MIN_LOWER_SECONDS = 1.0
+_MAX_SLOW_IN_ROW = 3
+_MAX_QUEUED_IN_ROW = 2
+_MAX_REPORT_AGE_SECONDS = 3.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -39,12 +39,12 @@
 
     :ivar slots: the most that the server announced.
     :ivar current: the learnt limit.
-    :ivar whole: the same as a number of requests.
+    :ivar rounded: the same as a number of requests.
     """
 
     slots: int
     current: float = 0
-    whole: int = 1
+    rounded: int = 1
     slow_in_row: int = 0
     queued_in_row: int = 0
     lowered_at: float = float('-inf')
@@ -62,16 +62,16 @@
         >>> limit = Limit(16)
         >>> for _ in range(3):
         ...     limit.observe(9, 1, now=0)
-        >>> limit.whole
+        >>> limit.rounded
         13
         """
-        if seconds > max(expected * _TOLERANCE, _LEAST_SECONDS):
+        if seconds > max(expected * _SLOW_FACTOR, _MIN_SLOW_SECONDS):
             self.slow_in_row += 1
-            if self.slow_in_row >= _PATIENCE:
+            if self.slow_in_row >= _MAX_SLOW_IN_ROW:
                 self._lower(now)
             return
         self.slow_in_row = 0
-        self._set(self.current + _INCREASE)
+        self._set(self.current + _INCREASE_STEP)
 
     def report(self, waiting: int, age: float, now: float) -> None:
         """Learn from an engine's own queue.
@@ -81,21 +81,21 @@
         :param waiting: requests that wait inside the engine.
         :param age: seconds since it counted them.
         """
-        if age > _FRESH_SECONDS:
+        if age > _MAX_REPORT_AGE_SECONDS:
             return
         self.queued_in_row = self.queued_in_row + 1 if waiting else 0
-        if self.queued_in_row >= _PATIENCE_OF_REPORTS:
+        if self.queued_in_row >= _MAX_QUEUED_IN_ROW:
             self._lower(now)
 
     def _lower(self, now: float) -> None:
         # One decrease shows its effect before the next is made.
-        if now - self.lowered_at < _MIN_GAP:
+        if now - self.lowered_at < _MIN_LOWER_SECONDS:
             return
         self.lowered_at = now
         self.slow_in_row = 0
-        self._set(self.current * _DECREASE)
+        self._set(self.current * _DECREASE_FACTOR)
 
     def _set(self, current: float) -> None:
-        least = max(1.0, self.slots * _FLOOR)
+        least = max(1.0, self.slots * _MIN_SLOTS_RATIO)
         self.current = max(least, min(current, float(self.slots)))
-        self.whole = int(self.current)
+        self.rounded = int(self.current)
--- a/libs/scheduling/geraniumweir/scheduling/deadline_granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_granting.py
@@ -24,40 +24,40 @@
     waitlist,
 )
 
-_HELD_LOOK = 8
-_MOST_PASSED = 10
-_MOST_LOOKED = 20
-_PASS_SLACK = 1.0
-_LATER = (0, 1, 4)
+_MAX_HELD_CONSIDERED = 8
+_MAX_OVERTAKEN = 10
+_MAX_CONSIDERED = 20
+_OVERTAKE_SLACK_SECONDS = 1.0
+_LATER_SECONDS = (0, 1, 4)
 
 
-def try_now(
+def try_grant(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> bool:
     """Grant a request if a server can end it in time from now."""
     ask = waiting.ask
-    if not leader.settled or waitlist.over_running_limit(leader, ask):
+    if not leader.takeover_complete or waitlist.over_running_limit(leader, ask):
         return False
     if waitlist.is_suspect(leader, ask):
         server = _server_for_suspect(leader, waiting)
     else:
         server = placement.choose(leader, waiting)
-    if server is None or _higher_first(leader, server, ask.tier):
+    if server is None or _is_kept_for_higher(leader, server, ask.tier):
         return False
     grant(leader, waiting, server)
     return True
 
 
-def keep_room(
+def reserve_room(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> None:
     """Keep a server for a request that lacks only KV room there."""
-    if leader.settled and not waiting.held:
-        server = placement.choose_crowded(leader, waiting)
+    if leader.takeover_complete and not waiting.held:
+        server = placement.choose_lacking_kv(leader, waiting)
         if server is not None:
-            waitlist.promise(leader, server, waiting)
+            waitlist.reserve(leader, server, waiting)
 
 
 def fill(
@@ -68,11 +68,11 @@
     :returns: number of grants.
     """
     granted = 0
-    if not leader.settled:
+    if not leader.takeover_complete:
         return granted
     _place_held(leader)
     while server.is_open():
-        waiting = _pick(leader, server)
+        waiting = _choose(leader, server)
         if waiting is None:
             break
         grant(leader, waiting, server)
@@ -82,7 +82,7 @@
 
 def fill_open(leader: deadline_state.DeadlineLeaderState) -> None:
     """Grant what a few open servers of each class can take."""
-    if not leader.waiting or not leader.settled:
+    if not leader.waiting or not leader.takeover_complete:
         return
     for kind in leader.open_servers.classes():
         granted = _fill_best(leader, kind)
@@ -97,17 +97,17 @@
 ) -> None:
     """Grant a request a server's slot."""
     ask = waiting.ask
-    waitlist.leave(leader, waiting)
-    kept = waitlist.unpromise(leader, waiting)
+    waitlist.dequeue(leader, waiting)
+    kept = waitlist.cancel_reservation(leader, waiting)
     running = _running(leader, waiting, server)
     leader.queue.charge(waiting.flow, running.cost / ask.share)
     expected = running.cost
     if ask.streams and ask.model is not None:
         expected = running.ahead + running.prefill
-    running.due = leader.now() + stragglers.patience(expected)
+    running.due = leader.now() + stragglers.stall_timeout(expected)
     count_running(leader, running)
     fleet.attach(leader, server, running)
-    affinity.warms(leader, server, running)
+    affinity.start_warming(leader, server, running)
     leader.prefixes.record_grant(server.server_id, ask.blocks)
     waiting.fut.set_result(running.grant)
     if kept is not None and kept is not server:
@@ -122,7 +122,7 @@
     ask = running.ask
     leader.running[ask.request_id] = running
     leader.running_by_tier[ask.tier] += 1
-    leader.running_prints[ask.fingerprint] += 1
+    leader.running_fingerprints[ask.fingerprint] += 1
     leader.rules.setdefault(ask.rule, deadline_records.RuleCount()).running += 1
     watch_progress(leader, running)
 
@@ -152,8 +152,8 @@
     )
     if not waitlist.over_running_limit(leader, waiting.ask):
         rule.parked.pop(waiting.ask.request_id)
-        waitlist.to_queue(leader, waiting)
-        try_now(leader, waiting)
+        waitlist.add_to_queue(leader, waiting)
+        try_grant(leader, waiting)
 
 
 def _running(
@@ -177,13 +177,13 @@
         uncached=uncached,
         ahead=predicting.prefill_ahead(leader, server),
         prefill=rates.seconds(uncached, 0),
-        beside=len(server.running) + 1,
-        cost=predicting.finish(leader, server, waiting),
+        concurrent=len(server.running) + 1,
+        cost=predicting.seconds_to_finish(leader, server, waiting),
         suspect=waitlist.is_suspect(leader, waiting.ask),
     )
 
 
-def _pick(
+def _choose(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
 ) -> deadline_records.Waiting | None:
@@ -191,28 +191,28 @@
     for tier in ids.Tier:
         if not leader.by_tier[tier]:
             continue
-        waiting = _pick_of_tier(leader, server, tier)
+        waiting = _choose_of_tier(leader, server, tier)
         if waiting is not None:
             return waiting
-        if _needs(leader, server, tier):
+        if _is_wanted_by(leader, server, tier):
             return None
     return None
 
 
-def _higher_first(
+def _is_kept_for_higher(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     tier: ids.Tier,
 ) -> bool:
     """Tell whether a server is left to those of higher tiers who wait."""
     return any(
-        leader.by_tier[higher] and _needs(leader, server, higher)
+        leader.by_tier[higher] and _is_wanted_by(leader, server, higher)
         for higher in ids.Tier
         if higher < tier
     )
 
 
-def _needs(
+def _is_wanted_by(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     tier: ids.Tier,
@@ -222,65 +222,67 @@
     It may not fit now, for want of KV room or because of prefill granted
     before; what a lower tier adds there would keep it out for longer.
     """
-    in_line = leader.queue.candidates(
+    in_order = leader.queue.candidates(
         server.kind,
         tier,
         leader.now(),
         float('inf'),
     )
     return any(
-        waiting.promised_by in {None, server.server_id}
+        waiting.reserved_on in {None, server.server_id}
         and not affinity.waits_for_holder(leader, server, waiting)
-        for waiting in in_line
+        for waiting in in_order
     )
 
 
-def _pick_of_tier(
+def _choose_of_tier(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     tier: ids.Tier,
 ) -> deadline_records.Waiting | None:
     """Find the first of a tier, or one after it whose prefix is here."""
-    in_line = itertools.islice(_in_order(leader, server, tier), _MOST_LOOKED)
+    in_order = itertools.islice(
+        _in_order(leader, server, tier), _MAX_CONSIDERED
+    )
     first = next(
-        (one for one in in_line if _goes_first(leader, server, one)),
+        (one for one in in_order if _may_go_first(leader, server, one)),
         None,
     )
-    if first is None or not _may_be_passed(leader, server, first):
+    if first is None or not _may_be_overtaken(leader, server, first):
         return first
-    for waiting in in_line:
-        if affinity.holds(leader, server, waiting):
+    for waiting in in_order:
+        if affinity.has_useful_prefix(leader, server, waiting):
             if _fits(leader, server, waiting):
-                first.passed += 1
+                first.overtaken += 1
                 return waiting
     return first
 
 
-def _goes_first(
+def _may_go_first(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
     if not _fits(leader, server, waiting):
         return False
-    if waiting.promised_by == server.server_id:
+    if waiting.reserved_on == server.server_id:
         return True
     return not affinity.waits_for_holder(leader, server, waiting)
 
 
-def _may_be_passed(
+def _may_be_overtaken(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether one whose prefix is on the server may go before."""
-    if waiting.passed >= _MOST_PASSED:
+    if waiting.overtaken >= _MAX_OVERTAKEN:
         return False
-    if waiting.promised_by == server.server_id:
+    if waiting.reserved_on == server.server_id:
         return False
-    if waiting.best_start - leader.now() < _PASS_SLACK:
+    if waiting.best_start - leader.now() < _OVERTAKE_SLACK_SECONDS:
         return False
-    return not affinity.holds(leader, server, waiting)
+    return not affinity.has_useful_prefix(leader, server, waiting)
 
 
 def _in_order(
@@ -288,20 +290,20 @@
     server: deadline_records.Server,
     tier: ids.Tier,
 ) -> typing.Iterator[deadline_records.Waiting]:
-    for promised in list(server.promised.values()):
-        if promised.ask.tier == tier and not promised.held:
-            yield promised
+    for reserved in list(server.reservations.values()):
+        if reserved.ask.tier == tier and not reserved.held:
+            yield reserved
     window = leader.cfg.fair_seconds * max(leader.slots, 1)
     ahead = predicting.prefill_ahead(leader, server) * leader.cfg.safety
     seen: set[int] = set()
-    for later in _LATER:
-        in_line = leader.queue.candidates(
+    for later in _LATER_SECONDS:
+        in_order = leader.queue.candidates(
             server.kind,
             tier,
             leader.now() + ahead + later,
             window,
         )
-        for waiting in in_line:
+        for waiting in in_order:
             if waiting.sequence not in seen:
                 seen.add(waiting.sequence)
                 yield waiting
@@ -314,7 +316,7 @@
 ) -> bool:
     if waitlist.hold_if_needed(leader, waiting):
         return False
-    if placement.kept_for_another(server, waiting):
+    if placement.is_reserved_for_others(server, waiting):
         return False
     if not predicting.in_time(leader, server, waiting):
         return False
@@ -322,9 +324,9 @@
         return False
     if placement.has_room(server, waiting):
         return True
-    if waiting.promised_by is None and not server.promised:
-        if placement.fits(server, waiting):
-            waitlist.promise(leader, server, waiting)
+    if waiting.reserved_on is None and not server.reservations:
+        if placement.could_hold(server, waiting):
+            waitlist.reserve(leader, server, waiting)
     return False
 
 
@@ -344,8 +346,8 @@
         leader.held.values(),
         key=lambda held: (held.ask.tier, held.best_start),
     )
-    for waiting in order[:_HELD_LOOK]:
-        if _higher_waits(leader, waiting.ask.tier):
+    for waiting in order[:_MAX_HELD_CONSIDERED]:
+        if _is_higher_waiting(leader, waiting.ask.tier):
             return
         if waiting.fut.done():
             continue
@@ -354,7 +356,7 @@
             grant(leader, waiting, server)
 
 
-def _higher_waits(
+def _is_higher_waiting(
     leader: deadline_state.DeadlineLeaderState, tier: ids.Tier
 ) -> bool:
     higher = (leader.by_tier[other] for other in ids.Tier if other < tier)
@@ -366,12 +368,12 @@
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> deadline_records.Server | None:
-    mark = waiting.ask.fingerprint
-    if mark in leader.running_prints:
+    request_fingerprint = waiting.ask.fingerprint
+    if request_fingerprint in leader.running_fingerprints:
         return None
-    if leader.suspects.waits(mark, leader.now()):
+    if leader.suspects.waits(request_fingerprint, leader.now()):
         return None
-    server = placement.least_harm(leader, waiting)
+    server = placement.choose_for_suspect(leader, waiting)
     if server is None or not predicting.in_time(leader, server, waiting):
         return None
     return server
--- a/libs/scheduling/geraniumweir/scheduling/deadline_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_leader.py
@@ -56,10 +56,10 @@
             now,
             live,
             on_preempt,
-            settled=cfg.settle_seconds <= 0,
-            settle_by=now() + cfg.settle_seconds,
-            served_at=now(),
-            dice=random.Random(cfg.seed),
+            takeover_complete=cfg.settle_seconds <= 0,
+            takeover_ends_at=now() + cfg.settle_seconds,
+            live_server_at=now(),
+            rng=random.Random(cfg.seed),
             suspects=suspects.Suspects(cfg.quarantine_seconds, cfg.origin),
         )
 
@@ -75,8 +75,8 @@
         :param ask: what waits; its deadline is on the leader's clock.
         :returns: a grant, or a denial once there can be none in time.
         """
-        ticking.arm(self._state)
-        ticking.look_first(self._state)
+        ticking.start_ticking(self._state)
+        ticking.sync_if_stale(self._state)
         running = self._state.running.get(ask.request_id)
         if running is not None:
             return running.grant
@@ -129,7 +129,7 @@
 
     def cache_events(self, events: requests.CacheEvents) -> None:
         """Take an engine's cache events, in whatever order they come."""
-        self._state.prefixes.events(
+        self._state.prefixes.apply_events(
             events.server_id,
             events.incarnation,
             events.sequence,
@@ -159,24 +159,24 @@
 
     def adopt(self, grants: typing.Sequence[requests.OpenGrant]) -> None:
         """Take over grants in use that another leader gave."""
-        ticking.look_first(self._state)
+        ticking.sync_if_stale(self._state)
         for taken in grants:
             adoption.adopt(self._state, taken)
 
     def settled(self) -> None:
         """Start granting: all owners have handed over their grants."""
-        self._state.settled = True
-        ticking.look_first(self._state)
+        self._state.takeover_complete = True
+        ticking.sync_if_stale(self._state)
         deadline_granting.fill_open(self._state)
 
     def summary(self) -> requests.PoolSummary:
         """Sum up the pool for other hosts."""
-        ticking.look_first(self._state)
+        ticking.sync_if_stale(self._state)
         return summaries.summarize(self._state)
 
     def grant_waiting(self) -> None:
         """Take that announcements or the configuration changed."""
-        ticking.changed(self._state)
+        ticking.servers_changed(self._state)
 
     @property
     def suspects(self) -> suspects.Suspects:
--- a/libs/scheduling/geraniumweir/scheduling/deadline_records.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_records.py
@@ -9,12 +9,12 @@
 from geraniumweir.scheduling import (
     concurrency,
     fairqueue,
-    learning,
+    estimating,
     requests,
     stragglers,
 )
 
-_MOST_FAILURES = 32
+_MAX_FAILURES = 32
 
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
@@ -43,14 +43,14 @@
     """A request in the queue.
 
     :ivar sequence: by order of arrival.
-    :ivar latest: latest start by server class, in seconds.
+    :ivar latest_starts: latest start by server class, in seconds.
     :ivar cost: predicted seconds of one slot on the best class.
     :ivar probe: let in although it looks too late, to learn whether it is.
-    :ivar hope: factor on predicted durations, below 1 where a server that a
-        lower tier leaves is quicker than usual.
+    :ivar duration_factor: factor on predicted durations; below 1 where a server
+        that a lower tier frees is faster than usual.
     :ivar joined: asks that wait for the same answer.
-    :ivar passed: times that one whose prefix was cached went before it.
-    :ivar promised_by: the server that keeps its next room for it.
+    :ivar overtaken: times that one whose prefix was cached went before it.
+    :ivar reserved_on: the server that keeps its next room for it.
     :ivar held: a suspect, or kept back by its rule's limit.
     """
 
@@ -58,19 +58,21 @@
     sequence: int
     arrived: float
     fut: asyncio.Future[requests.Grant | requests.Denial]
-    expected: learning.Expected
-    latest: dict[ServerClass, float] = dataclasses.field(default_factory=dict)
+    expected: estimating.Expected
+    latest_starts: dict[ServerClass, float] = dataclasses.field(
+        default_factory=dict
+    )
     best_start: float = float('-inf')
     cost: float = 0
     probe: bool = False
-    hope: float = 1
+    duration_factor: float = 1
     joined: int = 0
-    passed: int = 0
+    overtaken: int = 0
     held: bool = False
     extended: bool = False
     timer: asyncio.TimerHandle | None = None
     preempting: set[ids.RequestId] = dataclasses.field(default_factory=set)
-    promised_by: ids.ServerId | None = None
+    reserved_on: ids.ServerId | None = None
 
     @property
     def kv_need(self) -> int:
@@ -91,18 +93,18 @@
     :ivar uncached: prompt tokens thought not to be cached at the server.
     :ivar ahead: seconds of prefill granted there before and not yet done.
     :ivar prefill: predicted seconds of its own prefill.
-    :ivar beside: requests that ran there then, this one included.
+    :ivar concurrent: requests that ran there then, this one included.
     :ivar due: when the next sign of progress is late.
     """
 
     ask: requests.Ask
     grant: requests.Grant
     granted: float
-    expected: learning.Expected
+    expected: estimating.Expected
     uncached: float
     ahead: float
     prefill: float
-    beside: int
+    concurrent: int
     cost: float
     due: float = 0
     first_token: float | None = None
@@ -125,10 +127,10 @@
     :ivar kv_used: KV tokens that its grants may come to hold.
     :ivar prefilled_at: when the prefill granted so far should be done.
     :ivar stuck: requests on it that make no progress.
-    :ivar promised: waiting requests that its next room is kept for.
-    :ivar unborn: requests on it that have no first token yet, in order.
-    :ivar unborn_prefill: predicted seconds of their prefill.
-    :ivar born_at: when the last first token came.
+    :ivar reservations: waiting requests that its next room is kept for.
+    :ivar prefilling: requests on it that have no first token yet, in order.
+    :ivar prefilling_seconds: predicted seconds of their prefill.
+    :ivar first_token_at: when the last first token came.
     :ivar warming: first blocks of prompts in prefill, and when it should end.
     :ivar crashed: the newest incarnation known to be gone.
     :ivar last_progress_at: when it last made progress with anything.
@@ -147,14 +149,14 @@
     prefilled_at: float = 0
     suspects: int = 0
     stuck: int = 0
-    promised: dict[ids.RequestId, Waiting] = dataclasses.field(
+    reservations: dict[ids.RequestId, Waiting] = dataclasses.field(
         default_factory=dict,
     )
-    unborn: dict[ids.RequestId, Running] = dataclasses.field(
+    prefilling: dict[ids.RequestId, Running] = dataclasses.field(
         default_factory=dict,
     )
-    unborn_prefill: float = 0
-    born_at: float = float('-inf')
+    prefilling_seconds: float = 0
+    first_token_at: float = float('-inf')
     warming: dict[ids.BlockHash, float] = dataclasses.field(
         default_factory=dict,
     )
@@ -162,7 +164,7 @@
     last_progress_at: float = float('-inf')
     failures: collections.deque[tuple[float, ids.Fingerprint]] = (
         dataclasses.field(
-            default_factory=lambda: collections.deque(maxlen=_MOST_FAILURES)
+            default_factory=lambda: collections.deque(maxlen=_MAX_FAILURES)
         )
     )
 
@@ -176,16 +178,16 @@
         """Give the first model that it serves."""
         return self.kind.models[0] if self.kind.models else None
 
-    def most(self) -> int:
+    def capacity(self) -> int:
         """Give how many requests it may run now."""
         if not self.live or self.announcement.incarnation <= self.crashed:
             return 0
-        return self.health.most(self.limit.whole)
+        return self.health.capacity(self.limit.rounded)
 
     def is_open(self) -> bool:
         """Tell whether it may get one more request."""
         moving = len(self.running) - self.stuck
-        return moving < self.most() and len(self.running) < self.limit.slots
+        return moving < self.capacity() and len(self.running) < self.limit.slots
 
     def kv_free(self) -> float:
         """Give the KV tokens not granted."""
--- a/libs/scheduling/geraniumweir/scheduling/deadline_state.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_state.py
@@ -10,7 +10,7 @@
 from geraniumweir.membership import servers
 from geraniumweir.scheduling import (
     fairqueue,
-    learning,
+    estimating,
     limits,
     openings,
     prefix,
@@ -31,10 +31,10 @@
     now: typing.Callable[[], float]
     live: typing.Callable[[], typing.Sequence[servers.Announcement]]
     on_preempt: typing.Callable[[requests.Preempt], None]
-    settled: bool
-    settle_by: float
-    served_at: float
-    dice: random.Random
+    takeover_complete: bool
+    takeover_ends_at: float
+    live_server_at: float
+    rng: random.Random
     suspects: suspects.Suspects
     waiting: dict[ids.RequestId, deadline_records.Waiting] = dataclasses.field(
         default_factory=dict,
@@ -64,8 +64,10 @@
     orphans: dict[
         ids.ServerId, dict[ids.RequestId, deadline_records.Running]
     ] = dataclasses.field(default_factory=dict)
-    running_prints: collections.Counter[ids.Fingerprint] = dataclasses.field(
-        default_factory=collections.Counter,
+    running_fingerprints: collections.Counter[ids.Fingerprint] = (
+        dataclasses.field(
+            default_factory=collections.Counter,
+        )
     )
     cost_by_flow: collections.Counter[fairqueue.Flow] = dataclasses.field(
         default_factory=collections.Counter,
@@ -92,11 +94,11 @@
             default_factory=victims.Victims,
         )
     )
-    lengths: learning.OutputLengths = dataclasses.field(
-        default_factory=learning.OutputLengths,
+    lengths: estimating.OutputLengthEstimates = dataclasses.field(
+        default_factory=estimating.OutputLengthEstimates,
     )
-    speeds: learning.Speeds = dataclasses.field(
-        default_factory=learning.Speeds,
+    speeds: estimating.SpeedEstimates = dataclasses.field(
+        default_factory=estimating.SpeedEstimates,
     )
     prefixes: prefix.PrefixIndex = dataclasses.field(
         default_factory=prefix.PrefixIndex,
@@ -110,5 +112,5 @@
     slots: int = 0
     sequence: int = 0
     too_late_in_row: int = 0
-    synced: float = float('-inf')
+    synced_at: float = float('-inf')
     ticker: asyncio.TimerHandle | None = None
--- a/libs/scheduling/geraniumweir/scheduling/learning.py
+++ b/libs/scheduling/geraniumweir/scheduling/estimating.py
@@ -24,18 +24,18 @@
 from geraniumweir.scheduling import requests
 
 FIXED_TOKENS = 100
-_MOST_KEYS = 4096
+_MAX_KEYS = 4096
 _MIN_SAMPLES = 3
-_SURE_SAMPLES = 5
-_MEMORY = 32
-_KEEP = 0.9
-_KEEP_OF_KIND = 0.98
-_NOISE = 1.6
+_RELIABLE_SAMPLES = 5
+_WINDOW_SAMPLES = 32
+_DECAY = 0.9
+_KIND_DECAY = 0.98
+_NOISE_FACTOR = 1.6
 _HIGH_QUANTILE = 0.9
 _HIGH_STEP = 0.1
-_FIRST_GUESS = 128.0
-_PREFILL_GUESS = 0.0003
-_DECODE_GUESS = 0.02
+_DEFAULT_OUTPUT_TOKENS = 128.0
+_DEFAULT_PREFILL_SECONDS = 0.0003
+_DEFAULT_DECODE_SECONDS = 0.02
 
 _Key = typing.TypeVar('_Key', bound=typing.Hashable)
 
@@ -46,23 +46,23 @@
 
     :ivar mean: what predicted durations use.
     :ivar high: what is kept free in the KV cache.
-    :ivar sure: whether answers enough of the rule are behind it.
+    :ivar is_reliable: whether answers enough of the rule are behind it.
     """
 
     mean: float
     high: float
-    sure: bool = True
+    is_reliable: bool = True
 
 
 @dataclasses.dataclass(slots=True)
-class _Length:
+class _LengthEstimate:
     samples: int = 0
     mean: float = 0
     high: float = 0
 
     def add(self, tokens: float) -> None:
         self.samples += 1
-        weight = 1 / min(self.samples, _MEMORY)
+        weight = 1 / min(self.samples, _WINDOW_SAMPLES)
         self.mean += (tokens - self.mean) * weight
         if self.samples == 1:
             self.high = tokens
@@ -72,22 +72,22 @@
         self.high = max(self.high, self.mean)
 
 
-class OutputLengths:
+class OutputLengthEstimates:
     """Output lengths by rule and customer, in bounded memory.
 
-    >>> lengths = OutputLengths()
-    >>> lengths.learn(ids.RuleName('r'), ids.CustomerName('c'), 50)
-    >>> lengths.expect(ids.RuleName('r'), ids.CustomerName('c'), 0).mean
+    >>> lengths = OutputLengthEstimates()
+    >>> lengths.add_sample(ids.RuleName('r'), ids.CustomerName('c'), 50)
+    >>> lengths.estimate(ids.RuleName('r'), ids.CustomerName('c'), 0).mean
     50.0
     """
 
     def __init__(self) -> None:
         """Know nothing."""
-        self._lengths: collections.OrderedDict[tuple[str, ...], _Length] = (
-            collections.OrderedDict()
-        )
+        self._lengths: collections.OrderedDict[
+            tuple[str, ...], _LengthEstimate
+        ] = collections.OrderedDict()
 
-    def learn(
+    def add_sample(
         self,
         rule: ids.RuleName,
         customer: ids.CustomerName,
@@ -95,13 +95,13 @@
     ) -> None:
         """Take the length of a whole answer."""
         for key in ((rule, customer), (rule,), ()):
-            length = self._lengths.setdefault(key, _Length())
+            length = self._lengths.setdefault(key, _LengthEstimate())
             self._lengths.move_to_end(key)
             length.add(tokens)
-        if len(self._lengths) > _MOST_KEYS:
+        if len(self._lengths) > _MAX_KEYS:
             self._lengths.popitem(last=False)
 
-    def expect(
+    def estimate(
         self,
         rule: ids.RuleName,
         customer: ids.CustomerName,
@@ -114,23 +114,23 @@
         most = float(max_tokens) if max_tokens else float('inf')
         for key in ((rule, customer), (rule,), ()):
             length = self._lengths.get(key)
-            if length is None or length.samples < _enough(key):
+            if length is None or length.samples < _min_samples(key):
                 continue
-            sure = self._samples((rule,)) >= _SURE_SAMPLES
+            is_reliable = self._samples((rule,)) >= _RELIABLE_SAMPLES
             mean = min(length.mean, most)
-            return Expected(mean, min(length.high, most), sure)
-        guess = min(_FIRST_GUESS, most)
-        return Expected(guess, min(guess * 2, most), sure=False)
+            return Expected(mean, min(length.high, most), is_reliable)
+        guess = min(_DEFAULT_OUTPUT_TOKENS, most)
+        return Expected(guess, min(guess * 2, most), is_reliable=False)
 
     def _samples(self, key: tuple[str, ...]) -> int:
         length = self._lengths.get(key)
         return length.samples if length else 0
 
 
-def _enough(key: tuple[str, ...]) -> int:
+def _min_samples(key: tuple[str, ...]) -> int:
     # Other rules' lengths say little: they must be many.
     if not key:
-        return _MEMORY
+        return _WINDOW_SAMPLES
     return _MIN_SAMPLES if len(key) == 1 else 1
 
 
@@ -147,12 +147,12 @@
     amount: float = 0
     weight: float = 0
     samples: int = 0
-    keep: float = _KEEP
+    decay: float = _DECAY
 
     def add(self, amount: float, weight: float) -> None:
         """Take a sample."""
-        self.amount = self.amount * self.keep + amount
-        self.weight = self.weight * self.keep + weight
+        self.amount = self.amount * self.decay + amount
+        self.weight = self.weight * self.decay + weight
         self.samples += 1
 
     def value(self) -> float | None:
@@ -174,7 +174,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Speed:
+class _SpeedSums:
     """Speeds of a server or of a kind of servers, for one model.
 
     :ivar prefill: seconds by uncached prompt token.
@@ -187,15 +187,15 @@
     rates: Rates | None = None
 
 
-class Speeds:
+class SpeedEstimates:
     """Speeds by server and by hardware, for each model."""
 
     def __init__(self) -> None:
         """Know nothing."""
-        self._servers = _Bounded[tuple[ids.ServerId, str | None]]()
-        self._kinds = _Bounded[tuple[str, str | None]]()
+        self._servers = _BoundedSpeeds[tuple[ids.ServerId, str | None]]()
+        self._kinds = _BoundedSpeeds[tuple[str, str | None]]()
 
-    def learn_prefill(
+    def add_prefill_sample(
         self,
         server_id: ids.ServerId,
         hardware: str,
@@ -203,11 +203,11 @@
         sample: tuple[float, float],
     ) -> None:
         """Take the seconds to a first token and the tokens before it."""
-        for speed in self._speeds(server_id, hardware, model):
+        for speed in self._sums_of(server_id, hardware, model):
             speed.prefill.add(*sample)
             speed.rates = None
 
-    def learn_decode(
+    def add_decode_sample(
         self,
         server_id: ids.ServerId,
         hardware: str,
@@ -215,7 +215,7 @@
         sample: tuple[float, float],
     ) -> None:
         """Take the seconds after a first token and the tokens in them."""
-        for speed in self._speeds(server_id, hardware, model):
+        for speed in self._sums_of(server_id, hardware, model):
             speed.decode.add(*sample)
             speed.rates = None
 
@@ -223,11 +223,11 @@
         """Predict for a kind of hardware."""
         kind = self._kinds.find((hardware, model))
         if kind is None:
-            return _GUESS
+            return _DEFAULT_RATES
         if kind.rates is None:
             kind.rates = Rates(
-                _first(kind.prefill.value(), _PREFILL_GUESS),
-                _first(kind.decode.value(), _DECODE_GUESS),
+                _value_or(kind.prefill.value(), _DEFAULT_PREFILL_SECONDS),
+                _value_or(kind.decode.value(), _DEFAULT_DECODE_SECONDS),
             )
         return kind.rates
 
@@ -245,68 +245,72 @@
             return server.rates
         kind = self.of_kind(hardware, model)
         rates = Rates(
-            _near(_known(server.prefill, kind.prefill), kind.prefill),
-            _near(_known(server.decode, kind.decode), kind.decode),
+            _snap_to_kind(
+                _own_rate(server.prefill, kind.prefill), kind.prefill
+            ),
+            _snap_to_kind(_own_rate(server.decode, kind.decode), kind.decode),
         )
-        if _well_known(server):
+        if _has_enough_samples(server):
             server.rates = rates
         return rates
 
-    def _speeds(
+    def _sums_of(
         self,
         server_id: ids.ServerId,
         hardware: str,
         model: str | None,
-    ) -> tuple[Speed, Speed]:
+    ) -> tuple[_SpeedSums, _SpeedSums]:
         kind = self._kinds.at((hardware, model))
-        kind.prefill.keep = _KEEP_OF_KIND
-        kind.decode.keep = _KEEP_OF_KIND
+        kind.prefill.decay = _KIND_DECAY
+        kind.decode.decay = _KIND_DECAY
         return self._servers.at((server_id, model)), kind
 
 
-_GUESS = Rates(_PREFILL_GUESS, _DECODE_GUESS)
+_DEFAULT_RATES = Rates(_DEFAULT_PREFILL_SECONDS, _DEFAULT_DECODE_SECONDS)
 
 
-class _Bounded(typing.Generic[_Key]):
+class _BoundedSpeeds(typing.Generic[_Key]):
     """Speeds by key; the longest unused are forgotten."""
 
     def __init__(self) -> None:
-        self._speeds: collections.OrderedDict[_Key, Speed] = (
+        self._speeds: collections.OrderedDict[_Key, _SpeedSums] = (
             collections.OrderedDict()
         )
 
-    def at(self, key: _Key) -> Speed:
-        speed = self._speeds.setdefault(key, Speed())
+    def at(self, key: _Key) -> _SpeedSums:
+        speed = self._speeds.setdefault(key, _SpeedSums())
         self._speeds.move_to_end(key)
-        if len(self._speeds) > _MOST_KEYS:
+        if len(self._speeds) > _MAX_KEYS:
             self._speeds.popitem(last=False)
         return speed
 
-    def find(self, key: _Key) -> Speed | None:
+    def find(self, key: _Key) -> _SpeedSums | None:
         return self._speeds.get(key)
 
 
-def _well_known(speed: Speed) -> bool:
+def _has_enough_samples(speed: _SpeedSums) -> bool:
     return min(speed.prefill.samples, speed.decode.samples) >= _MIN_SAMPLES
 
 
-def _known(ratio: Ratio, otherwise: float) -> float:
+def _own_rate(ratio: Ratio, otherwise: float) -> float:
     if ratio.samples < _MIN_SAMPLES:
         return otherwise
-    return _first(ratio.value(), otherwise)
+    return _value_or(ratio.value(), otherwise)
 
 
-def _near(rate: float, usual: float) -> float:
+def _snap_to_kind(rate: float, usual: float) -> float:
     """Take a rate for the kind's unless it differs by more than noise."""
-    if usual / _NOISE <= rate <= usual * _NOISE:
+    if usual / _NOISE_FACTOR <= rate <= usual * _NOISE_FACTOR:
         return usual
     return rate
 
 
-def _first(ratio: float | None, otherwise: float) -> float:
+def _value_or(ratio: float | None, otherwise: float) -> float:
     return otherwise if ratio is None else ratio
 
 
-def length_of(lengths: OutputLengths, ask: requests.Ask) -> Expected:
+def expected_length(
+    lengths: OutputLengthEstimates, ask: requests.Ask
+) -> Expected:
     """Predict the output length of an ask."""
-    return lengths.expect(ask.rule, ask.customer, ask.max_tokens)
+    return lengths.estimate(ask.rule, ask.customer, ask.max_tokens)
--- a/libs/scheduling/geraniumweir/scheduling/fairqueue.py
+++ b/libs/scheduling/geraniumweir/scheduling/fairqueue.py
@@ -12,7 +12,8 @@
 server class, and each class has its own order; a request that a slow class
 can't end in time is skipped there by bisection.
 
-A decision looks at :data:`LOOK` customers at most, so it costs O(log n).
+A decision considers at most :data:`MAX_CUSTOMERS` customers, so it costs
+O(log n).
 
 References
 ==========
@@ -31,10 +32,10 @@
 import sortedcontainers
 from geraniumweir.common import ids
 
-LOOK = 8
-_FURTHEST_LOOK = 32
-_BY_CUSTOMER = 2
-_MOST_IDLE = 16384
+MAX_CUSTOMERS = 8
+_MAX_VISITED = 32
+_PER_CUSTOMER = 2
+_MAX_FLOWS = 16384
 
 _Class = typing.TypeVar('_Class', bound=typing.Hashable)
 _Item = typing.TypeVar('_Item', bound=typing.Hashable)
@@ -57,12 +58,12 @@
 class _FlowState:
     """A customer in a tier.
 
-    :ivar service: its virtual time.
+    :ivar virtual_time: its virtual time.
     :ivar lanes: server classes with the number of its requests there.
     :ivar waiting: its requests in the queue.
     """
 
-    service: float = 0
+    virtual_time: float = 0
     lanes: dict[typing.Any, int] = dataclasses.field(default_factory=dict)
     waiting: int = 0
 
@@ -92,10 +93,12 @@
         :param sequence: breaks ties, first come first.
         :param starts: latest start by each class that can run it.
         """
-        state = self._enter(flow)
-        state.waiting += 1
+        flow_state = self._activate(flow)
+        flow_state.waiting += 1
         for server_class, latest in starts.items():
-            self._insert(flow, state, server_class, (latest, sequence, item))
+            self._insert(
+                flow, flow_state, server_class, (latest, sequence, item)
+            )
 
     def add_class(
         self,
@@ -117,28 +120,30 @@
         starts: typing.Mapping[_Class, float],
     ) -> None:
         """Remove an item, with the arguments it was added with."""
-        state = self._flows[flow]
+        flow_state = self._flows[flow]
         for server_class, latest in starts.items():
-            self._delete(flow, state, server_class, (latest, sequence, item))
-        state.waiting -= 1
-        if not state.waiting:
-            self._leave(flow, state)
+            self._delete(
+                flow, flow_state, server_class, (latest, sequence, item)
+            )
+        flow_state.waiting -= 1
+        if not flow_state.waiting:
+            self._deactivate(flow, flow_state)
 
     def charge(self, flow: Flow, cost: float) -> None:
         """Add to a customer's virtual time.
 
         :param cost: slot seconds over the share; negative gives back.
         """
-        state = self._flows.setdefault(
+        flow_state = self._flows.setdefault(
             flow,
             _FlowState(self._floor[flow[0]]),
         )
-        before = state.service
-        state.service += cost
-        if state.waiting:
-            self._move(flow, state, before)
-        elif len(self._flows) > _MOST_IDLE:
-            self._forget_idle()
+        before = flow_state.virtual_time
+        flow_state.virtual_time += cost
+        if flow_state.waiting:
+            self._reorder(flow, flow_state, before)
+        elif len(self._flows) > _MAX_FLOWS:
+            self._discard_idle()
 
     def candidates(
         self,
@@ -158,42 +163,46 @@
         near: list[_Start[_Item]] = []
         far: list[_Start[_Item]] = []
         found = 0
-        for service, customer in itertools.islice(lane.order, _FURTHEST_LOOK):
+        for virtual_time, customer in itertools.islice(
+            lane.order, _MAX_VISITED
+        ):
             starts = _next_starts(lane.customers[customer], now)
-            (near if service <= bound else far).extend(starts)
+            (near if virtual_time <= bound else far).extend(starts)
             found += bool(starts)
-            if found >= LOOK:
+            if found >= MAX_CUSTOMERS:
                 break
         near.sort(key=_FIRST)
         return [start[2] for start in itertools.chain(near, far)]
 
-    def service(self, flow: Flow) -> float:
+    def virtual_time(self, flow: Flow) -> float:
         """Give a customer's virtual time in a tier."""
-        state = self._flows.get(flow)
-        return state.service if state else self._floor[flow[0]]
+        flow_state = self._flows.get(flow)
+        return flow_state.virtual_time if flow_state else self._floor[flow[0]]
 
     def backlogged(self, tier: ids.Tier) -> int:
         """Give the number of customers that wait in a tier."""
         return len(self._backlog[tier])
 
-    def _enter(self, flow: Flow) -> _FlowState:
+    def _activate(self, flow: Flow) -> _FlowState:
         tier, customer = flow
-        state = self._flows.setdefault(flow, _FlowState())
-        if not state.waiting:
-            state.service = max(state.service, self._floor[tier])
-            self._backlog[tier].add((state.service, customer))
-        return state
+        flow_state = self._flows.setdefault(flow, _FlowState())
+        if not flow_state.waiting:
+            flow_state.virtual_time = max(
+                flow_state.virtual_time, self._floor[tier]
+            )
+            self._backlog[tier].add((flow_state.virtual_time, customer))
+        return flow_state
 
-    def _leave(self, flow: Flow, state: _FlowState) -> None:
+    def _deactivate(self, flow: Flow, flow_state: _FlowState) -> None:
         tier, customer = flow
-        self._backlog[tier].remove((state.service, customer))
-        if len(self._flows) > _MOST_IDLE:
-            self._forget_idle()
+        self._backlog[tier].remove((flow_state.virtual_time, customer))
+        if len(self._flows) > _MAX_FLOWS:
+            self._discard_idle()
 
     def _insert(
         self,
         flow: Flow,
-        state: _FlowState,
+        flow_state: _FlowState,
         server_class: _Class,
         entry: _Start[_Item],
     ) -> None:
@@ -203,43 +212,48 @@
             lane.customers[customer] = sortedcontainers.SortedKeyList(
                 key=_FIRST,
             )
-            lane.order.add((state.service, customer))
+            lane.order.add((flow_state.virtual_time, customer))
         lane.customers[customer].add(entry)
-        state.lanes[server_class] = state.lanes.get(server_class, 0) + 1
+        flow_state.lanes[server_class] = (
+            flow_state.lanes.get(server_class, 0) + 1
+        )
 
     def _delete(
         self,
         flow: Flow,
-        state: _FlowState,
+        flow_state: _FlowState,
         server_class: _Class,
         entry: _Start[_Item],
     ) -> None:
         tier, customer = flow
         lane = self._lanes[(server_class, tier)]
         lane.customers[customer].remove(entry)
-        state.lanes[server_class] -= 1
-        if not state.lanes[server_class]:
-            state.lanes.pop(server_class)
+        flow_state.lanes[server_class] -= 1
+        if not flow_state.lanes[server_class]:
+            flow_state.lanes.pop(server_class)
             lane.customers.pop(customer)
-            lane.order.remove((state.service, customer))
+            lane.order.remove((flow_state.virtual_time, customer))
 
-    def _move(self, flow: Flow, state: _FlowState, before: float) -> None:
+    def _reorder(
+        self, flow: Flow, flow_state: _FlowState, before: float
+    ) -> None:
         tier, customer = flow
-        orders = [self._lanes[(kind, tier)].order for kind in state.lanes]
+        orders = [self._lanes[(kind, tier)].order for kind in flow_state.lanes]
         for order in (self._backlog[tier], *orders):
             order.remove((before, customer))
-            order.add((state.service, customer))
+            order.add((flow_state.virtual_time, customer))
         self._floor[tier] = max(
             self._floor[tier],
             self._backlog[tier][0][0],
         )
 
-    def _forget_idle(self) -> None:
+    def _discard_idle(self) -> None:
         # Who owes nothing starts at the floor again, remembered or not.
         idle = [
             flow
-            for flow, state in self._flows.items()
-            if not state.waiting and state.service <= self._floor[flow[0]]
+            for flow, flow_state in self._flows.items()
+            if not flow_state.waiting
+            and flow_state.virtual_time <= self._floor[flow[0]]
         ]
         for flow in idle:
             self._flows.pop(flow)
@@ -253,4 +267,4 @@
     first = 0
     if starts[0][0] < now:
         first = starts.bisect_key_left((now, -1))
-    return starts[first : first + _BY_CUSTOMER]
+    return starts[first : first + _PER_CUSTOMER]
--- a/libs/scheduling/geraniumweir/scheduling/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/fleet.py
@@ -13,7 +13,7 @@
     stragglers,
 )
 
-_MOST_GONE = 64
+_MAX_GONE_SERVERS = 64
 
 
 def sync(
@@ -23,20 +23,20 @@
 
     :returns: those that crashed: known ones with a new incarnation.
     """
-    leader.synced = leader.now()
+    leader.synced_at = leader.now()
     live = {ready.server_id: ready for ready in leader.live()}
     if live:
-        leader.served_at = leader.now()
+        leader.live_server_at = leader.now()
     crashed = []
     for announcement in live.values():
         known = leader.servers.get(announcement.server_id)
         if known is None:
-            _appear(leader, announcement)
-        elif _take(leader, known, announcement):
+            _add_server(leader, announcement)
+        elif _update_server(leader, known, announcement):
             crashed.append(known)
     _close_missing(leader, live)
-    leader.slots = sum(server.most() for server in leader.servers.values())
-    _forget_gone(leader, live)
+    leader.slots = sum(server.capacity() for server in leader.servers.values())
+    _evict_gone(leader, live)
     return crashed
 
 
@@ -52,7 +52,7 @@
     placement.refresh(leader, server)
 
 
-def _appear(
+def _add_server(
     leader: deadline_state.DeadlineLeaderState,
     announcement: servers.Announcement,
 ) -> None:
@@ -72,7 +72,7 @@
     placement.refresh(leader, server)
 
 
-def _take(
+def _update_server(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     announcement: servers.Announcement,
@@ -85,7 +85,7 @@
     server.live = True
     kind = _class_of(leader, announcement)
     if kind is not server.kind:
-        leader.open_servers.drop(announcement.server_id)
+        leader.open_servers.discard(announcement.server_id)
         server.kind = kind
     slots = max(announcement.slots, 1)
     if slots != server.limit.slots:
@@ -108,17 +108,17 @@
     leader.classes[key] = kind
     for waiting in leader.waiting.values():
         if kind.serves(waiting.ask):
-            _widen(leader, waiting, kind)
+            _add_class(leader, waiting, kind)
     return kind
 
 
-def _widen(
+def _add_class(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
     kind: deadline_records.ServerClass,
 ) -> None:
     latest = predicting.latest_start(leader, waiting, kind)
-    waiting.latest[kind] = latest
+    waiting.latest_starts[kind] = latest
     waiting.best_start = max(waiting.best_start, latest)
     if not waiting.held:
         leader.queue.add_class(
@@ -144,8 +144,8 @@
         begins = max(server.prefilled_at, leader.now())
         server.prefilled_at = begins + running.prefill
         if running.ask.streams:
-            server.unborn[request_id] = running
-            server.unborn_prefill += running.prefill
+            server.prefilling[request_id] = running
+            server.prefilling_seconds += running.prefill
     if server.announcement.can_cancel and running.ask.idempotent:
         leader.preemptible.add(
             server.kind,
@@ -170,24 +170,24 @@
     server.stuck -= running.stuck
     if running.first_token is None:
         server.prefilled_at -= running.prefill
-    born(leader, server, running)
+    end_prefill(leader, server, running)
     leader.preemptible.remove(request_id)
     placement.refresh(leader, server)
 
 
-def born(
+def end_prefill(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
 ) -> None:
     """Take that a prompt is computed, or will not be."""
-    if server.unborn.pop(running.ask.request_id, None) is None:
+    if server.prefilling.pop(running.ask.request_id, None) is None:
         return
-    server.born_at = leader.now()
-    server.unborn_prefill -= running.prefill
-    if not server.unborn:
+    server.first_token_at = leader.now()
+    server.prefilling_seconds -= running.prefill
+    if not server.prefilling:
         # Sums of floats drift.
-        server.unborn_prefill = 0
+        server.prefilling_seconds = 0
 
 
 def _close_missing(
@@ -200,11 +200,11 @@
             placement.refresh(leader, server)
 
 
-def _forget_gone(
+def _evict_gone(
     leader: deadline_state.DeadlineLeaderState,
     live: typing.Mapping[ids.ServerId, servers.Announcement],
 ) -> None:
-    if len(leader.servers) <= 2 * len(live) + _MOST_GONE:
+    if len(leader.servers) <= 2 * len(live) + _MAX_GONE_SERVERS:
         return
     for server_id, server in list(leader.servers.items()):
         if not server.live and not server.running:
--- a/libs/scheduling/geraniumweir/scheduling/limits.py
+++ b/libs/scheduling/geraniumweir/scheduling/limits.py
@@ -20,7 +20,7 @@
 from geraniumweir.common import ids
 
 _MS = 1000
-_MOST_IDLE = 4096
+_MAX_KEYS = 4096
 Key = typing.Hashable
 
 
@@ -130,13 +130,13 @@
         found = self._buckets.get(key)
         # A changed rule starts with a full bucket of its new rate.
         if found is None or found.rate != rate:
-            self._drop_full(now)
+            self._discard_full(now)
             found = TokenBucket(rate, now)
             self._buckets[key] = found
         return found.take(now)
 
-    def _drop_full(self, now: float) -> None:
-        if len(self._buckets) >= _MOST_IDLE:
+    def _discard_full(self, now: float) -> None:
+        if len(self._buckets) >= _MAX_KEYS:
             self._buckets = {
                 key: bucket
                 for key, bucket in self._buckets.items()
@@ -226,13 +226,13 @@
     def _count(self, key: Key) -> _Count:
         found = self._counts.get(key)
         if found is None:
-            self._drop_idle()
+            self._discard_idle()
             found = _Count()
             self._counts[key] = found
         return found
 
-    def _drop_idle(self) -> None:
-        if len(self._counts) < _MOST_IDLE:
+    def _discard_idle(self) -> None:
+        if len(self._counts) < _MAX_KEYS:
             return
         busy = {
             key: count
--- a/libs/scheduling/geraniumweir/scheduling/openings.py
+++ b/libs/scheduling/geraniumweir/scheduling/openings.py
@@ -11,7 +11,7 @@
 import sortedcontainers
 from geraniumweir.common import ids
 
-_LOOK = 3
+_MAX_LISTED = 3
 
 _Class = typing.TypeVar('_Class', bound=typing.Hashable)
 _Place = tuple[_Class, float, float]
@@ -21,8 +21,8 @@
     """Open servers by class, score and room.
 
     >>> openings = Openings()
-    >>> openings.put(ids.ServerId('a'), 'fast', 2.0, 10)
-    >>> openings.put(ids.ServerId('b'), 'fast', 1.0, 5)
+    >>> openings.set(ids.ServerId('a'), 'fast', 2.0, 10)
+    >>> openings.set(ids.ServerId('b'), 'fast', 1.0, 5)
     >>> openings.best('fast')
     ['b', 'a', 'a']
     """
@@ -33,7 +33,7 @@
         self._rooms: dict[_Class, sortedcontainers.SortedList] = {}
         self._places: dict[ids.ServerId, _Place[_Class]] = {}
 
-    def put(
+    def set(
         self,
         server_id: ids.ServerId,
         server_class: _Class,
@@ -48,7 +48,7 @@
         place = (server_class, score, room)
         if self._places.get(server_id) == place:
             return
-        self.drop(server_id)
+        self.discard(server_id)
         self._places[server_id] = place
         by_score = self._scores.setdefault(
             server_class,
@@ -61,7 +61,7 @@
         )
         by_room.add((room, server_id))
 
-    def drop(self, server_id: ids.ServerId) -> None:
+    def discard(self, server_id: ids.ServerId) -> None:
         """Take a server out, if it is there."""
         place = self._places.pop(server_id, None)
         if place is None:
@@ -82,7 +82,7 @@
         by_score = self._scores.get(server_class)
         if not by_score:
             return []
-        found = [server_id for _, server_id in by_score[:_LOOK]]
+        found = [server_id for _, server_id in by_score[:_MAX_LISTED]]
         found.append(self._rooms[server_class][-1][1])
         return found
 
--- a/libs/scheduling/geraniumweir/scheduling/placement.py
+++ b/libs/scheduling/geraniumweir/scheduling/placement.py
@@ -17,11 +17,11 @@
     deadline_state,
 )
 
-_REFERENCE_PROMPT = 500
-_REFERENCE_OUTPUT = 100
+_REFERENCE_PROMPT_TOKENS = 500
+_REFERENCE_OUTPUT_TOKENS = 100
 _LOAD_SLOWDOWN = 0.3
 _REPEAT_WEIGHT = 10.0
-_RISK = 0.17
+_RISK_RATIO = 0.17
 
 
 def refresh(
@@ -29,15 +29,15 @@
 ) -> None:
     """Put a server where it belongs among the openings."""
     if not server.is_open():
-        leader.open_servers.drop(server.server_id)
+        leader.open_servers.discard(server.server_id)
         return
     seconds = predicting.rates_of(leader, server, server.model).seconds(
-        _REFERENCE_PROMPT,
-        _REFERENCE_OUTPUT,
+        _REFERENCE_PROMPT_TOKENS,
+        _REFERENCE_OUTPUT_TOKENS,
     )
     seconds += predicting.prefill_ahead(leader, server)
     score = seconds * _slowdown(server)
-    leader.open_servers.put(
+    leader.open_servers.set(
         server.server_id,
         server.kind,
         score,
@@ -54,7 +54,7 @@
     return waiting.kv_need <= server.kv_free()
 
 
-def promised_before(
+def reservations_before(
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> list[deadline_records.Waiting]:
@@ -64,17 +64,17 @@
     left, so it passes those that only wait for room, and the likes of it
     that can wait longer.
     """
-    if not server.promised:
+    if not server.reservations:
         return []
-    if waiting.promised_by == server.server_id and waiting.preempting:
+    if waiting.reserved_on == server.server_id and waiting.preempting:
         return [
             other
-            for other in server.promised.values()
+            for other in server.reservations.values()
             if other.preempting and _urgency(other) < _urgency(waiting)
         ]
     return [
         other
-        for other in server.promised.values()
+        for other in server.reservations.values()
         if other is not waiting and other.ask.tier <= waiting.ask.tier
     ]
 
@@ -83,18 +83,18 @@
     return waiting.ask.tier, waiting.best_start, waiting.sequence
 
 
-def kept_for_another(
+def is_reserved_for_others(
     server: deadline_records.Server, waiting: deadline_records.Waiting
 ) -> bool:
     """Tell whether a server's room is kept for requests that go before."""
-    before = promised_before(server, waiting)
+    before = reservations_before(server, waiting)
     if not before:
         return False
     moving = len(server.running) - server.stuck
-    if moving + len(before) >= server.most():
+    if moving + len(before) >= server.capacity():
         return True
-    promised = sum(other.kv_need for other in before)
-    return server.kv_free() - promised < waiting.kv_need
+    reserved = sum(other.kv_need for other in before)
+    return server.kv_free() - reserved < waiting.kv_need
 
 
 def choose(
@@ -124,7 +124,7 @@
     waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether an open server may take a newcomer."""
-    if kept_for_another(server, waiting) or not has_room(server, waiting):
+    if is_reserved_for_others(server, waiting) or not has_room(server, waiting):
         return False
     if not predicting.in_time(leader, server, waiting):
         return False
@@ -146,7 +146,9 @@
     now = leader.now()
     if now >= waiting.best_start - leader.cfg.preempt_slack:
         return False
-    if predicting.prefill_ahead(leader, server) < _RISK * (ask.deadline - now):
+    if predicting.prefill_ahead(leader, server) < _RISK_RATIO * (
+        ask.deadline - now
+    ):
         return False
     return any(
         count and tier > ask.tier
@@ -163,33 +165,39 @@
 
     Prefill holds up all that runs beside it and pushes others' prefixes out.
     """
-    seconds = predicting.finish(leader, server, waiting) * _slowdown(server)
+    seconds = predicting.seconds_to_finish(leader, server, waiting) * _slowdown(
+        server
+    )
     rates = predicting.rates_of(leader, server, waiting.ask.model)
     uncached = predicting.uncached_tokens(leader, server, waiting)
     return seconds + _REPEAT_WEIGHT * rates.prefill * uncached
 
 
-def choose_crowded(
+def choose_lacking_kv(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> deadline_records.Server | None:
     """Choose an open server that lacks only KV room for a request."""
     for server in _open_servers(leader, waiting):
         lacks_room = not has_room(server, waiting)
-        if lacks_room and not server.promised and fits(server, waiting):
+        if (
+            lacks_room
+            and not server.reservations
+            and could_hold(server, waiting)
+        ):
             if predicting.in_time(leader, server, waiting):
                 return server
     return None
 
 
-def fits(
+def could_hold(
     server: deadline_records.Server, waiting: deadline_records.Waiting
 ) -> bool:
     """Tell whether a server's KV cache could hold a request by itself."""
     return waiting.kv_need <= server.announcement.kv_tokens
 
 
-def least_harm(
+def choose_for_suspect(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> deadline_records.Server | None:
@@ -200,7 +208,7 @@
     fit = [
         server
         for server in leader.servers.values()
-        if server.is_open() and _takes_suspect(server, waiting)
+        if server.is_open() and _may_take_suspect(server, waiting)
     ]
     return min(
         fit,
@@ -209,12 +217,12 @@
     )
 
 
-def _takes_suspect(
+def _may_take_suspect(
     server: deadline_records.Server, waiting: deadline_records.Waiting
 ) -> bool:
-    if server.suspects or server.kind not in waiting.latest:
+    if server.suspects or server.kind not in waiting.latest_starts:
         return False
-    if kept_for_another(server, waiting):
+    if is_reserved_for_others(server, waiting):
         return False
     return has_room(server, waiting)
 
@@ -226,16 +234,18 @@
     """List the few open servers worth a closer look."""
     found = [
         server_id
-        for server_id in leader.prefixes.warmest(waiting.ask.blocks)
+        for server_id in leader.prefixes.longest_holders(waiting.ask.blocks)
         if leader.open_servers.has(server_id)
     ]
-    for kind in waiting.latest:
+    for kind in waiting.latest_starts:
         found.extend(leader.open_servers.best(kind))
     servers = (leader.servers[server_id] for server_id in dict.fromkeys(found))
-    return [server for server in servers if server.kind in waiting.latest]
+    return [
+        server for server in servers if server.kind in waiting.latest_starts
+    ]
 
 
 def _slowdown(server: deadline_records.Server) -> float:
     """Weigh servers by load; learnt speeds have the usual load in them."""
-    load = len(server.running) / max(server.limit.whole, 1)
+    load = len(server.running) / max(server.limit.rounded, 1)
     return 1 + _LOAD_SLOWDOWN * load
--- a/libs/scheduling/geraniumweir/scheduling/predicting.py
+++ b/libs/scheduling/geraniumweir/scheduling/predicting.py
@@ -5,19 +5,19 @@
 
 See Also
 ========
-geraniumweir.scheduling.learning
+geraniumweir.scheduling.estimating
 """
 
 import typing
 
-from geraniumweir.scheduling import learning, deadline_records, deadline_state
+from geraniumweir.scheduling import estimating, deadline_records, deadline_state
 
-_MOST_DONE = 0.8
+_MAX_DONE_RATIO = 0.8
 _OVERDUE_FACTOR = 4.0
 _OVERDUE_SECONDS = 0.5
 
 
-def starts(
+def starts_by_class(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> dict[deadline_records.ServerClass, float]:
@@ -45,7 +45,7 @@
     rates = leader.speeds.of_kind(kind.hardware, waiting.ask.model)
     prompt = waiting.ask.prompt_tokens * (1 - cached)
     seconds = rates.seconds(prompt, waiting.expected.mean)
-    seconds *= waiting.hope
+    seconds *= waiting.duration_factor
     return waiting.ask.deadline - seconds * leader.cfg.safety
 
 
@@ -60,7 +60,7 @@
     return ask.prompt_tokens * (1 - share)
 
 
-def finish(
+def seconds_to_finish(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
@@ -71,7 +71,7 @@
         uncached_tokens(leader, server, waiting),
         waiting.expected.mean,
     )
-    return seconds * waiting.hope + prefill_ahead(leader, server)
+    return seconds * waiting.duration_factor + prefill_ahead(leader, server)
 
 
 def prefill_ahead(
@@ -82,15 +82,15 @@
     By the predictions, and by the first tokens that did not come yet.
     """
     by_clock = max(server.prefilled_at - leader.now(), 0)
-    if not server.unborn:
+    if not server.prefilling:
         return by_clock
-    first = next(iter(server.unborn.values()))
-    spent = leader.now() - max(first.granted, server.born_at)
-    if spent > first.prefill * _OVERDUE_FACTOR + _OVERDUE_SECONDS:
+    first = next(iter(server.prefilling.values()))
+    elapsed = leader.now() - max(first.granted, server.first_token_at)
+    if elapsed > first.prefill * _OVERDUE_FACTOR + _OVERDUE_SECONDS:
         # Its owner tells of no first tokens, or it stands still.
         return by_clock
-    done = min(spent, first.prefill * _MOST_DONE)
-    return max(by_clock, server.unborn_prefill - done)
+    done = min(elapsed, first.prefill * _MAX_DONE_RATIO)
+    return max(by_clock, server.prefilling_seconds - done)
 
 
 def in_time(
@@ -101,23 +101,25 @@
     """Tell whether a request started now on a server ends in time."""
     if waiting.probe:
         return True
-    return in_time_without(leader, server, waiting, ())
+    return in_time_after_cancel(leader, server, waiting, ())
 
 
-def in_time_without(
+def in_time_after_cancel(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
-    gone: typing.Iterable[deadline_records.Running],
+    cancelled: typing.Iterable[deadline_records.Running],
 ) -> bool:
     """Tell the same for a server from which some requests are cancelled."""
     freed = sum(
         running.prefill
-        for running in gone
-        if running.ask.request_id in server.unborn
+        for running in cancelled
+        if running.ask.request_id in server.prefilling
     )
     freed = min(freed, prefill_ahead(leader, server))
-    seconds = (finish(leader, server, waiting) - freed) * leader.cfg.safety
+    seconds = (
+        seconds_to_finish(leader, server, waiting) - freed
+    ) * leader.cfg.safety
     return leader.now() + seconds <= waiting.ask.deadline
 
 
@@ -127,8 +129,8 @@
 ) -> dict[deadline_records.ServerClass, float]:
     """Give the share of a prompt cached where most of it is, by class."""
     shares: dict[deadline_records.ServerClass, float] = {}
-    warmest = leader.prefixes.warmest(waiting.ask.blocks)
-    for server_id, share in warmest.items():
+    holders = leader.prefixes.longest_holders(waiting.ask.blocks)
+    for server_id, share in holders.items():
         server = leader.servers.get(server_id)
         if server is not None and server.live:
             shares[server.kind] = max(shares.get(server.kind, 0), share)
@@ -139,7 +141,7 @@
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     model: str | None,
-) -> learning.Rates:
+) -> estimating.Rates:
     """Give a server's predicted speeds for a model."""
     return leader.speeds.of_server(
         server.server_id,
--- a/libs/scheduling/geraniumweir/scheduling/prefix.py
+++ b/libs/scheduling/geraniumweir/scheduling/prefix.py
@@ -19,16 +19,16 @@
 
 from geraniumweir.common import ids
 
-MOST_BLOCKS = 512
-_MOST_HOLDERS = 16
-_LOOK = 4
-_DEFAULT_LIMIT = 8192
+MAX_BLOCKS = 512
+_MAX_HOLDERS = 16
+_MAX_LISTED = 4
+_DEFAULT_MAX_BLOCKS = 8192
 _FULL_TRUST = 1.0
-_LEAST_TRUST = 0.8
+_MIN_TRUST = 0.8
 _TRUST_STEP = 0.1
 _SIZE_SLACK = 1.05
 _SIZE_DRIFT = 1.01
-_LEAST_LIMIT = MOST_BLOCKS
+_MIN_LIMIT = MAX_BLOCKS
 
 _Blocks = tuple[ids.BlockHash, ...]
 
@@ -49,7 +49,7 @@
 class PrefixIndex:
     """Which blocks each server is thought to hold."""
 
-    def __init__(self, limit: int = _DEFAULT_LIMIT) -> None:
+    def __init__(self, limit: int = _DEFAULT_MAX_BLOCKS) -> None:
         """Know of no blocks.
 
         :param limit: most blocks kept for one server.
@@ -64,8 +64,8 @@
         incarnation: ids.Incarnation,
     ) -> None:
         """Take that a server runs; a new incarnation has an empty cache."""
-        known = self._caches.get(server_id)
-        if known is None or known.incarnation != incarnation:
+        found = self._caches.get(server_id)
+        if found is None or found.incarnation != incarnation:
             self.remove_server(server_id)
             self._caches[server_id] = _Cache(incarnation, self._limit)
 
@@ -73,16 +73,16 @@
         """Drop all that is known of a server."""
         cache = self._caches.pop(server_id, None)
         for block in cache.blocks if cache else ():
-            self._unhold(block, server_id)
+            self._remove_holder(block, server_id)
 
     def record_grant(self, server_id: ids.ServerId, blocks: _Blocks) -> None:
         """Take that a prompt goes to a server, which will cache it."""
         cache = self._caches.get(server_id)
         if cache is None:
             return
-        self._store(server_id, cache, blocks[:MOST_BLOCKS], cache.newest)
+        self._store(server_id, cache, blocks[:MAX_BLOCKS], cache.newest)
 
-    def events(
+    def apply_events(
         self,
         server_id: ids.ServerId,
         incarnation: ids.Incarnation,
@@ -96,7 +96,7 @@
         cache = self._caches.get(server_id)
         if cache is None or cache.incarnation != incarnation:
             return
-        _trust(cache, sequence)
+        _update_trust(cache, sequence)
         cache.newest = max(cache.newest, sequence)
         stored, evicted = changes
         self._store(server_id, cache, stored, sequence)
@@ -104,9 +104,9 @@
             # What is known from a later message stands.
             if cache.blocks.get(block, sequence + 1) <= sequence:
                 cache.blocks.pop(block)
-                self._unhold(block, server_id)
+                self._remove_holder(block, server_id)
         if evicted:
-            self._learn_size(server_id, cache)
+            self._estimate_size(server_id, cache)
 
     def cached_share(self, server_id: ids.ServerId, blocks: _Blocks) -> float:
         """Give the share of a prompt that a server is thought to hold."""
@@ -116,7 +116,7 @@
         length = _longest(blocks, cache.blocks)
         return cache.trust * length / len(blocks)
 
-    def warmest(self, blocks: _Blocks) -> dict[ids.ServerId, float]:
+    def longest_holders(self, blocks: _Blocks) -> dict[ids.ServerId, float]:
         """Give a few servers that hold the longest known prefix.
 
         :returns: the share of the prompt that each is thought to hold.
@@ -128,7 +128,7 @@
         holders = reversed(self._holders[blocks[length - 1]])
         return {
             server_id: self._caches[server_id].trust * share
-            for server_id in itertools.islice(holders, _LOOK)
+            for server_id in itertools.islice(holders, _MAX_LISTED)
         }
 
     def size(self, server_id: ids.ServerId) -> int:
@@ -136,20 +136,20 @@
         cache = self._caches.get(server_id)
         return len(cache.blocks) if cache else 0
 
-    def _learn_size(self, server_id: ids.ServerId, cache: _Cache) -> None:
+    def _estimate_size(self, server_id: ids.ServerId, cache: _Cache) -> None:
         """Take that a cache is full.
 
         Of evictions that are never heard of, this takes back the most.
         """
-        known = max(int(len(cache.blocks) * _SIZE_SLACK), _LEAST_LIMIT)
+        found = max(int(len(cache.blocks) * _SIZE_SLACK), _MIN_LIMIT)
         grown = int(cache.limit * _SIZE_DRIFT) + 1
-        cache.limit = min(grown, known, self._limit)
+        cache.limit = min(grown, found, self._limit)
         self._trim(server_id, cache)
 
     def _trim(self, server_id: ids.ServerId, cache: _Cache) -> None:
         while len(cache.blocks) > cache.limit:
             oldest, _ = cache.blocks.popitem(last=False)
-            self._unhold(oldest, server_id)
+            self._remove_holder(oldest, server_id)
 
     def _store(
         self,
@@ -164,11 +164,13 @@
             cache.blocks.move_to_end(block)
             holders = self._holders.setdefault(block, {})
             holders[server_id] = None
-            if len(holders) > _MOST_HOLDERS:
+            if len(holders) > _MAX_HOLDERS:
                 holders.pop(next(iter(holders)))
         self._trim(server_id, cache)
 
-    def _unhold(self, block: ids.BlockHash, server_id: ids.ServerId) -> None:
+    def _remove_holder(
+        self, block: ids.BlockHash, server_id: ids.ServerId
+    ) -> None:
         holders = self._holders.get(block)
         if holders is None:
             return
@@ -177,9 +179,9 @@
             self._holders.pop(block)
 
 
-def _trust(cache: _Cache, sequence: int) -> None:
+def _update_trust(cache: _Cache, sequence: int) -> None:
     if sequence > cache.newest + 1:
-        cache.trust = _LEAST_TRUST
+        cache.trust = _MIN_TRUST
     elif sequence == cache.newest + 1:
         cache.trust = min(_FULL_TRUST, cache.trust + _TRUST_STEP)
 
@@ -189,7 +191,7 @@
     known: typing.Container[ids.BlockHash],
 ) -> int:
     """Bisect for the number of leading blocks that are known."""
-    low, high = 1, min(len(blocks), MOST_BLOCKS)
+    low, high = 1, min(len(blocks), MAX_BLOCKS)
     while low < high:
         middle = (low + high + 1) // 2
         if blocks[middle - 1] in known:
--- a/libs/scheduling/geraniumweir/scheduling/progressing.py
+++ b/libs/scheduling/geraniumweir/scheduling/progressing.py
@@ -4,7 +4,7 @@
     affinity,
     fleet,
     deadline_granting,
-    learning,
+    estimating,
     placement,
     deadline_records,
     requests,
@@ -18,23 +18,23 @@
 
 
 def progress(
-    leader: deadline_state.DeadlineLeaderState, news: requests.Progress
+    leader: deadline_state.DeadlineLeaderState, update: requests.Progress
 ) -> None:
     """Take how granted work goes on."""
-    running = leader.running.get(news.request_id)
+    running = leader.running.get(update.request_id)
     if running is None:
         return
     server = leader.servers.get(running.grant.server_id)
     if server is None:
         return
-    moved = news.output_tokens > running.output_tokens
-    if news.first_token is not None and running.first_token is None:
-        _first_token(leader, server, running, news.first_token)
-        moved = True
-    if not moved:
+    advanced = update.output_tokens > running.output_tokens
+    if update.first_token is not None and running.first_token is None:
+        _record_first_token(leader, server, running, update.first_token)
+        advanced = True
+    if not advanced:
         return
-    running.output_tokens = max(running.output_tokens, news.output_tokens)
-    _moves(leader, server, running)
+    running.output_tokens = max(running.output_tokens, update.output_tokens)
+    _record_progress(leader, server, running)
 
 
 def release(
@@ -52,7 +52,7 @@
     _correct_charge(leader, running, ended.outcome)
     match ended.outcome:
         case requests.Outcome.done | requests.Outcome.answered_failure:
-            _learn_end(leader, server, running, ended)
+            _record_end(leader, server, running, ended)
         case (
             requests.Outcome.not_sent
             | requests.Outcome.turned_away
@@ -60,7 +60,7 @@
         ):
             server.health.stall(leader.now())
         case requests.Outcome.failed | requests.Outcome.crashed:
-            _failed(leader, server, running)
+            _record_failure(leader, server, running)
         case (
             requests.Outcome.cancelled
             | requests.Outcome.preempted
@@ -72,17 +72,17 @@
     deadline_granting.fill(leader, server)
 
 
-def _failed(
+def _record_failure(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
 ) -> None:
     """Take that a server answered with an error or broke off."""
     now = leader.now()
-    mark = running.ask.fingerprint
-    server.failures.append((now, mark))
-    server.health.failed(now)
-    leader.suspects.broke_off(mark, server.server_id, now)
+    request_fingerprint = running.ask.fingerprint
+    server.failures.append((now, request_fingerprint))
+    server.health.record_failure(now)
+    leader.suspects.broke_off(request_fingerprint, server.server_id, now)
 
 
 def remove_running(
@@ -93,11 +93,11 @@
     ask = running.ask
     leader.running.pop(ask.request_id)
     leader.running_by_tier[ask.tier] -= 1
-    leader.running_prints[ask.fingerprint] -= 1
-    if not leader.running_prints[ask.fingerprint]:
-        leader.running_prints.pop(ask.fingerprint)
+    leader.running_fingerprints[ask.fingerprint] -= 1
+    if not leader.running_fingerprints[ask.fingerprint]:
+        leader.running_fingerprints.pop(ask.fingerprint)
     leader.rules[ask.rule].running -= 1
-    waitlist.forget_idle_rule(leader, ask.rule)
+    waitlist.discard_idle_rule(leader, ask.rule)
     orphans = leader.orphans.get(running.grant.server_id, {})
     orphans.pop(ask.request_id, None)
     server = leader.servers.get(running.grant.server_id)
@@ -105,18 +105,18 @@
         fleet.detach(leader, server, running)
 
 
-def _first_token(
+def _record_first_token(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
     seconds: float,
 ) -> None:
     running.first_token = seconds
-    affinity.warmed(server, running)
-    fleet.born(leader, server, running)
+    affinity.end_warming(server, running)
+    fleet.end_prefill(leader, server, running)
     rate = _rates(leader, server, running).prefill
     tokens = _tokens_before(running, rate)
-    leader.speeds.learn_prefill(
+    leader.speeds.add_prefill_sample(
         server.server_id,
         server.kind.hardware,
         running.ask.model,
@@ -124,24 +124,24 @@
     )
     usual = leader.speeds.of_kind(server.kind.hardware, running.ask.model)
     server.limit.observe(seconds, usual.prefill * tokens, leader.now())
-    server.health.compare(seconds, rate * tokens, leader.now())
+    server.health.record_duration(seconds, rate * tokens, leader.now())
     placement.refresh(leader, server)
 
 
 def _tokens_before(running: deadline_records.Running, rate: float) -> float:
     """Give the tokens prefilled before a first token, its own included."""
     ahead = running.ahead / rate if rate else 0
-    return running.uncached + ahead + learning.FIXED_TOKENS
+    return running.uncached + ahead + estimating.FIXED_TOKENS
 
 
-def _moves(
+def _record_progress(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
 ) -> None:
     server.last_progress_at = leader.now()
     step = _rates(leader, server, running).decode * _STEPS_BETWEEN_REPORTS
-    running.due = leader.now() + stragglers.patience(step)
+    running.due = leader.now() + stragglers.stall_timeout(step)
     if running.stuck:
         running.stuck = False
         server.stuck -= 1
@@ -149,7 +149,7 @@
         placement.refresh(leader, server)
 
 
-def _learn_end(
+def _record_end(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
@@ -160,17 +160,17 @@
         first_token = ended.seconds
     if running.first_token is None and first_token is not None:
         running.first_token = first_token
-        _learn_late_first_token(leader, server, running)
+        _sample_late_first_token(leader, server, running)
     if ended.output_tokens:
         ask = running.ask
-        leader.lengths.learn(ask.rule, ask.customer, ended.output_tokens)
-        _learn_decode(leader, server, running, ended)
+        leader.lengths.add_sample(ask.rule, ask.customer, ended.output_tokens)
+        _sample_decode(leader, server, running, ended)
     leader.suspects.ended_well(running.ask.fingerprint)
     server.last_progress_at = leader.now()
-    server.health.good()
+    server.health.record_success()
 
 
-def _learn_late_first_token(
+def _sample_late_first_token(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
@@ -178,7 +178,7 @@
     """Learn a first token that was heard of only at the end."""
     rate = _rates(leader, server, running).prefill
     tokens = _tokens_before(running, rate)
-    leader.speeds.learn_prefill(
+    leader.speeds.add_prefill_sample(
         server.server_id,
         server.kind.hardware,
         running.ask.model,
@@ -186,7 +186,7 @@
     )
 
 
-def _learn_decode(
+def _sample_decode(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
@@ -197,7 +197,7 @@
     if steps < 1 or seconds <= 0:
         return
     expected = _rates(leader, server, running).decode * steps
-    leader.speeds.learn_decode(
+    leader.speeds.add_decode_sample(
         server.server_id,
         server.kind.hardware,
         running.ask.model,
@@ -205,7 +205,7 @@
     )
     usual = leader.speeds.of_kind(server.kind.hardware, running.ask.model)
     server.limit.observe(seconds, usual.decode * steps, leader.now())
-    server.health.compare(seconds, expected, leader.now())
+    server.health.record_duration(seconds, expected, leader.now())
 
 
 def _correct_charge(
@@ -226,7 +226,7 @@
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     running: deadline_records.Running,
-) -> learning.Rates:
+) -> estimating.Rates:
     return leader.speeds.of_server(
         server.server_id,
         server.kind.hardware,
--- a/libs/scheduling/geraniumweir/scheduling/shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/shedding.py
@@ -22,50 +22,56 @@
     waitlist,
 )
 
-_GRACE = 0.25
-_LOOKS = 4
+_GRACE_SECONDS = 0.25
+_RETRIES_IN_SLACK = 4
 # A pool without servers is waited for this long; they may just be unheard of.
 NO_SERVER_SECONDS = 1.0
-_MOST_VICTIMS = 8
-_MOST_AHEAD = 2.0
-_LOOK_SECONDS = 0.5
-_LEAST_RETRY = 0.2
-_LONGEST_RETRY = 10.0
-_SPREAD = 0.5
+_MAX_VICTIMS = 8
+_MAX_PREFILL_AHEAD_SECONDS = 2.0
+_RETRY_INTERVAL_SECONDS = 0.5
+_MIN_RETRY_SECONDS = 0.2
+_MAX_RETRY_SECONDS = 10.0
+_RETRY_SPREAD = 0.5
 _MS = 1000
 
 
-def watch(
+def schedule_decision(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> None:
     """See to it that a request is decided when its latest start comes."""
-    if not waiting.latest:
-        by = min(waiting.ask.deadline, waiting.arrived + NO_SERVER_SECONDS)
-        _arm(leader, waiting, by, expire)
+    if not waiting.latest_starts:
+        decide_at = min(
+            waiting.ask.deadline, waiting.arrived + NO_SERVER_SECONDS
+        )
+        _start_timer(leader, waiting, decide_at, decide_at_latest_start)
         return
-    at = waiting.best_start - leader.cfg.preempt_slack - _MOST_AHEAD
-    if at <= leader.now():
-        urgent(leader, waiting)
+    fire_at = (
+        waiting.best_start
+        - leader.cfg.preempt_slack
+        - _MAX_PREFILL_AHEAD_SECONDS
+    )
+    if fire_at <= leader.now():
+        serve_or_preempt(leader, waiting)
     else:
-        _arm(leader, waiting, at, urgent)
+        _start_timer(leader, waiting, fire_at, serve_or_preempt)
 
 
-def give_up(leader: deadline_state.DeadlineLeaderState) -> None:
+def deny_unservable(leader: deadline_state.DeadlineLeaderState) -> None:
     """Refuse what the servers that left could have served.
 
     No other live server can; another failure domain may, and is asked next.
     """
     live = {server.kind for server in leader.servers.values() if server.live}
-    if not leader.settled or len(live) == len(leader.classes):
+    if not leader.takeover_complete or len(live) == len(leader.classes):
         return
     before = leader.now() - NO_SERVER_SECONDS
     for waiting in list(leader.waiting.values()):
-        if waiting.arrived <= before and live.isdisjoint(waiting.latest):
+        if waiting.arrived <= before and live.isdisjoint(waiting.latest_starts):
             deny(leader, waiting, requests.DenialReason.no_server)
 
 
-def _least_ahead(
+def _min_prefill_ahead(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> float:
@@ -75,7 +81,7 @@
     """
     streams = itertools.chain.from_iterable(
         leader.preemptible.least(kind, tier)
-        for kind in waiting.latest
+        for kind in waiting.latest_starts
         for tier in ids.Tier
         if tier > waiting.ask.tier
     )
@@ -85,39 +91,51 @@
     return min(ahead, default=0) * leader.cfg.safety
 
 
-def urgent(
+def serve_or_preempt(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> None:
     """Serve a request that nears its latest start, or make way for it."""
-    if waiting.fut.done() or deadline_granting.try_now(leader, waiting):
+    if waiting.fut.done() or deadline_granting.try_grant(leader, waiting):
         return
     left = waiting.best_start - leader.cfg.preempt_slack - leader.now()
-    if left > _least_ahead(leader, waiting):
-        _arm(leader, waiting, leader.now() + min(left, _LOOK_SECONDS), urgent)
+    if left > _min_prefill_ahead(leader, waiting):
+        _start_timer(
+            leader,
+            waiting,
+            leader.now() + min(left, _RETRY_INTERVAL_SECONDS),
+            serve_or_preempt,
+        )
         return
     preempt(leader, waiting)
     if waiting.fut.done():
         return
     # What made way may go to one of a higher tier; then others must.
-    again = leader.now() + leader.cfg.preempt_slack / _LOOKS
-    if again < waiting.best_start:
-        _arm(leader, waiting, again, urgent)
+    retry_at = leader.now() + leader.cfg.preempt_slack / _RETRIES_IN_SLACK
+    if retry_at < waiting.best_start:
+        _start_timer(leader, waiting, retry_at, serve_or_preempt)
     else:
-        _arm(leader, waiting, waiting.best_start, expire)
+        _start_timer(
+            leader, waiting, waiting.best_start, decide_at_latest_start
+        )
 
 
-def expire(
+def decide_at_latest_start(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> None:
     """Decide a request at its latest start."""
-    if waiting.fut.done() or deadline_granting.try_now(leader, waiting):
+    if waiting.fut.done() or deadline_granting.try_grant(leader, waiting):
         return
     if not waiting.extended and preempt(leader, waiting):
         waiting.extended = True
         if not waiting.fut.done():
-            _arm(leader, waiting, leader.now() + _GRACE, expire)
+            _start_timer(
+                leader,
+                waiting,
+                leader.now() + _GRACE_SECONDS,
+                decide_at_latest_start,
+            )
         return
     deny(leader, waiting, _reason_at_end(leader, waiting))
 
@@ -127,11 +145,11 @@
     waiting: deadline_records.Waiting,
 ) -> requests.DenialReason:
     """Tell what kept a request from being served until its latest start."""
-    if not waiting.latest:
+    if not waiting.latest_starts:
         return requests.DenialReason.no_server
     if waitlist.over_running_limit(leader, waiting.ask):
         return requests.DenialReason.rule_limit
-    if waiting.held and waiting.ask.fingerprint in leader.running_prints:
+    if waiting.held and waiting.ask.fingerprint in leader.running_fingerprints:
         return requests.DenialReason.quarantined
     return requests.DenialReason.too_late
 
@@ -142,14 +160,14 @@
     reason: requests.DenialReason,
 ) -> None:
     """End a request that waits."""
-    waitlist.leave(leader, waiting)
-    kept = waitlist.unpromise(leader, waiting)
-    waiting.fut.set_result(denial(leader, waiting.ask, reason))
+    waitlist.dequeue(leader, waiting)
+    kept = waitlist.cancel_reservation(leader, waiting)
+    waiting.fut.set_result(make_denial(leader, waiting.ask, reason))
     if kept is not None:
         deadline_granting.fill(leader, kept)
 
 
-def denial(
+def make_denial(
     leader: deadline_state.DeadlineLeaderState,
     ask: requests.Ask,
     reason: requests.DenialReason,
@@ -162,9 +180,9 @@
     if reason is requests.DenialReason.quarantined:
         seconds = leader.suspects.remaining(ask.fingerprint, now)
     else:
-        seconds = min(max(seconds, _LEAST_RETRY), _LONGEST_RETRY)
+        seconds = min(max(seconds, _MIN_RETRY_SECONDS), _MAX_RETRY_SECONDS)
     # Spread out, so that those refused together don't come back together.
-    spread = leader.dice.uniform(1, 1 + 2 * _SPREAD)
+    spread = leader.rng.uniform(1, 1 + 2 * _RETRY_SPREAD)
     return requests.Denial(ask.request_id, reason, int(seconds * spread * _MS))
 
 
@@ -185,7 +203,7 @@
     )
 
 
-def make_room(
+def shed_lower(
     leader: deadline_state.DeadlineLeaderState, ask: requests.Ask
 ) -> bool:
     """Shed the lowest, latest request if it is lower than a newcomer."""
@@ -199,7 +217,7 @@
     return False
 
 
-def lower_is_served(
+def serves_lower_tier(
     leader: deadline_state.DeadlineLeaderState, tier: ids.Tier
 ) -> bool:
     """Tell whether anything of a lower tier runs or waits."""
@@ -218,11 +236,11 @@
 
     :returns: whether some are on their way out.
     """
-    if not leader.cfg.preempts or not leader.settled:
+    if not leader.cfg.preempts or not leader.takeover_complete:
         return False
     if waitlist.over_running_limit(leader, waiting.ask):
         return False
-    if waiting.held and waiting.ask.fingerprint in leader.running_prints:
+    if waiting.held and waiting.ask.fingerprint in leader.running_fingerprints:
         return False
     if waiting.preempting & leader.running.keys():
         return True
@@ -230,7 +248,7 @@
     if not chosen:
         return False
     server_id = chosen[0].grant.server_id
-    waitlist.promise(leader, leader.servers[server_id], waiting)
+    waitlist.reserve(leader, leader.servers[server_id], waiting)
     for running in chosen:
         running.preempted = True
         leader.preemptible.remove(running.ask.request_id)
@@ -253,23 +271,23 @@
     for tier in reversed(ids.Tier):
         if tier <= waiting.ask.tier:
             return []
-        options = _options(leader, waiting, tier)
+        options = _victim_sets(leader, waiting, tier)
         if options:
             return min(options, key=_waste)
     return []
 
 
-def _options(
+def _victim_sets(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
     tier: ids.Tier,
 ) -> list[list[deadline_records.Running]]:
     """List what could be cancelled together, starting from one tier."""
     streams = itertools.chain.from_iterable(
-        leader.preemptible.least(kind, tier) for kind in waiting.latest
+        leader.preemptible.least(kind, tier) for kind in waiting.latest_starts
     )
     options = (
-        _with_company(leader, waiting, request_id) for request_id in streams
+        _victims_with(leader, waiting, request_id) for request_id in streams
     )
     return [chosen for chosen in options if chosen]
 
@@ -278,7 +296,7 @@
     return sum(running.uncached for running in chosen)
 
 
-def _with_company(
+def _victims_with(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
     request_id: ids.RequestId,
@@ -286,26 +304,28 @@
     """Find what must go, with a stream, so that a request fits its server."""
     first = leader.running[request_id]
     server = leader.servers[first.grant.server_id]
-    if first.stuck or not _could_take(server, waiting):
+    if first.stuck or not _could_run(server, waiting):
         return []
-    slots, tokens = _lacking(server, waiting)
-    streams = itertools.chain([first], _others(leader, server, first, waiting))
+    slots, tokens = _missing_capacity(server, waiting)
+    streams = itertools.chain(
+        [first], _further_victims(leader, server, first, waiting)
+    )
     chosen = []
-    for running in itertools.islice(streams, _MOST_VICTIMS):
+    for running in itertools.islice(streams, _MAX_VICTIMS):
         chosen.append(running)
         slots -= 1
         tokens -= running.kv_need
         if slots <= 0 and tokens <= 0:
             break
     else:
-        if len(chosen) < len(server.running) or server.promised:
+        if len(chosen) < len(server.running) or server.reservations:
             return []
-    if predicting.in_time_without(leader, server, waiting, chosen):
+    if predicting.in_time_after_cancel(leader, server, waiting, chosen):
         return chosen
     return []
 
 
-def _lacking(
+def _missing_capacity(
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> tuple[int, float]:
@@ -318,20 +338,20 @@
         running for running in server.running.values() if not running.preempted
     ]
     moving = sum(not running.stuck for running in staying)
-    promised = [
+    reserved = [
         other
-        for other in placement.promised_before(server, waiting)
+        for other in placement.reservations_before(server, waiting)
         if other.preempting
     ]
-    slots = moving + len(promised) + 1 - server.most()
+    slots = moving + len(reserved) + 1 - server.capacity()
     if not server.announcement.kv_tokens:
         return slots, 0
     used = sum(running.kv_need for running in staying)
-    used += sum(other.kv_need for other in promised)
+    used += sum(other.kv_need for other in reserved)
     return slots, used + waiting.kv_need - server.announcement.kv_tokens
 
 
-def _others(
+def _further_victims(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     first: deadline_records.Running,
@@ -350,26 +370,26 @@
     )
 
 
-def _could_take(
+def _could_run(
     server: deadline_records.Server, waiting: deadline_records.Waiting
 ) -> bool:
     """Tell whether a server that lost a stream may run a request."""
-    if not server.most():
+    if not server.capacity():
         return False
     return not (waiting.held and server.suspects)
 
 
-def _arm(
+def _start_timer(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
-    at: float,
+    fire_at: float,
     action: typing.Callable[
         [deadline_state.DeadlineLeaderState, deadline_records.Waiting], None
     ],
 ) -> None:
     if waiting.timer is not None:
         waiting.timer.cancel()
-    delay = max(at - leader.now(), 0)
+    delay = max(fire_at - leader.now(), 0)
     waiting.timer = asyncio.get_running_loop().call_later(
         delay,
         action,
--- a/libs/scheduling/geraniumweir/scheduling/stragglers.py
+++ b/libs/scheduling/geraniumweir/scheduling/stragglers.py
@@ -9,15 +9,15 @@
 import dataclasses
 import enum
 
-_FIRST_PAUSE = 2.0
-_LONGEST_PAUSE = 60.0
+_FIRST_COOLDOWN_SECONDS = 2.0
+_MAX_COOLDOWN_SECONDS = 60.0
 _GROWTH = 2
-_TRUSTED_AT = 64
-_LEAST_PATIENCE = 2.5
-_PATIENCE_FACTOR = 5.0
+_TRUSTED_ALLOWANCE = 64
+_MIN_TIMEOUT_SECONDS = 2.5
+_TIMEOUT_FACTOR = 5.0
 _SLOW_FACTOR = 6.0
-_SLOW_IN_ROW = 3
-_FAILED_IN_ROW = 3
+_MAX_SLOW_IN_ROW = 3
+_MAX_FAILED_IN_ROW = 3
 
 
 class Standing(enum.Enum):
@@ -38,12 +38,12 @@
 
     standing: Standing = Standing.trusted
     allowance: int = 1
-    pause: float = _FIRST_PAUSE
-    until: float = 0
+    cooldown_seconds: float = _FIRST_COOLDOWN_SECONDS
+    cooldown_ends_at: float = 0
     slow_in_row: int = 0
     failed_in_row: int = 0
 
-    def most(self, limit: int) -> int:
+    def capacity(self, limit: int) -> int:
         """Give how many requests the server may run.
 
         :param limit: its learnt concurrency limit.
@@ -61,8 +61,10 @@
         if self.standing is Standing.stalled:
             return
         self.standing = Standing.stalled
-        self.until = now + self.pause
-        self.pause = min(self.pause * _GROWTH, _LONGEST_PAUSE)
+        self.cooldown_ends_at = now + self.cooldown_seconds
+        self.cooldown_seconds = min(
+            self.cooldown_seconds * _GROWTH, _MAX_COOLDOWN_SECONDS
+        )
         self.allowance = 1
 
     def probe(self) -> None:
@@ -71,56 +73,58 @@
         self.allowance = 1
         self.slow_in_row = 0
 
-    def wake(self, now: float) -> bool:
+    def end_cooldown(self, now: float) -> bool:
         """End the pause if it is over.
 
         :returns: whether the server takes work again.
         """
-        if self.standing is not Standing.stalled or now < self.until:
+        if self.standing is not Standing.stalled or now < self.cooldown_ends_at:
             return False
         self.probe()
         return True
 
-    def good(self) -> None:
+    def record_success(self) -> None:
         """Take that a request ended well."""
         self.slow_in_row = 0
         self.failed_in_row = 0
         if self.standing is not Standing.probation:
             return
         self.allowance *= _GROWTH
-        if self.allowance >= _TRUSTED_AT:
+        if self.allowance >= _TRUSTED_ALLOWANCE:
             self.standing = Standing.trusted
-            self.pause = _FIRST_PAUSE
+            self.cooldown_seconds = _FIRST_COOLDOWN_SECONDS
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Take that a request failed; several in a row are a stall.
 
         A server that fails at once would else look like the fastest.
         """
         self.failed_in_row += 1
-        if self.failed_in_row >= _FAILED_IN_ROW:
+        if self.failed_in_row >= _MAX_FAILED_IN_ROW:
             self.failed_in_row = 0
             self.stall(now)
 
-    def compare(self, seconds: float, expected: float, now: float) -> None:
+    def record_duration(
+        self, seconds: float, expected: float, now: float
+    ) -> None:
         """Take how long something took against what was learnt."""
         if seconds < max(expected * _SLOW_FACTOR, 1):
             self.slow_in_row = 0
             return
         self.slow_in_row += 1
-        if self.slow_in_row >= _SLOW_IN_ROW:
+        if self.slow_in_row >= _MAX_SLOW_IN_ROW:
             self.slow_in_row = 0
             self.stall(now)
 
 
-def patience(expected: float) -> float:
+def stall_timeout(expected: float) -> float:
     """Give the seconds without progress after which a server has stalled.
 
     :param expected: predicted seconds to the next sign of progress.
 
-    >>> patience(0.1)
+    >>> stall_timeout(0.1)
     2.5
-    >>> patience(2.0)
+    >>> stall_timeout(2.0)
     10.0
     """
-    return max(_LEAST_PATIENCE, expected * _PATIENCE_FACTOR)
+    return max(_MIN_TIMEOUT_SECONDS, expected * _TIMEOUT_FACTOR)
--- a/libs/scheduling/geraniumweir/scheduling/summary.py
+++ b/libs/scheduling/geraniumweir/scheduling/summary.py
@@ -26,7 +26,7 @@
     slots: collections.Counter[str] = collections.Counter()
     free: collections.Counter[str] = collections.Counter()
     for server in leader.servers.values():
-        most = server.most()
+        most = server.capacity()
         for model in server.kind.models or ('',):
             slots[model] += most
             free[model] += max(most - len(server.running), 0)
--- a/libs/scheduling/geraniumweir/scheduling/tests/reference_policy.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/reference_policy.py
@@ -8,7 +8,7 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import fairqueue
 
-_BY_CUSTOMER = 2
+_PER_CUSTOMER = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -88,8 +88,8 @@
             )
             looked += bool(mine)
             ahead = time > customers[0][0] + window
-            (far if ahead else near).extend(mine[:_BY_CUSTOMER])
-            if looked == fairqueue.LOOK:
+            (far if ahead else near).extend(mine[:_PER_CUSTOMER])
+            if looked == fairqueue.MAX_CUSTOMERS:
                 break
         return [sequence for _, sequence in sorted(near) + far]
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_affinity.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_affinity.py
@@ -90,10 +90,10 @@
     limit = concurrency.Limit(16)
     for second in range(100):
         limit.observe(60, 1, float(second))
-    assert limit.whole == 8
+    assert limit.rounded == 8
     for second in range(100, 120):
         limit.observe(1, 1, float(second))
-    assert limit.whole == 16
+    assert limit.rounded == 16
 
 
 def test_new_rule_is_not_refused_for_the_lengths_of_others() -> None:
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_fairqueue.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_fairqueue.py
@@ -14,21 +14,21 @@
 @pytest.mark.parametrize('seed', range(6))
 def test_same_as_the_reference(seed: int) -> None:
     """On generated traffic each decision is the reference's."""
-    dice = random.Random(seed)
+    rng = random.Random(seed)
     queue: fairqueue.FairQueue[str, int] = fairqueue.FairQueue()
     reference = reference_policy.ReferenceQueue()
     waiting: dict[int, reference_policy.Item] = {}
     for step in range(_STEPS):
         now = step * 0.05
-        if dice.randrange(100) <= 51:
-            item = _item(dice, step, now)
+        if rng.randrange(100) <= 51:
+            item = _item(rng, step, now)
             reference.add(item)
             waiting[step] = item
             flow = (item.tier, item.customer)
             queue.add(step, flow, step, dict(item.starts))
-        tier = dice.choice(list(ids.Tier))
-        kind = dice.choice(_CLASSES)
-        window = dice.choice([0, 2])
+        tier = rng.choice(list(ids.Tier))
+        kind = rng.choice(_CLASSES)
+        window = rng.choice([0, 2])
         found = queue.candidates(kind, tier, now, window)
         assert found == reference.candidates(kind, tier, now, window)
         if found:
@@ -36,19 +36,19 @@
             flow = (item.tier, item.customer)
             queue.remove(found[0], flow, found[0], dict(item.starts))
             reference.remove(item)
-            cost = dice.uniform(-0.2, 3)
+            cost = rng.uniform(-0.2, 3)
             queue.charge(flow, cost)
             reference.charge(flow, cost)
 
 
-def _item(dice: random.Random, step: int, now: float) -> reference_policy.Item:
-    start = now + dice.uniform(-1, 20)
-    classes = dice.sample(_CLASSES, dice.randint(1, 3))
+def _item(rng: random.Random, step: int, now: float) -> reference_policy.Item:
+    start = now + rng.uniform(-1, 20)
+    classes = rng.sample(_CLASSES, rng.randint(1, 3))
     return reference_policy.Item(
         step,
-        dice.choice(list(ids.Tier)),
-        ids.CustomerName(f'customer-{dice.randrange(12)}'),
-        tuple((kind, start - dice.uniform(0, 5)) for kind in classes),
+        rng.choice(list(ids.Tier)),
+        ids.CustomerName(f'customer-{rng.randrange(12)}'),
+        tuple((kind, start - rng.uniform(0, 5)) for kind in classes),
     )
 
 
@@ -88,4 +88,4 @@
         queue.remove(number, busy, number, {'fast': 1.0 + number})
         queue.charge(busy, 1)
     queue.add(1000, back, 1000, {'fast': 500.0})
-    assert queue.service(back) == queue.service(busy)
+    assert queue.virtual_time(back) == queue.virtual_time(busy)
--- a/libs/scheduling/geraniumweir/scheduling/ticking.py
+++ b/libs/scheduling/geraniumweir/scheduling/ticking.py
@@ -14,10 +14,10 @@
 )
 
 _TICK_SECONDS = 0.25
-_MIN_SYNC_GAP = 0.02
+_MIN_SYNC_SECONDS = 0.02
 
 
-def arm(leader: deadline_state.DeadlineLeaderState) -> None:
+def start_ticking(leader: deadline_state.DeadlineLeaderState) -> None:
     """Start ticking, unless it ticks already."""
     if leader.ticker is None:
         leader.ticker = asyncio.get_running_loop().call_later(
@@ -27,43 +27,43 @@
         )
 
 
-def changed(leader: deadline_state.DeadlineLeaderState) -> None:
+def servers_changed(leader: deadline_state.DeadlineLeaderState) -> None:
     """Take that servers or settings may have changed.
 
     Announcements come by the hundred in a second, so most of them wait for
     the next tick.
     """
-    if leader.now() - leader.synced >= _MIN_SYNC_GAP:
+    if leader.now() - leader.synced_at >= _MIN_SYNC_SECONDS:
         crashes.synced(leader)
         deadline_granting.fill_open(leader)
 
 
-def look_first(leader: deadline_state.DeadlineLeaderState) -> None:
+def sync_if_stale(leader: deadline_state.DeadlineLeaderState) -> None:
     """Follow the servers before an ask, unless that was done lately."""
-    if leader.now() - leader.synced > _TICK_SECONDS:
+    if leader.now() - leader.synced_at > _TICK_SECONDS:
         crashes.synced(leader)
         deadline_granting.fill_open(leader)
 
 
-def beat(leader: deadline_state.DeadlineLeaderState) -> None:
+def run_tick(leader: deadline_state.DeadlineLeaderState) -> None:
     """Do what is due at a tick."""
-    if leader.now() >= leader.settle_by:
-        leader.settled = True
-    if leader.now() - leader.synced >= _TICK_SECONDS:
+    if leader.now() >= leader.takeover_ends_at:
+        leader.takeover_complete = True
+    if leader.now() - leader.synced_at >= _TICK_SECONDS:
         crashes.synced(leader)
-    shedding.give_up(leader)
+    shedding.deny_unservable(leader)
     _find_stalls(leader)
     for server in leader.servers.values():
-        if server.health.wake(leader.now()):
+        if server.health.end_cooldown(leader.now()):
             placement.refresh(leader, server)
     deadline_granting.fill_open(leader)
 
 
 def _tick(leader: deadline_state.DeadlineLeaderState) -> None:
     leader.ticker = None
-    beat(leader)
+    run_tick(leader)
     if leader.waiting or leader.running:
-        arm(leader)
+        start_ticking(leader)
 
 
 def _find_stalls(leader: deadline_state.DeadlineLeaderState) -> None:
@@ -75,10 +75,10 @@
         if running.due > leader.now():
             deadline_granting.watch_progress(leader, running)
         else:
-            _stalled(leader, running)
+            _handle_stall(leader, running)
 
 
-def _stalled(
+def _handle_stall(
     leader: deadline_state.DeadlineLeaderState,
     running: deadline_records.Running,
 ) -> None:
--- a/libs/scheduling/geraniumweir/scheduling/victims.py
+++ b/libs/scheduling/geraniumweir/scheduling/victims.py
@@ -5,7 +5,7 @@
 import sortedcontainers
 from geraniumweir.common import ids
 
-_LOOK = 4
+_MAX_LISTED = 4
 
 _Class = typing.TypeVar('_Class', bound=typing.Hashable)
 
@@ -62,7 +62,7 @@
         order = self._by_lane.get((server_class, tier))
         if order is None:
             return []
-        return [request_id for _, request_id in order[:_LOOK]]
+        return [request_id for _, request_id in order[:_MAX_LISTED]]
 
     def waste(self, request_id: ids.RequestId) -> float | None:
         """Give what a stream would waste, None if it may not be preempted."""
--- a/libs/scheduling/geraniumweir/scheduling/waitlist.py
+++ b/libs/scheduling/geraniumweir/scheduling/waitlist.py
@@ -13,7 +13,7 @@
     suspects,
 )
 
-_NOTHING = 1e-9
+_ROUNDING_ERROR = 1e-9
 
 
 def enqueue(
@@ -35,10 +35,10 @@
         waiting.held = True
         rule.parked[ask.request_id] = waiting
     else:
-        to_queue(leader, waiting)
+        add_to_queue(leader, waiting)
 
 
-def leave(
+def dequeue(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> None:
@@ -52,7 +52,7 @@
     if not leader.by_tier[ask.tier]:
         # Sums of floats drift; an empty tier has nothing ahead.
         leader.cost_by_tier[ask.tier] = 0
-    if leader.cost_by_flow[waiting.flow] <= _NOTHING:
+    if leader.cost_by_flow[waiting.flow] <= _ROUNDING_ERROR:
         leader.cost_by_flow.pop(waiting.flow)
     if waiting.timer is not None:
         waiting.timer.cancel()
@@ -60,12 +60,12 @@
     rule.waiting -= 1
     rule.parked.pop(ask.request_id, None)
     leader.held.pop(ask.request_id, None)
-    forget_idle_rule(leader, ask.rule)
+    discard_idle_rule(leader, ask.rule)
     if not waiting.held:
-        _from_queue(leader, waiting)
+        _remove_from_queue(leader, waiting)
 
 
-def forget_idle_rule(
+def discard_idle_rule(
     leader: deadline_state.DeadlineLeaderState, name: ids.RuleName
 ) -> None:
     """Drop the count of a rule that nothing runs or waits for."""
@@ -74,7 +74,7 @@
         leader.rules.pop(name)
 
 
-def unpromise(
+def cancel_reservation(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> deadline_records.Server | None:
@@ -82,24 +82,24 @@
 
     :returns: the server that kept it.
     """
-    if waiting.promised_by is None:
+    if waiting.reserved_on is None:
         return None
-    server = leader.servers.get(waiting.promised_by)
-    waiting.promised_by = None
+    server = leader.servers.get(waiting.reserved_on)
+    waiting.reserved_on = None
     if server is not None:
-        server.promised.pop(waiting.ask.request_id, None)
+        server.reservations.pop(waiting.ask.request_id, None)
     return server
 
 
-def promise(
+def reserve(
     leader: deadline_state.DeadlineLeaderState,
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> None:
     """Keep a server's next room for a request."""
-    unpromise(leader, waiting)
-    server.promised[waiting.ask.request_id] = waiting
-    waiting.promised_by = server.server_id
+    cancel_reservation(leader, waiting)
+    server.reservations[waiting.ask.request_id] = waiting
+    waiting.reserved_on = server.server_id
 
 
 def hold_if_needed(
@@ -114,12 +114,12 @@
         leader.rules[ask.rule].parked[ask.request_id] = waiting
     else:
         return False
-    _from_queue(leader, waiting)
+    _remove_from_queue(leader, waiting)
     waiting.held = True
     return True
 
 
-def to_queue(
+def add_to_queue(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> None:
@@ -129,11 +129,11 @@
         waiting,
         waiting.flow,
         waiting.sequence,
-        waiting.latest,
+        waiting.latest_starts,
     )
 
 
-def _from_queue(
+def _remove_from_queue(
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> None:
@@ -141,7 +141,7 @@
         waiting,
         waiting.flow,
         waiting.sequence,
-        waiting.latest,
+        waiting.latest_starts,
     )
 
 
