--- a/libs/scheduling/geraniumweir/scheduling/admitting.py
+++ b/libs/scheduling/geraniumweir/scheduling/admitting.py
@@ -4,29 +4,29 @@
 import math
 
 from geraniumweir.scheduling import (
-    granting,
-    learning,
+    deadline_granting,
+    estimating,
     predicting,
-    records,
+    deadline_records,
     requests,
     shedding,
-    state,
+    deadline_state,
     suspects,
     waitlist,
 )
 
 _PROBE_EVERY = 16
 _WAIT_FACTOR = 2.0
-_WAIT_MARGIN = 0.5
+_WAIT_MARGIN_SECONDS = 0.5
 _MS = 1000
-_HOPE = 0.5
-_SHORT_ANSWER = 16.0
+_OPTIMISTIC_FACTOR = 0.5
+_SHORT_ANSWER_TOKENS = 16.0
 
 
 def admit(
-    leader: state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     slot_request: requests.SlotRequest,
-) -> records.Waiting | requests.Denial:
+) -> deadline_records.Waiting | requests.Denial:
     """Take an ask that is neither waiting nor granted.
 
     :returns: it as it waits, perhaps decided already, or a denial.
@@ -39,53 +39,56 @@
     denied = _deny_at_once(leader, slot_request)
     if denied is not None:
         return denied
-    waiting = _waiting(leader, slot_request)
+    waiting = _make_waiting(leader, slot_request)
     if _too_late(leader, waiting):
-        return shedding.denial(
+        return shedding.make_denial(
             leader, slot_request, requests.DenialReason.too_late
         )
-    if granting.try_now(leader, waiting):
+    if deadline_granting.try_grant(leader, waiting):
         return waiting
-    reason = _refuse_to_wait(leader, waiting, within_budget)
+    reason = _reason_not_to_queue(leader, waiting, within_budget)
     if reason is not None:
-        return shedding.denial(leader, slot_request, reason)
-    _wait(leader, waiting)
+        return shedding.make_denial(leader, slot_request, reason)
+    _enqueue(leader, waiting)
     return waiting
 
 
-def _wait(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def _enqueue(
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+) -> None:
     full = len(leader.waiting) >= leader.cfg.queue_limit
-    room = not full or shedding.make_room(leader, waiting.slot_request)
+    room = not full or shedding.shed_lower(leader, waiting.slot_request)
     waitlist.enqueue(leader, waiting)
     if room or shedding.preempt(leader, waiting):
         if not waiting.fut.done():
-            granting.keep_room(leader, waiting)
-            shedding.watch(leader, waiting)
+            deadline_granting.reserve_room(leader, waiting)
+            shedding.schedule_decision(leader, waiting)
         return
-    shedding.refuse(leader, waiting, requests.DenialReason.queue_full)
+    shedding.deny(leader, waiting, requests.DenialReason.queue_full)
 
 
 def _deny_at_once(
-    leader: state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     slot_request: requests.SlotRequest,
 ) -> requests.Denial | None:
-    reason = _refuse_at_once(leader, slot_request)
+    reason = _reason_at_once(leader, slot_request)
     if reason is not None:
-        return shedding.denial(leader, slot_request, reason)
+        return shedding.make_denial(leader, slot_request, reason)
     seconds = leader.rates.take(
         slot_request.rule, slot_request.rate_per_s, leader.now()
     )
     if seconds:
         return _over_rate(slot_request, seconds)
-    if _serves_nothing(leader):
+    if _has_no_server(leader):
         # Counted above: another failure domain may serve the call.
         reason = requests.DenialReason.no_server
-        return shedding.denial(leader, slot_request, reason)
+        return shedding.make_denial(leader, slot_request, reason)
     return None
 
 
-def _refuse_at_once(
-    leader: state.LeaderState,
+def _reason_at_once(
+    leader: deadline_state.DeadlineLeaderState,
     slot_request: requests.SlotRequest,
 ) -> requests.DenialReason | None:
     now = leader.now()
@@ -97,9 +100,9 @@
     return None
 
 
-def _serves_nothing(leader: state.LeaderState) -> bool:
+def _has_no_server(leader: deadline_state.DeadlineLeaderState) -> bool:
     before = leader.now() - shedding.NO_SERVER_SECONDS
-    return leader.takeover_complete and leader.served_at < before
+    return leader.takeover_complete and leader.live_server_at < before
 
 
 def _over_rate(
@@ -113,15 +116,15 @@
     )
 
 
-def _refuse_to_wait(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
+def _reason_not_to_queue(
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
     within_budget: bool,
 ) -> requests.DenialReason | None:
     slot_request = waiting.slot_request
     if _over_waiting_limit(leader, slot_request):
         return requests.DenialReason.rule_limit
-    if shedding.lower_is_served(leader, slot_request.tier):
+    if shedding.serves_lower_tier(leader, slot_request.tier):
         return None
     if not within_budget:
         return requests.DenialReason.shed
@@ -131,65 +134,71 @@
 
 
 def _over_waiting_limit(
-    leader: state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     slot_request: requests.SlotRequest,
 ) -> bool:
     if slot_request.max_waiting is None:
         return False
-    rule = leader.rules.get(slot_request.rule, records.RuleCount())
+    rule = leader.rules.get(slot_request.rule, deadline_records.RuleCount())
     return rule.waiting >= slot_request.max_waiting
 
 
-def _waiting(
-    leader: state.LeaderState,
+def _make_waiting(
+    leader: deadline_state.DeadlineLeaderState,
     slot_request: requests.SlotRequest,
-) -> records.Waiting:
+) -> deadline_records.Waiting:
     leader.sequence += 1
-    waiting = records.Waiting(
+    waiting = deadline_records.Waiting(
         slot_request,
         leader.sequence,
         leader.now(),
         asyncio.get_running_loop().create_future(),
-        learning.length_of(leader.lengths, slot_request),
+        estimating.expected_length(leader.lengths, slot_request),
     )
     _set_starts(leader, waiting)
     return waiting
 
 
 def _set_starts(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> None:
-    waiting.latest = predicting.starts(leader, waiting)
-    if not waiting.latest:
+    waiting.latest_starts = predicting.starts_by_class(leader, waiting)
+    if not waiting.latest_starts:
         return
-    waiting.best_start = max(waiting.latest.values())
-    if not waiting.expected.sure and waiting.best_start < leader.now():
-        _doubt(leader, waiting)
+    waiting.best_start = max(waiting.latest_starts.values())
+    if not waiting.expected.is_reliable and waiting.best_start < leader.now():
+        _assume_short(leader, waiting)
     seconds = waiting.slot_request.deadline - waiting.best_start
     waiting.cost = seconds / leader.cfg.safety
 
 
-def _doubt(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def _assume_short(
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+) -> None:
     """Take an answer whose length is hardly known for a short one."""
-    waiting.expected = learning.Expected(
-        min(waiting.expected.mean, _SHORT_ANSWER),
+    waiting.expected = estimating.Expected(
+        min(waiting.expected.mean, _SHORT_ANSWER_TOKENS),
         waiting.expected.high,
     )
-    waiting.latest = predicting.starts(leader, waiting)
-    waiting.best_start = max(waiting.latest.values())
+    waiting.latest_starts = predicting.starts_by_class(leader, waiting)
+    waiting.best_start = max(waiting.latest_starts.values())
 
 
-def _too_late(leader: state.LeaderState, waiting: records.Waiting) -> bool:
+def _too_late(
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+) -> bool:
     """Tell whether a request can't end in time even on an idle server.
 
     Now and then one is let in on an idle pool nevertheless: a prediction
     that lets nothing in would never be put right.
     """
-    if not waiting.latest or waiting.best_start >= leader.now():
+    if not waiting.latest_starts or waiting.best_start >= leader.now():
         return False
-    if shedding.lower_is_served(leader, waiting.slot_request.tier):
-        waiting.hope = _HOPE
+    if shedding.serves_lower_tier(leader, waiting.slot_request.tier):
+        waiting.duration_factor = _OPTIMISTIC_FACTOR
         _set_starts(leader, waiting)
         if waiting.best_start >= leader.now():
             return False
@@ -202,8 +211,8 @@
 
 
 def _queue_too_long(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether a request's turn will hardly come before it is too late.
 
@@ -211,7 +220,7 @@
     customer's work at a fair share, so that one customer's long queue does
     not refuse another.
     """
-    if not waiting.latest:
+    if not waiting.latest_starts:
         return False
     slot_request = waiting.slot_request
     fair = leader.cost_by_flow[waiting.flow]
@@ -224,4 +233,4 @@
         shedding.expected_wait(leader, slot_request.tier),
     )
     slack = waiting.best_start - leader.now()
-    return seconds > _WAIT_FACTOR * slack + _WAIT_MARGIN
+    return seconds > _WAIT_FACTOR * slack + _WAIT_MARGIN_SECONDS
--- a/libs/scheduling/geraniumweir/scheduling/adoption.py
+++ b/libs/scheduling/geraniumweir/scheduling/adoption.py
@@ -5,30 +5,32 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import (
     fleet,
-    granting,
-    learning,
+    deadline_granting,
+    estimating,
     progressing,
-    records,
+    deadline_records,
     requests,
     shedding,
-    state,
+    deadline_state,
     stragglers,
     waitlist,
 )
 
 
-def adopt(leader: state.LeaderState, taken: requests.OpenGrant) -> None:
+def adopt(
+    leader: deadline_state.DeadlineLeaderState, taken: requests.OpenGrant
+) -> None:
     """Count a grant in use that another leader gave."""
     request_id = taken.slot_request.request_id
     if request_id in leader.running:
         return
     waiting = leader.waiting.get(request_id)
     if waiting is not None:
-        waitlist.leave(leader, waiting)
-        waitlist.unpromise(leader, waiting)
+        waitlist.dequeue(leader, waiting)
+        waitlist.cancel_reservation(leader, waiting)
         waiting.fut.set_result(taken.grant)
     running = _running(leader, taken)
-    granting.count_running(leader, running)
+    deadline_granting.count_running(leader, running)
     server_id = taken.grant.server_id
     server = leader.servers.get(server_id)
     if server is None:
@@ -36,13 +38,15 @@
         orphans[request_id] = running
     else:
         fleet.attach(leader, server, running)
-        leader.prefixes.granted(server_id, taken.slot_request.blocks)
+        leader.prefixes.record_grant(server_id, taken.slot_request.blocks)
 
 
-def owner_gone(leader: state.LeaderState, owner: ids.HostId) -> None:
+def owner_gone(
+    leader: deadline_state.DeadlineLeaderState, owner: ids.HostId
+) -> None:
     """End the grants and the waiting requests of a lost entry host."""
     for waiting in _of_owner(leader.waiting.values(), owner):
-        shedding.refuse(leader, waiting, requests.DenialReason.withdrawn)
+        shedding.deny(leader, waiting, requests.DenialReason.withdrawn)
     for running in _of_owner(leader.running.values(), owner):
         progressing.release(
             leader,
@@ -53,7 +57,9 @@
         )
 
 
-_Owned = typing.TypeVar('_Owned', records.Waiting, records.Running)
+_Owned = typing.TypeVar(
+    '_Owned', deadline_records.Waiting, deadline_records.Running
+)
 
 
 def _of_owner(
@@ -64,13 +70,13 @@
 
 
 def _running(
-    leader: state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     taken: requests.OpenGrant,
-) -> records.Running:
-    expected = learning.length_of(leader.lengths, taken.slot_request)
+) -> deadline_records.Running:
+    expected = estimating.expected_length(leader.lengths, taken.slot_request)
     # How it went on until now is not known, so it is given its whole time.
     left = max(taken.slot_request.deadline - leader.now(), 0)
-    return records.Running(
+    return deadline_records.Running(
         slot_request=taken.slot_request,
         grant=taken.grant,
         granted=leader.now() - taken.age,
@@ -78,9 +84,9 @@
         uncached=taken.slot_request.prompt_tokens,
         ahead=0,
         prefill=0,
-        beside=1,
+        concurrent=1,
         cost=0,
-        due=leader.now() + stragglers.patience(0) + left,
+        due=leader.now() + stragglers.stall_timeout(0) + left,
         first_token=taken.first_token,
         output_tokens=taken.output_tokens,
     )
--- a/libs/scheduling/geraniumweir/scheduling/affinity.py
+++ b/libs/scheduling/geraniumweir/scheduling/affinity.py
@@ -4,18 +4,18 @@
 it for another request will have it soon.
 """
 
-from geraniumweir.scheduling import predicting, records, state
+from geraniumweir.scheduling import predicting, deadline_records, deadline_state
 
-_LEAST_SAVED = 0.1
+_MIN_SAVED_SECONDS = 0.1
 _WAIT_FACTOR = 20.0
-_WAIT_MARGIN = 0.5
-_MOST_WARMING = 256
+_WAIT_MARGIN_SECONDS = 0.5
+_MAX_WARMING = 256
 
 
 def saved_seconds(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> float:
     """Give the seconds of prefill that a server's cache saves a request."""
     slot_request = waiting.slot_request
@@ -27,39 +27,41 @@
     )
 
 
-def holds(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+def has_useful_prefix(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether a server's cache saves a request much prefill."""
-    return saved_seconds(leader, server, waiting) >= _LEAST_SAVED
+    return saved_seconds(leader, server, waiting) >= _MIN_SAVED_SECONDS
 
 
-def warms(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+def start_warming(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
 ) -> None:
     """Take that a server begins to compute a prompt that others may share."""
-    if not running.slot_request.blocks or running.prefill < _LEAST_SAVED:
+    if not running.slot_request.blocks or running.prefill < _MIN_SAVED_SECONDS:
         return
     first = running.slot_request.blocks[0]
-    if len(server.warming) >= _MOST_WARMING:
+    if len(server.warming) >= _MAX_WARMING:
         server.warming.clear()
     server.warming[first] = leader.now() + running.ahead + running.prefill
 
 
-def warmed(server: records.Server, running: records.Running) -> None:
+def end_warming(
+    server: deadline_records.Server, running: deadline_records.Running
+) -> None:
     """Take that a prompt is computed."""
     if running.slot_request.blocks:
         server.warming.pop(running.slot_request.blocks[0], None)
 
 
 def is_warming(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether a request rather waits until its prefix is computed.
 
@@ -70,19 +72,22 @@
     if not blocks or waiting.probe:
         return False
     left = server.warming.get(blocks[0], 0) - leader.now()
-    if left <= 0 or not holds(leader, server, waiting):
+    if left <= 0 or not has_useful_prefix(leader, server, waiting):
         return False
-    seconds = predicting.finish(leader, server, waiting) * leader.cfg.safety
+    seconds = (
+        predicting.seconds_to_finish(leader, server, waiting)
+        * leader.cfg.safety
+    )
     return (
-        leader.now() + left + seconds + _WAIT_MARGIN
+        leader.now() + left + seconds + _WAIT_MARGIN_SECONDS
         < waiting.slot_request.deadline
     )
 
 
 def waits_for_holder(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether a request rather waits for a server that has its prefix.
 
@@ -93,32 +98,35 @@
     if waiting.probe or not slot_request.blocks:
         return False
     waited = leader.now() - waiting.arrived
-    needed = max(waited / _WAIT_FACTOR, _LEAST_SAVED)
+    needed = max(waited / _WAIT_FACTOR, _MIN_SAVED_SECONDS)
     rates = predicting.rates_of(leader, server, slot_request.model)
-    whole = rates.prefill * slot_request.prompt_tokens
-    if whole < needed:
+    full_prefill = rates.prefill * slot_request.prompt_tokens
+    if full_prefill < needed:
         return False
-    saved = whole * _best_share(leader, server, waiting)
+    saved = full_prefill * _best_share(leader, server, waiting)
     saved -= saved_seconds(leader, server, waiting)
     if saved < needed:
         return False
-    seconds = predicting.finish(leader, server, waiting) * leader.cfg.safety
-    return leader.now() + seconds + _WAIT_MARGIN < slot_request.deadline
+    seconds = (
+        predicting.seconds_to_finish(leader, server, waiting)
+        * leader.cfg.safety
+    )
+    return leader.now() + seconds + _WAIT_MARGIN_SECONDS < slot_request.deadline
 
 
 def _best_share(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> float:
     """Give the largest share of a prompt that another fit server holds."""
     best: float = 0
-    for server_id, share in leader.prefixes.warmest(
+    for server_id, share in leader.prefixes.longest_holders(
         waiting.slot_request.blocks
     ).items():
         holder = leader.servers.get(server_id)
-        if holder is None or holder is server or not holder.most():
+        if holder is None or holder is server or not holder.capacity():
             continue
-        if holder.kind in waiting.latest:
+        if holder.kind in waiting.latest_starts:
             best = max(best, share)
     return best
--- a/libs/scheduling/geraniumweir/scheduling/crashes.py
+++ b/libs/scheduling/geraniumweir/scheduling/crashes.py
@@ -3,13 +3,13 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import (
     fleet,
-    granting,
+    deadline_granting,
     placement,
     progressing,
-    records,
+    deadline_records,
     requests,
     shedding,
-    state,
+    deadline_state,
 )
 
 _RECENT_SECONDS = 120.0
@@ -17,8 +17,8 @@
 
 
 def crashed(
-    leader: state.LeaderState,
-    server: records.Server,
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
     incarnation: ids.Incarnation,
 ) -> None:
     """Take that an incarnation of a server is gone.
@@ -39,36 +39,36 @@
     together = [running.slot_request.fingerprint for running in lost]
     recent = max(
         leader.now() - _RECENT_SECONDS,
-        server.last_good - _SAME_MOMENT,
+        server.last_progress_at - _SAME_MOMENT,
     )
     together.extend(mark for at, mark in server.failures if at >= recent)
     server.failures.clear()
     for running in lost:
-        progressing.drop(leader, running)
+        progressing.remove_running(leader, running)
     condemned = leader.suspects.record_crash(together, leader.now())
     placement.refresh(leader, server)
     _refuse_condemned(leader, set(condemned))
     for running in lost:
-        granting.unpark(leader, running.slot_request.rule)
+        deadline_granting.unpark(leader, running.slot_request.rule)
 
 
-def synced(leader: state.LeaderState) -> None:
+def synced(leader: deadline_state.DeadlineLeaderState) -> None:
     """Follow the live servers and take the crashes that show."""
     for server in fleet.sync(leader):
         current = server.announcement.incarnation
         crashed(leader, server, ids.Incarnation(current - 1))
-        fleet.restarted(leader, server)
+        fleet.readmit(leader, server)
 
 
 def _refuse_condemned(
-    leader: state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     condemned: set[ids.Fingerprint],
 ) -> None:
     if not condemned:
         return
     for waiting in list(leader.waiting.values()):
         if waiting.slot_request.fingerprint in condemned:
-            shedding.refuse(
+            shedding.deny(
                 leader,
                 waiting,
                 requests.DenialReason.quarantined,
--- a/libs/scheduling/geraniumweir/scheduling/granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_granting.py
@@ -17,21 +17,24 @@
     fleet,
     placement,
     predicting,
-    records,
+    deadline_records,
     requests,
-    state,
+    deadline_state,
     stragglers,
     waitlist,
 )
 
-_HELD_LOOK = 8
-_MOST_PASSED = 10
-_MOST_LOOKED = 20
-_PASS_SLACK = 1.0
-_LATER = (0, 1, 4)
+_MAX_HELD_CONSIDERED = 8
+_MAX_OVERTAKEN = 10
+_MAX_CONSIDERED = 20
+_OVERTAKE_SLACK_SECONDS = 1.0
+_LATER_SECONDS = (0, 1, 4)
 
 
-def try_now(leader: state.LeaderState, waiting: records.Waiting) -> bool:
+def try_grant(
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+) -> bool:
     """Grant a request if a server can end it in time from now."""
     slot_request = waiting.slot_request
     if not leader.takeover_complete or waitlist.over_running_limit(
@@ -42,21 +45,26 @@
         server = _server_for_suspect(leader, waiting)
     else:
         server = placement.choose(leader, waiting)
-    if server is None or _higher_first(leader, server, slot_request.tier):
+    if server is None or _is_kept_for_higher(leader, server, slot_request.tier):
         return False
     grant(leader, waiting, server)
     return True
 
 
-def keep_room(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def reserve_room(
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+) -> None:
     """Keep a server for a request that lacks only KV room there."""
     if leader.takeover_complete and not waiting.held:
-        server = placement.choose_crowded(leader, waiting)
+        server = placement.choose_lacking_kv(leader, waiting)
         if server is not None:
-            waitlist.promise(leader, server, waiting)
+            waitlist.reserve(leader, server, waiting)
 
 
-def fill(leader: state.LeaderState, server: records.Server) -> int:
+def fill(
+    leader: deadline_state.DeadlineLeaderState, server: deadline_records.Server
+) -> int:
     """Grant a server as much as it may run now.
 
     :returns: number of grants.
@@ -66,7 +74,7 @@
         return granted
     _place_held(leader)
     while server.is_open():
-        waiting = _pick(leader, server)
+        waiting = _choose(leader, server)
         if waiting is None:
             break
         grant(leader, waiting, server)
@@ -74,7 +82,7 @@
     return granted
 
 
-def fill_open(leader: state.LeaderState) -> None:
+def fill_open(leader: deadline_state.DeadlineLeaderState) -> None:
     """Grant what a few open servers of each class can take."""
     if not leader.waiting or not leader.takeover_complete:
         return
@@ -85,45 +93,45 @@
 
 
 def grant(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-    server: records.Server,
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+    server: deadline_records.Server,
 ) -> None:
     """Grant a request a server's slot."""
     slot_request = waiting.slot_request
-    waitlist.leave(leader, waiting)
-    kept = waitlist.unpromise(leader, waiting)
+    waitlist.dequeue(leader, waiting)
+    kept = waitlist.cancel_reservation(leader, waiting)
     running = _running(leader, waiting, server)
     leader.queue.charge(waiting.flow, running.cost / slot_request.share)
     expected = running.cost
     if slot_request.streams and slot_request.model is not None:
         expected = running.ahead + running.prefill
-    running.due = leader.now() + stragglers.patience(expected)
+    running.due = leader.now() + stragglers.stall_timeout(expected)
     count_running(leader, running)
     fleet.attach(leader, server, running)
-    affinity.warms(leader, server, running)
-    leader.prefixes.granted(server.server_id, slot_request.blocks)
+    affinity.start_warming(leader, server, running)
+    leader.prefixes.record_grant(server.server_id, slot_request.blocks)
     waiting.fut.set_result(running.grant)
     if kept is not None and kept is not server:
         fill(leader, kept)
 
 
 def count_running(
-    leader: state.LeaderState,
-    running: records.Running,
+    leader: deadline_state.DeadlineLeaderState,
+    running: deadline_records.Running,
 ) -> None:
     """Count a grant in use, whoever gave it."""
     slot_request = running.slot_request
     leader.running[slot_request.request_id] = running
     leader.running_by_tier[slot_request.tier] += 1
-    leader.running_prints[slot_request.fingerprint] += 1
-    leader.rules.setdefault(slot_request.rule, records.RuleCount()).running += 1
+    leader.running_fingerprints[slot_request.fingerprint] += 1
+    leader.rules.setdefault(slot_request.rule, deadline_records.RuleCount()).running += 1
     watch_progress(leader, running)
 
 
 def watch_progress(
-    leader: state.LeaderState,
-    running: records.Running,
+    leader: deadline_state.DeadlineLeaderState,
+    running: deadline_records.Running,
 ) -> None:
     """Look at a grant again when its next sign of progress is late."""
     leader.sequence += 1
@@ -133,7 +141,9 @@
     )
 
 
-def unpark(leader: state.LeaderState, name: ids.RuleName) -> None:
+def unpark(
+    leader: deadline_state.DeadlineLeaderState, name: ids.RuleName
+) -> None:
     """Let parked requests of a rule into the queue, as its limit allows."""
     rule = leader.rules.get(name)
     if rule is None or not rule.parked:
@@ -144,15 +154,15 @@
     )
     if not waitlist.over_running_limit(leader, waiting.slot_request):
         rule.parked.pop(waiting.slot_request.request_id)
-        waitlist.to_queue(leader, waiting)
-        try_now(leader, waiting)
+        waitlist.add_to_queue(leader, waiting)
+        try_grant(leader, waiting)
 
 
 def _running(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-    server: records.Server,
-) -> records.Running:
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+    server: deadline_records.Server,
+) -> deadline_records.Running:
     grant_given = requests.Grant(
         waiting.slot_request.request_id,
         server.server_id,
@@ -161,7 +171,7 @@
     )
     uncached = predicting.uncached_tokens(leader, server, waiting)
     rates = predicting.rates_of(leader, server, waiting.slot_request.model)
-    return records.Running(
+    return deadline_records.Running(
         slot_request=waiting.slot_request,
         grant=grant_given,
         granted=leader.now(),
@@ -169,44 +179,44 @@
         uncached=uncached,
         ahead=predicting.prefill_ahead(leader, server),
         prefill=rates.seconds(uncached, 0),
-        beside=len(server.running) + 1,
-        cost=predicting.finish(leader, server, waiting),
+        concurrent=len(server.running) + 1,
+        cost=predicting.seconds_to_finish(leader, server, waiting),
         suspect=waitlist.is_suspect(leader, waiting.slot_request),
     )
 
 
-def _pick(
-    leader: state.LeaderState,
-    server: records.Server,
-) -> records.Waiting | None:
+def _choose(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+) -> deadline_records.Waiting | None:
     """Find the first request, in order, that a server can end in time."""
     for tier in ids.Tier:
         if not leader.by_tier[tier]:
             continue
-        waiting = _pick_of_tier(leader, server, tier)
+        waiting = _choose_of_tier(leader, server, tier)
         if waiting is not None:
             return waiting
-        if _needs(leader, server, tier):
+        if _is_wanted_by(leader, server, tier):
             return None
     return None
 
 
-def _higher_first(
-    leader: state.LeaderState,
-    server: records.Server,
+def _is_kept_for_higher(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
     tier: ids.Tier,
 ) -> bool:
     """Tell whether a server is left to those of higher tiers who wait."""
     return any(
-        leader.by_tier[higher] and _needs(leader, server, higher)
+        leader.by_tier[higher] and _is_wanted_by(leader, server, higher)
         for higher in ids.Tier
         if higher < tier
     )
 
 
-def _needs(
-    leader: state.LeaderState,
-    server: records.Server,
+def _is_wanted_by(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
     tier: ids.Tier,
 ) -> bool:
     """Tell whether one of a tier waits that a server could still serve.
@@ -214,99 +224,101 @@
     It may not fit now, for want of KV room or because of prefill granted
     before; what a lower tier adds there would keep it out for longer.
     """
-    in_line = leader.queue.candidates(
+    in_order = leader.queue.candidates(
         server.kind,
         tier,
         leader.now(),
         float('inf'),
     )
     return any(
-        waiting.promised_by in {None, server.server_id}
+        waiting.reserved_on in {None, server.server_id}
         and not affinity.waits_for_holder(leader, server, waiting)
-        for waiting in in_line
+        for waiting in in_order
     )
 
 
-def _pick_of_tier(
-    leader: state.LeaderState,
-    server: records.Server,
+def _choose_of_tier(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
     tier: ids.Tier,
-) -> records.Waiting | None:
+) -> deadline_records.Waiting | None:
     """Find the first of a tier, or one after it whose prefix is here."""
-    in_line = itertools.islice(_in_order(leader, server, tier), _MOST_LOOKED)
+    in_order = itertools.islice(
+        _in_order(leader, server, tier), _MAX_CONSIDERED
+    )
     first = next(
-        (one for one in in_line if _goes_first(leader, server, one)),
+        (one for one in in_order if _may_go_first(leader, server, one)),
         None,
     )
-    if first is None or not _may_be_passed(leader, server, first):
+    if first is None or not _may_be_overtaken(leader, server, first):
         return first
-    for waiting in in_line:
-        if affinity.holds(leader, server, waiting):
+    for waiting in in_order:
+        if affinity.has_useful_prefix(leader, server, waiting):
             if _fits(leader, server, waiting):
-                first.passed += 1
+                first.overtaken += 1
                 return waiting
     return first
 
 
-def _goes_first(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+def _may_go_first(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     if not _fits(leader, server, waiting):
         return False
-    if waiting.promised_by == server.server_id:
+    if waiting.reserved_on == server.server_id:
         return True
     return not affinity.waits_for_holder(leader, server, waiting)
 
 
-def _may_be_passed(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+def _may_be_overtaken(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether one whose prefix is on the server may go before."""
-    if waiting.passed >= _MOST_PASSED:
+    if waiting.overtaken >= _MAX_OVERTAKEN:
         return False
-    if waiting.promised_by == server.server_id:
+    if waiting.reserved_on == server.server_id:
         return False
-    if waiting.best_start - leader.now() < _PASS_SLACK:
+    if waiting.best_start - leader.now() < _OVERTAKE_SLACK_SECONDS:
         return False
-    return not affinity.holds(leader, server, waiting)
+    return not affinity.has_useful_prefix(leader, server, waiting)
 
 
 def _in_order(
-    leader: state.LeaderState,
-    server: records.Server,
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
     tier: ids.Tier,
-) -> typing.Iterator[records.Waiting]:
-    for promised in list(server.promised.values()):
-        if promised.slot_request.tier == tier and not promised.held:
-            yield promised
+) -> typing.Iterator[deadline_records.Waiting]:
+    for reserved in list(server.reservations.values()):
+        if reserved.slot_request.tier == tier and not reserved.held:
+            yield reserved
     window = leader.cfg.fair_seconds * max(leader.slots, 1)
     ahead = predicting.prefill_ahead(leader, server) * leader.cfg.safety
     seen: set[int] = set()
-    for later in _LATER:
-        in_line = leader.queue.candidates(
+    for later in _LATER_SECONDS:
+        in_order = leader.queue.candidates(
             server.kind,
             tier,
             leader.now() + ahead + later,
             window,
         )
-        for waiting in in_line:
+        for waiting in in_order:
             if waiting.sequence not in seen:
                 seen.add(waiting.sequence)
                 yield waiting
 
 
 def _fits(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     if waitlist.hold_if_needed(leader, waiting):
         return False
-    if placement.kept_for_another(server, waiting):
+    if placement.is_reserved_for_others(server, waiting):
         return False
     if not predicting.in_time(leader, server, waiting):
         return False
@@ -314,21 +326,21 @@
         return False
     if placement.has_room(server, waiting):
         return True
-    if waiting.promised_by is None and not server.promised:
-        if placement.fits(server, waiting):
-            waitlist.promise(leader, server, waiting)
+    if waiting.reserved_on is None and not server.reservations:
+        if placement.could_hold(server, waiting):
+            waitlist.reserve(leader, server, waiting)
     return False
 
 
 def _fill_best(
-    leader: state.LeaderState,
-    kind: records.ServerClass,
+    leader: deadline_state.DeadlineLeaderState,
+    kind: deadline_records.ServerClass,
 ) -> int:
     best = leader.open_servers.best(kind)
     return sum(fill(leader, leader.servers[name]) for name in best)
 
 
-def _place_held(leader: state.LeaderState) -> None:
+def _place_held(leader: deadline_state.DeadlineLeaderState) -> None:
     """Grant suspects, unless someone of a higher tier waits."""
     if not leader.held:
         return
@@ -336,8 +348,8 @@
         leader.held.values(),
         key=lambda held: (held.slot_request.tier, held.best_start),
     )
-    for waiting in order[:_HELD_LOOK]:
-        if _higher_waits(leader, waiting.slot_request.tier):
+    for waiting in order[:_MAX_HELD_CONSIDERED]:
+        if _is_higher_waiting(leader, waiting.slot_request.tier):
             return
         if waiting.fut.done():
             continue
@@ -346,22 +358,24 @@
             grant(leader, waiting, server)
 
 
-def _higher_waits(leader: state.LeaderState, tier: ids.Tier) -> bool:
+def _is_higher_waiting(
+    leader: deadline_state.DeadlineLeaderState, tier: ids.Tier
+) -> bool:
     higher = (leader.by_tier[other] for other in ids.Tier if other < tier)
     waiting = itertools.chain.from_iterable(queue.values() for queue in higher)
     return any(not other.held for other in waiting)
 
 
 def _server_for_suspect(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-) -> records.Server | None:
-    mark = waiting.slot_request.fingerprint
-    if mark in leader.running_prints:
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+) -> deadline_records.Server | None:
+    request_fingerprint = waiting.slot_request.fingerprint
+    if request_fingerprint in leader.running_fingerprints:
         return None
-    if leader.suspects.awaits_explanation(mark, leader.now()):
+    if leader.suspects.awaits_explanation(request_fingerprint, leader.now()):
         return None
-    server = placement.least_harm(leader, waiting)
+    server = placement.choose_for_suspect(leader, waiting)
     if server is None or not predicting.in_time(leader, server, waiting):
         return None
     return server
--- a/libs/scheduling/geraniumweir/scheduling/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_leader.py
@@ -6,7 +6,7 @@
 
 See Also
 ========
-geraniumweir.scheduling.admitting, geraniumweir.scheduling.granting,
+geraniumweir.scheduling.admitting, geraniumweir.scheduling.deadline_granting,
 geraniumweir.scheduling.shedding, geraniumweir.scheduling.progressing
 """
 
@@ -19,7 +19,7 @@
     admitting,
     adoption,
     crashes,
-    granting,
+    deadline_granting,
     joining,
     placement,
     progressing,
@@ -29,13 +29,13 @@
 from geraniumweir.scheduling import (
     requests,
     settings,
-    state,
+    deadline_state,
     suspects,
 )
 from geraniumweir.scheduling import summary as summaries
 
 
-class PoolLeader:
+class DeadlinePoolLeader:
     """Grants the capacity of one pool in one failure domain."""
 
     def __init__(
@@ -51,15 +51,15 @@
         :param live: gives the pool's backend servers that may get work.
         :param on_preempt: told of a stream that its owner is to cancel.
         """
-        self._state = state.LeaderState(
+        self._state = deadline_state.DeadlineLeaderState(
             cfg,
             now,
             live,
             on_preempt,
             takeover_complete=cfg.takeover_seconds <= 0,
-            settle_by=now() + cfg.takeover_seconds,
-            served_at=now(),
-            dice=random.Random(cfg.seed),
+            takeover_ends_at=now() + cfg.takeover_seconds,
+            live_server_at=now(),
+            rng=random.Random(cfg.seed),
             suspects=suspects.Suspects(cfg.quarantine_seconds, cfg.origin),
         )
 
@@ -75,8 +75,8 @@
         :param slot_request: what waits; its deadline is on the leader's clock.
         :returns: a grant, or a denial once there can be none in time.
         """
-        ticking.arm(self._state)
-        ticking.look_first(self._state)
+        ticking.start_ticking(self._state)
+        ticking.sync_if_stale(self._state)
         running = self._state.running.get(slot_request.request_id)
         if running is not None:
             return running.grant
@@ -100,7 +100,7 @@
         waiting = self._state.waiting.get(request_id)
         if waiting is not None:
             reason = requests.DenialReason.withdrawn
-            shedding.refuse(self._state, waiting, reason)
+            shedding.deny(self._state, waiting, reason)
 
     def progress(self, progress: requests.Progress) -> None:
         """Take how granted work goes on."""
@@ -129,7 +129,7 @@
 
     def cache_events(self, events: requests.CacheEvents) -> None:
         """Take an engine's cache events, in whatever order they come."""
-        self._state.prefixes.events(
+        self._state.prefixes.apply_events(
             events.server_id,
             events.incarnation,
             events.sequence,
@@ -151,7 +151,7 @@
         server = self._state.servers.get(server_id)
         if server is not None:
             crashes.crashed(self._state, server, incarnation)
-            granting.fill_open(self._state)
+            deadline_granting.fill_open(self._state)
 
     def owner_gone(self, owner: ids.HostId) -> None:
         """End the grants and the waiting requests of a lost entry host."""
@@ -159,24 +159,24 @@
 
     def adopt(self, grants: typing.Sequence[requests.OpenGrant]) -> None:
         """Take over grants in use that another leader gave."""
-        ticking.look_first(self._state)
+        ticking.sync_if_stale(self._state)
         for taken in grants:
             adoption.adopt(self._state, taken)
 
     def takeover_complete(self) -> None:
         """Start granting: all owners have handed over their grants."""
         self._state.takeover_complete = True
-        ticking.look_first(self._state)
-        granting.fill_open(self._state)
+        ticking.sync_if_stale(self._state)
+        deadline_granting.fill_open(self._state)
 
     def summary(self) -> requests.PoolSummary:
         """Sum up the pool for other hosts."""
-        ticking.look_first(self._state)
+        ticking.sync_if_stale(self._state)
         return summaries.summarize(self._state)
 
     def grant_waiting(self) -> None:
         """Take that announcements or the configuration changed."""
-        ticking.changed(self._state)
+        ticking.servers_changed(self._state)
 
     @property
     def suspects(self) -> suspects.Suspects:
--- a/libs/scheduling/geraniumweir/scheduling/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/fleet.py
@@ -8,37 +8,41 @@
     concurrency,
     placement,
     predicting,
-    records,
-    state,
+    deadline_records,
+    deadline_state,
     stragglers,
 )
 
-_MOST_GONE = 64
+_MAX_GONE_SERVERS = 64
 
 
-def sync(leader: state.LeaderState) -> list[records.Server]:
+def sync(
+    leader: deadline_state.DeadlineLeaderState,
+) -> list[deadline_records.Server]:
     """Take the servers that may get new work now.
 
     :returns: those that crashed: known ones with a new incarnation.
     """
-    leader.synced = leader.now()
+    leader.synced_at = leader.now()
     live = {ready.server_id: ready for ready in leader.live()}
     if live:
-        leader.served_at = leader.now()
+        leader.live_server_at = leader.now()
     crashed = []
     for announcement in live.values():
         known = leader.servers.get(announcement.server_id)
         if known is None:
-            _appear(leader, announcement)
-        elif _take(leader, known, announcement):
+            _add_server(leader, announcement)
+        elif _update_server(leader, known, announcement):
             crashed.append(known)
     _close_missing(leader, live)
-    leader.slots = sum(server.most() for server in leader.servers.values())
-    _forget_gone(leader, live)
+    leader.slots = sum(server.capacity() for server in leader.servers.values())
+    _evict_gone(leader, live)
     return crashed
 
 
-def restarted(leader: state.LeaderState, server: records.Server) -> None:
+def readmit(
+    leader: deadline_state.DeadlineLeaderState, server: deadline_records.Server
+) -> None:
     """Take a server back after a crash, with a little work at first."""
     server.health.probe()
     leader.prefixes.start(
@@ -48,12 +52,12 @@
     placement.refresh(leader, server)
 
 
-def _appear(
-    leader: state.LeaderState,
+def _add_server(
+    leader: deadline_state.DeadlineLeaderState,
     announcement: servers.Announcement,
 ) -> None:
     slots = max(announcement.slots, 1)
-    server = records.Server(
+    server = deadline_records.Server(
         announcement,
         _class_of(leader, announcement),
         concurrency.Limit(slots),
@@ -64,13 +68,13 @@
     orphans = leader.orphans.pop(announcement.server_id, {})
     for running in orphans.values():
         attach(leader, server, running)
-        leader.prefixes.granted(server.server_id, running.slot_request.blocks)
+        leader.prefixes.record_grant(server.server_id, running.slot_request.blocks)
     placement.refresh(leader, server)
 
 
-def _take(
-    leader: state.LeaderState,
-    server: records.Server,
+def _update_server(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
     announcement: servers.Announcement,
 ) -> bool:
     """Take a known server's announcement; tell whether it crashed."""
@@ -81,7 +85,7 @@
     server.live = True
     kind = _class_of(leader, announcement)
     if kind is not server.kind:
-        leader.open_servers.drop(announcement.server_id)
+        leader.open_servers.discard(announcement.server_id)
         server.kind = kind
     slots = max(announcement.slots, 1)
     if slots != server.limit.slots:
@@ -91,30 +95,30 @@
 
 
 def _class_of(
-    leader: state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     announcement: servers.Announcement,
-) -> records.ServerClass:
+) -> deadline_records.ServerClass:
     """Find or make a server's class; who waits learns of a new one."""
     models = (*announcement.models, *announcement.adapters)
     key = (announcement.hardware, models, announcement.max_context)
     kind = leader.classes.get(key)
     if kind is not None:
         return kind
-    kind = records.ServerClass(*key)
+    kind = deadline_records.ServerClass(*key)
     leader.classes[key] = kind
     for waiting in leader.waiting.values():
         if kind.serves(waiting.slot_request):
-            _widen(leader, waiting, kind)
+            _add_class(leader, waiting, kind)
     return kind
 
 
-def _widen(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-    kind: records.ServerClass,
+def _add_class(
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+    kind: deadline_records.ServerClass,
 ) -> None:
     latest = predicting.latest_start(leader, waiting, kind)
-    waiting.latest[kind] = latest
+    waiting.latest_starts[kind] = latest
     waiting.best_start = max(waiting.best_start, latest)
     if not waiting.held:
         leader.queue.add_class(
@@ -126,9 +130,9 @@
 
 
 def attach(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
 ) -> None:
     """Count a grant against its server."""
     request_id = running.grant.request_id
@@ -140,8 +144,8 @@
         begins = max(server.prefilled_at, leader.now())
         server.prefilled_at = begins + running.prefill
         if running.slot_request.streams:
-            server.unborn[request_id] = running
-            server.unborn_prefill += running.prefill
+            server.prefilling[request_id] = running
+            server.prefilling_seconds += running.prefill
     if server.announcement.can_cancel and running.slot_request.idempotent:
         leader.preemptible.add(
             server.kind,
@@ -153,9 +157,9 @@
 
 
 def detach(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
 ) -> None:
     """Take a grant off its server."""
     request_id = running.grant.request_id
@@ -166,28 +170,28 @@
     server.stuck -= running.stuck
     if running.first_token is None:
         server.prefilled_at -= running.prefill
-    born(leader, server, running)
+    end_prefill(leader, server, running)
     leader.preemptible.remove(request_id)
     placement.refresh(leader, server)
 
 
-def born(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+def end_prefill(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
 ) -> None:
     """Take that a prompt is computed, or will not be."""
-    if server.unborn.pop(running.slot_request.request_id, None) is None:
+    if server.prefilling.pop(running.slot_request.request_id, None) is None:
         return
-    server.born_at = leader.now()
-    server.unborn_prefill -= running.prefill
-    if not server.unborn:
+    server.first_token_at = leader.now()
+    server.prefilling_seconds -= running.prefill
+    if not server.prefilling:
         # Sums of floats drift.
-        server.unborn_prefill = 0
+        server.prefilling_seconds = 0
 
 
 def _close_missing(
-    leader: state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     live: typing.Mapping[ids.ServerId, servers.Announcement],
 ) -> None:
     for server_id, server in leader.servers.items():
@@ -196,13 +200,13 @@
             placement.refresh(leader, server)
 
 
-def _forget_gone(
-    leader: state.LeaderState,
+def _evict_gone(
+    leader: deadline_state.DeadlineLeaderState,
     live: typing.Mapping[ids.ServerId, servers.Announcement],
 ) -> None:
-    if len(leader.servers) <= 2 * len(live) + _MOST_GONE:
+    if len(leader.servers) <= 2 * len(live) + _MAX_GONE_SERVERS:
         return
     for server_id, server in list(leader.servers.items()):
         if not server.live and not server.running:
             leader.servers.pop(server_id)
-            leader.prefixes.forget(server_id)
+            leader.prefixes.remove_server(server_id)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/__init__.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/__init__.py
@@ -1,6 +1,7 @@
 """A pool leader for requests whose first token is due at a target time.
 
-:mod:`geraniumweir.scheduling.leader` serves what can end before its deadline.
+:mod:`geraniumweir.scheduling.deadline_leader` serves what can end before
+its deadline.
     This package serves first tokens before their targets: a response is worth
     most if its first token comes in time, less afterwards, and nothing once the
     caller has left.
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -1,7 +1,8 @@
 """Pool leader that grants slots so that first tokens come before their targets.
 
-It has the interface of :class:`geraniumweir.scheduling.leader.PoolLeader`. Its
-state is soft: a new leader adopts the grants in use.
+It has the interface of
+:class:`geraniumweir.scheduling.deadline_leader.DeadlinePoolLeader`. Its state
+is soft: a new leader adopts the grants in use.
 
 See Also
 ========
--- a/libs/scheduling/geraniumweir/scheduling/predicting.py
+++ b/libs/scheduling/geraniumweir/scheduling/predicting.py
@@ -5,22 +5,22 @@
 
 See Also
 ========
-geraniumweir.scheduling.learning
+geraniumweir.scheduling.estimating
 """
 
 import typing
 
-from geraniumweir.scheduling import learning, records, state
+from geraniumweir.scheduling import estimating, deadline_records, deadline_state
 
-_MOST_DONE = 0.8
+_MAX_DONE_RATIO = 0.8
 _OVERDUE_FACTOR = 4.0
 _OVERDUE_SECONDS = 0.5
 
 
-def starts(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-) -> dict[records.ServerClass, float]:
+def starts_by_class(
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+) -> dict[deadline_records.ServerClass, float]:
     """Give a request's latest start on each class that can run it."""
     cached = _cached_by_class(leader, waiting)
     return {
@@ -31,9 +31,9 @@
 
 
 def latest_start(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-    kind: records.ServerClass,
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+    kind: deadline_records.ServerClass,
     cached: float = 0,
 ) -> float:
     """Give the time at which a request must start on a class of servers.
@@ -45,14 +45,14 @@
     rates = leader.speeds.of_kind(kind.hardware, waiting.slot_request.model)
     prompt = waiting.slot_request.prompt_tokens * (1 - cached)
     seconds = rates.seconds(prompt, waiting.expected.mean)
-    seconds *= waiting.hope
+    seconds *= waiting.duration_factor
     return waiting.slot_request.deadline - seconds * leader.cfg.safety
 
 
 def uncached_tokens(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> float:
     """Give the prompt tokens that a server would have to prefill."""
     slot_request = waiting.slot_request
@@ -60,10 +60,10 @@
     return slot_request.prompt_tokens * (1 - share)
 
 
-def finish(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+def seconds_to_finish(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> float:
     """Predict the seconds until a request started now on a server ends."""
     rates = rates_of(leader, server, waiting.slot_request.model)
@@ -71,62 +71,66 @@
         uncached_tokens(leader, server, waiting),
         waiting.expected.mean,
     )
-    return seconds * waiting.hope + prefill_ahead(leader, server)
+    return seconds * waiting.duration_factor + prefill_ahead(leader, server)
 
 
-def prefill_ahead(leader: state.LeaderState, server: records.Server) -> float:
+def prefill_ahead(
+    leader: deadline_state.DeadlineLeaderState, server: deadline_records.Server
+) -> float:
     """Give the seconds of prefill granted to a server and not yet done.
 
     By the predictions, and by the first tokens that did not come yet.
     """
     by_clock = max(server.prefilled_at - leader.now(), 0)
-    if not server.unborn:
+    if not server.prefilling:
         return by_clock
-    first = next(iter(server.unborn.values()))
-    spent = leader.now() - max(first.granted, server.born_at)
-    if spent > first.prefill * _OVERDUE_FACTOR + _OVERDUE_SECONDS:
+    first = next(iter(server.prefilling.values()))
+    elapsed = leader.now() - max(first.granted, server.first_token_at)
+    if elapsed > first.prefill * _OVERDUE_FACTOR + _OVERDUE_SECONDS:
         # Its owner tells of no first tokens, or it stands still.
         return by_clock
-    done = min(spent, first.prefill * _MOST_DONE)
-    return max(by_clock, server.unborn_prefill - done)
+    done = min(elapsed, first.prefill * _MAX_DONE_RATIO)
+    return max(by_clock, server.prefilling_seconds - done)
 
 
 def in_time(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> bool:
     """Tell whether a request started now on a server ends in time."""
     if waiting.probe:
         return True
-    return in_time_without(leader, server, waiting, ())
+    return in_time_after_cancel(leader, server, waiting, ())
 
 
-def in_time_without(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
-    gone: typing.Iterable[records.Running],
+def in_time_after_cancel(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
+    cancelled: typing.Iterable[deadline_records.Running],
 ) -> bool:
     """Tell the same for a server from which some requests are cancelled."""
     freed = sum(
         running.prefill
-        for running in gone
-        if running.slot_request.request_id in server.unborn
+        for running in cancelled
+        if running.slot_request.request_id in server.prefilling
     )
     freed = min(freed, prefill_ahead(leader, server))
-    seconds = (finish(leader, server, waiting) - freed) * leader.cfg.safety
+    seconds = (
+        seconds_to_finish(leader, server, waiting) - freed
+    ) * leader.cfg.safety
     return leader.now() + seconds <= waiting.slot_request.deadline
 
 
 def _cached_by_class(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-) -> dict[records.ServerClass, float]:
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+) -> dict[deadline_records.ServerClass, float]:
     """Give the share of a prompt cached where most of it is, by class."""
-    shares: dict[records.ServerClass, float] = {}
-    warmest = leader.prefixes.warmest(waiting.slot_request.blocks)
-    for server_id, share in warmest.items():
+    shares: dict[deadline_records.ServerClass, float] = {}
+    holders = leader.prefixes.longest_holders(waiting.slot_request.blocks)
+    for server_id, share in holders.items():
         server = leader.servers.get(server_id)
         if server is not None and server.live:
             shares[server.kind] = max(shares.get(server.kind, 0), share)
@@ -134,10 +138,10 @@
 
 
 def rates_of(
-    leader: state.LeaderState,
-    server: records.Server,
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
     model: str | None,
-) -> learning.Rates:
+) -> estimating.Rates:
     """Give a server's predicted speeds for a model."""
     return leader.speeds.of_server(
         server.server_id,
--- a/libs/scheduling/geraniumweir/scheduling/progressing.py
+++ b/libs/scheduling/geraniumweir/scheduling/progressing.py
@@ -3,13 +3,13 @@
 from geraniumweir.scheduling import (
     affinity,
     fleet,
-    granting,
-    learning,
+    deadline_granting,
+    estimating,
     placement,
+    deadline_records,
     recent_usage,
-    records,
     requests,
-    state,
+    deadline_state,
     stragglers,
     waitlist,
 )
@@ -17,38 +17,42 @@
 _STEPS_BETWEEN_REPORTS = 20
 
 
-def progress(leader: state.LeaderState, news: requests.Progress) -> None:
+def progress(
+    leader: deadline_state.DeadlineLeaderState, update: requests.Progress
+) -> None:
     """Take how granted work goes on."""
-    running = leader.running.get(news.request_id)
+    running = leader.running.get(update.request_id)
     if running is None:
         return
     server = leader.servers.get(running.grant.server_id)
     if server is None:
         return
-    moved = news.output_tokens > running.output_tokens
-    if news.first_token is not None and running.first_token is None:
-        _first_token(leader, server, running, news.first_token)
-        moved = True
-    if not moved:
+    advanced = update.output_tokens > running.output_tokens
+    if update.first_token is not None and running.first_token is None:
+        _record_first_token(leader, server, running, update.first_token)
+        advanced = True
+    if not advanced:
         return
-    running.output_tokens = max(running.output_tokens, news.output_tokens)
-    _moves(leader, server, running)
+    running.output_tokens = max(running.output_tokens, update.output_tokens)
+    _record_progress(leader, server, running)
 
 
-def release(leader: state.LeaderState, ended: requests.Release) -> None:
+def release(
+    leader: deadline_state.DeadlineLeaderState, ended: requests.Release
+) -> None:
     """Take back a grant and serve who waits."""
     running = leader.running.get(ended.request_id)
     if running is None:
         return
     server = leader.servers.get(running.grant.server_id)
-    drop(leader, running)
+    remove_running(leader, running)
     if server is None:
-        granting.unpark(leader, running.slot_request.rule)
+        deadline_granting.unpark(leader, running.slot_request.rule)
         return
     _correct_charge(leader, running, ended.outcome)
     match ended.outcome:
         case requests.Outcome.done | requests.Outcome.answered_failure:
-            _learn_end(leader, server, running, ended)
+            _record_end(leader, server, running, ended)
         case (
             requests.Outcome.not_sent
             | requests.Outcome.turned_away
@@ -56,7 +60,7 @@
         ):
             server.health.stall(leader.now())
         case requests.Outcome.failed | requests.Outcome.crashed:
-            _failed(leader, server, running)
+            _record_failure(leader, server, running)
         case (
             requests.Outcome.cancelled
             | requests.Outcome.preempted
@@ -64,33 +68,36 @@
         ):
             pass
     placement.refresh(leader, server)
-    granting.unpark(leader, running.slot_request.rule)
-    granting.fill(leader, server)
+    deadline_granting.unpark(leader, running.slot_request.rule)
+    deadline_granting.fill(leader, server)
 
 
-def _failed(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+def _record_failure(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
 ) -> None:
     """Take that a server answered with an error or broke off."""
     now = leader.now()
-    mark = running.slot_request.fingerprint
-    server.failures.append((now, mark))
-    server.health.failed(now)
-    leader.suspects.record_incomplete(mark, server.server_id, now)
+    request_fingerprint = running.slot_request.fingerprint
+    server.failures.append((now, request_fingerprint))
+    server.health.record_failure(now)
+    leader.suspects.record_incomplete(request_fingerprint, server.server_id, now)
 
 
-def drop(leader: state.LeaderState, running: records.Running) -> None:
+def remove_running(
+    leader: deadline_state.DeadlineLeaderState,
+    running: deadline_records.Running,
+) -> None:
     """Take a grant out of all counts."""
     slot_request = running.slot_request
     leader.running.pop(slot_request.request_id)
     leader.running_by_tier[slot_request.tier] -= 1
-    leader.running_prints[slot_request.fingerprint] -= 1
-    if not leader.running_prints[slot_request.fingerprint]:
-        leader.running_prints.pop(slot_request.fingerprint)
+    leader.running_fingerprints[slot_request.fingerprint] -= 1
+    if not leader.running_fingerprints[slot_request.fingerprint]:
+        leader.running_fingerprints.pop(slot_request.fingerprint)
     leader.rules[slot_request.rule].running -= 1
-    waitlist.forget_idle_rule(leader, slot_request.rule)
+    waitlist.discard_idle_rule(leader, slot_request.rule)
     orphans = leader.orphans.get(running.grant.server_id, {})
     orphans.pop(slot_request.request_id, None)
     server = leader.servers.get(running.grant.server_id)
@@ -98,18 +105,18 @@
         fleet.detach(leader, server, running)
 
 
-def _first_token(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+def _record_first_token(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
     seconds: float,
 ) -> None:
     running.first_token = seconds
-    affinity.warmed(server, running)
-    fleet.born(leader, server, running)
+    affinity.end_warming(server, running)
+    fleet.end_prefill(leader, server, running)
     rate = _rates(leader, server, running).prefill
     tokens = _tokens_before(running, rate)
-    leader.speeds.learn_prefill(
+    leader.speeds.add_prefill_sample(
         server.server_id,
         server.kind.hardware,
         running.slot_request.model,
@@ -119,35 +126,35 @@
         server.kind.hardware, running.slot_request.model
     )
     server.limit.observe(seconds, usual.prefill * tokens, leader.now())
-    server.health.compare(seconds, rate * tokens, leader.now())
+    server.health.record_duration(seconds, rate * tokens, leader.now())
     placement.refresh(leader, server)
 
 
-def _tokens_before(running: records.Running, rate: float) -> float:
+def _tokens_before(running: deadline_records.Running, rate: float) -> float:
     """Give the tokens prefilled before a first token, its own included."""
     ahead = running.ahead / rate if rate else 0
-    return running.uncached + ahead + learning.FIXED_TOKENS
+    return running.uncached + ahead + estimating.FIXED_TOKENS
 
 
-def _moves(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+def _record_progress(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
 ) -> None:
-    server.last_good = leader.now()
+    server.last_progress_at = leader.now()
     step = _rates(leader, server, running).decode * _STEPS_BETWEEN_REPORTS
-    running.due = leader.now() + stragglers.patience(step)
+    running.due = leader.now() + stragglers.stall_timeout(step)
     if running.stuck:
         running.stuck = False
         server.stuck -= 1
-        granting.watch_progress(leader, running)
+        deadline_granting.watch_progress(leader, running)
         placement.refresh(leader, server)
 
 
-def _learn_end(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+def _record_end(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
     ended: requests.Release,
 ) -> None:
     first_token = running.first_token or ended.first_token
@@ -155,27 +162,27 @@
         first_token = ended.seconds
     if running.first_token is None and first_token is not None:
         running.first_token = first_token
-        _learn_late_first_token(leader, server, running)
+        _sample_late_first_token(leader, server, running)
     if ended.output_tokens:
         slot_request = running.slot_request
-        leader.lengths.learn(
+        leader.lengths.add_sample(
             slot_request.rule, slot_request.customer, ended.output_tokens
         )
-        _learn_decode(leader, server, running, ended)
+        _sample_decode(leader, server, running, ended)
     leader.suspects.record_success(running.slot_request.fingerprint)
-    server.last_good = leader.now()
-    server.health.good()
+    server.last_progress_at = leader.now()
+    server.health.record_success()
 
 
-def _learn_late_first_token(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+def _sample_late_first_token(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
 ) -> None:
     """Learn a first token that was heard of only at the end."""
     rate = _rates(leader, server, running).prefill
     tokens = _tokens_before(running, rate)
-    leader.speeds.learn_prefill(
+    leader.speeds.add_prefill_sample(
         server.server_id,
         server.kind.hardware,
         running.slot_request.model,
@@ -183,10 +190,10 @@
     )
 
 
-def _learn_decode(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
+def _sample_decode(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
     ended: requests.Release,
 ) -> None:
     seconds = ended.seconds - (running.first_token or 0)
@@ -194,7 +201,7 @@
     if steps < 1 or seconds <= 0:
         return
     expected = _rates(leader, server, running).decode * steps
-    leader.speeds.learn_decode(
+    leader.speeds.add_decode_sample(
         server.server_id,
         server.kind.hardware,
         running.slot_request.model,
@@ -204,12 +211,12 @@
         server.kind.hardware, running.slot_request.model
     )
     server.limit.observe(seconds, usual.decode * steps, leader.now())
-    server.health.compare(seconds, expected, leader.now())
+    server.health.record_duration(seconds, expected, leader.now())
 
 
 def _correct_charge(
-    leader: state.LeaderState,
-    running: records.Running,
+    leader: deadline_state.DeadlineLeaderState,
+    running: deadline_records.Running,
     outcome: requests.Outcome,
 ) -> None:
     """Charge the customer what was used in place of what was predicted."""
@@ -222,10 +229,10 @@
 
 
 def _rates(
-    leader: state.LeaderState,
-    server: records.Server,
-    running: records.Running,
-) -> learning.Rates:
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    running: deadline_records.Running,
+) -> estimating.Rates:
     return leader.speeds.of_server(
         server.server_id,
         server.kind.hardware,
--- a/libs/scheduling/geraniumweir/scheduling/waitlist.py
+++ b/libs/scheduling/geraniumweir/scheduling/waitlist.py
@@ -6,19 +6,27 @@
 """
 
 from geraniumweir.common import ids
-from geraniumweir.scheduling import records, requests, state, suspects
+from geraniumweir.scheduling import (
+    deadline_records,
+    requests,
+    deadline_state,
+    suspects,
+)
 
-_NOTHING = 1e-9
+_ROUNDING_ERROR = 1e-9
 
 
-def enqueue(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def enqueue(
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+) -> None:
     """Add a request to those that wait."""
     slot_request = waiting.slot_request
     leader.waiting[slot_request.request_id] = waiting
     leader.by_tier[slot_request.tier][slot_request.request_id] = waiting
     leader.cost_by_tier[slot_request.tier] += waiting.cost
     leader.cost_by_flow[waiting.flow] += waiting.cost
-    rule = leader.rules.setdefault(slot_request.rule, records.RuleCount())
+    rule = leader.rules.setdefault(slot_request.rule, deadline_records.RuleCount())
     rule.waiting += 1
     if is_suspect(leader, slot_request):
         waiting.held = True
@@ -27,10 +35,13 @@
         waiting.held = True
         rule.parked[slot_request.request_id] = waiting
     else:
-        to_queue(leader, waiting)
+        add_to_queue(leader, waiting)
 
 
-def leave(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def dequeue(
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+) -> None:
     """Take a request out of those that wait, if it is there."""
     slot_request = waiting.slot_request
     if leader.waiting.pop(slot_request.request_id, None) is None:
@@ -41,7 +52,7 @@
     if not leader.by_tier[slot_request.tier]:
         # Sums of floats drift; an empty tier has nothing ahead.
         leader.cost_by_tier[slot_request.tier] = 0
-    if leader.cost_by_flow[waiting.flow] <= _NOTHING:
+    if leader.cost_by_flow[waiting.flow] <= _ROUNDING_ERROR:
         leader.cost_by_flow.pop(waiting.flow)
     if waiting.timer is not None:
         waiting.timer.cancel()
@@ -49,47 +60,52 @@
     rule.waiting -= 1
     rule.parked.pop(slot_request.request_id, None)
     leader.held.pop(slot_request.request_id, None)
-    forget_idle_rule(leader, slot_request.rule)
+    discard_idle_rule(leader, slot_request.rule)
     if not waiting.held:
-        _from_queue(leader, waiting)
+        _remove_from_queue(leader, waiting)
 
 
-def forget_idle_rule(leader: state.LeaderState, name: ids.RuleName) -> None:
+def discard_idle_rule(
+    leader: deadline_state.DeadlineLeaderState, name: ids.RuleName
+) -> None:
     """Drop the count of a rule that nothing runs or waits for."""
     rule = leader.rules[name]
     if not rule.running and not rule.waiting:
         leader.rules.pop(name)
 
 
-def unpromise(
-    leader: state.LeaderState,
-    waiting: records.Waiting,
-) -> records.Server | None:
+def cancel_reservation(
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+) -> deadline_records.Server | None:
     """Free the room that was kept for a request.
 
     :returns: the server that kept it.
     """
-    if waiting.promised_by is None:
+    if waiting.reserved_on is None:
         return None
-    server = leader.servers.get(waiting.promised_by)
-    waiting.promised_by = None
+    server = leader.servers.get(waiting.reserved_on)
+    waiting.reserved_on = None
     if server is not None:
-        server.promised.pop(waiting.slot_request.request_id, None)
+        server.reservations.pop(waiting.slot_request.request_id, None)
     return server
 
 
-def promise(
-    leader: state.LeaderState,
-    server: records.Server,
-    waiting: records.Waiting,
+def reserve(
+    leader: deadline_state.DeadlineLeaderState,
+    server: deadline_records.Server,
+    waiting: deadline_records.Waiting,
 ) -> None:
     """Keep a server's next room for a request."""
-    unpromise(leader, waiting)
-    server.promised[waiting.slot_request.request_id] = waiting
-    waiting.promised_by = server.server_id
+    cancel_reservation(leader, waiting)
+    server.reservations[waiting.slot_request.request_id] = waiting
+    waiting.reserved_on = server.server_id
 
 
-def hold_if_needed(leader: state.LeaderState, waiting: records.Waiting) -> bool:
+def hold_if_needed(
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+) -> bool:
     """Hold back one that became a suspect, or whose rule is at its limit."""
     slot_request = waiting.slot_request
     if is_suspect(leader, slot_request):
@@ -100,33 +116,40 @@
         )
     else:
         return False
-    _from_queue(leader, waiting)
+    _remove_from_queue(leader, waiting)
     waiting.held = True
     return True
 
 
-def to_queue(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def add_to_queue(
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+) -> None:
     """Let a request that was held back into the queue."""
     waiting.held = False
     leader.queue.add(
         waiting,
         waiting.flow,
         waiting.sequence,
-        waiting.latest,
+        waiting.latest_starts,
     )
 
 
-def _from_queue(leader: state.LeaderState, waiting: records.Waiting) -> None:
+def _remove_from_queue(
+    leader: deadline_state.DeadlineLeaderState,
+    waiting: deadline_records.Waiting,
+) -> None:
     leader.queue.remove(
         waiting,
         waiting.flow,
         waiting.sequence,
-        waiting.latest,
+        waiting.latest_starts,
     )
 
 
 def is_suspect(
-    leader: state.LeaderState, slot_request: requests.SlotRequest
+    leader: deadline_state.DeadlineLeaderState, slot_request: requests.SlotRequest
+
 ) -> bool:
     """Tell whether a request may crash the server that runs it."""
     verdict = leader.suspects.verdict(slot_request.fingerprint, leader.now())
@@ -134,7 +157,7 @@
 
 
 def over_running_limit(
-    leader: state.LeaderState,
+    leader: deadline_state.DeadlineLeaderState,
     slot_request: requests.SlotRequest,
 ) -> bool:
     """Tell whether a request's rule runs as many as it may."""
