--- a/libs/control/geraniumweir/control/pool_coordination.py
+++ b/libs/control/geraniumweir/control/pool_coordination.py
@@ -76,7 +76,9 @@
         typing.Callable[[ids.PoolName], controller.RolloutController] | None
     ) = None
     server_notices: notices.Notices | None = None
-    on_new_leader: typing.Callable[[leader.OnTimePoolLeader], None] | None = None
+    on_new_leader: typing.Callable[[leader.OnTimePoolLeader], None] | None = (
+        None
+    )
 
     def rates(self) -> dict[notices.ServerIncarnation, float]:
         """Give what may be granted here of the limits of servers."""
--- a/libs/scheduling/geraniumweir/scheduling/deadline_granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_granting.py
@@ -125,7 +125,9 @@
     leader.running[slot_request.request_id] = running
     leader.running_by_tier[slot_request.tier] += 1
     leader.running_fingerprints[slot_request.fingerprint] += 1
-    leader.rules.setdefault(slot_request.rule, deadline_records.RuleCount()).running += 1
+    leader.rules.setdefault(
+        slot_request.rule, deadline_records.RuleCount()
+    ).running += 1
     watch_progress(leader, running)
 
 
--- a/libs/scheduling/geraniumweir/scheduling/estimating.py
+++ b/libs/scheduling/geraniumweir/scheduling/estimating.py
@@ -311,7 +311,6 @@
 
 def expected_length(
     lengths: OutputLengthEstimates, slot_request: requests.SlotRequest
-
 ) -> Expected:
     """Predict the output length of an ask."""
     return lengths.estimate(
--- a/libs/scheduling/geraniumweir/scheduling/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/fleet.py
@@ -68,7 +68,9 @@
     orphans = leader.orphans.pop(announcement.server_id, {})
     for running in orphans.values():
         attach(leader, server, running)
-        leader.prefixes.record_grant(server.server_id, running.slot_request.blocks)
+        leader.prefixes.record_grant(
+            server.server_id, running.slot_request.blocks
+        )
     placement.refresh(leader, server)
 
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
@@ -216,7 +216,9 @@
     turn: ordering.Turn,
 ) -> None:
     """Grant a request a slot of a candidate server, if one is suitable."""
-    offers = cycle.without_paused(cycle.candidates, turn.waiting.slot_request.owner)
+    offers = cycle.without_paused(
+        cycle.candidates, turn.waiting.slot_request.owner
+    )
     if not offers:
         return
     placement = _choose(cycle, turn, offers)
@@ -241,7 +243,9 @@
         turn.waiting.slot_request.rule
     ):
         return False
-    offers = cycle.without_paused(cycle.canaries, turn.waiting.slot_request.owner)
+    offers = cycle.without_paused(
+        cycle.canaries, turn.waiting.slot_request.owner
+    )
     placement = trying.choose(offers, turn.waiting, cycle.estimates)
     if placement is None:
         return False
@@ -373,7 +377,6 @@
     )
     leader.guide.record_grant(
         slot_request.rule, new=server.version == leader.guide.target_version
-    
     )
     running = records.Running(
         slot_request=slot_request,
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -194,7 +194,6 @@
 
     def _deny_at_once(
         self, slot_request: requests.SlotRequest
-    
     ) -> requests.Denial | None:
         now = self._state.now()
         suspected = self._state.suspects
@@ -233,7 +232,9 @@
         return waiting
 
     def _adopt(self, open_grant: requests.OpenGrant) -> None:
-        waiting = self._state.waiting.pop(open_grant.slot_request.request_id, None)
+        waiting = self._state.waiting.pop(
+            open_grant.slot_request.request_id, None
+        )
         if waiting is not None:
             waiting.fut.set_result(open_grant.grant)
         running = records.Running(
@@ -242,7 +243,9 @@
             granted_at=self._state.now() - open_grant.age,
             read_tokens=open_grant.slot_request.prompt_tokens,
             predicted=open_grant.age,
-            tokens=lessons.expected_tokens(self._state, open_grant.slot_request),
+            tokens=lessons.expected_tokens(
+                self._state, open_grant.slot_request
+            ),
             first_token=open_grant.first_token,
         )
         server = fleet.server_of(self._state, running)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
@@ -24,7 +24,6 @@
 
 def expected_tokens(
     leader: state.OnTimeLeaderState, slot_request: requests.SlotRequest
-
 ) -> float:
     """Return the output tokens to expect.
 
@@ -34,7 +33,6 @@
     most = slot_request.max_tokens or float('inf')
     usual = leader.output_lengths.get(
         slot_request.rule, slot_request.max_tokens * _USUAL_LENGTH_RATIO
-    
     )
     return min(slot_request.likely_tokens or usual, most)
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/ordering.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/ordering.py
@@ -186,7 +186,9 @@
     waiting: records.Waiting,
     lead_times: typing.Mapping[int, float],
 ) -> Turn:
-    leaves_at = min(waiting.slot_request.patience, waiting.slot_request.deadline)
+    leaves_at = min(
+        waiting.slot_request.patience, waiting.slot_request.deadline
+    )
     return Turn(waiting, leaves_at - lead_times[waiting.sequence], late=True)
 
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
@@ -311,8 +311,7 @@
     )
     return hold_seconds * scarcity * _failure_factor(
         candidate.server, slot_request, estimates
-    ), _server_id(candidate
-    )
+    ), _server_id(candidate)
 
 
 def _failure_factor(
@@ -367,4 +366,6 @@
 def _by_first_token(
     candidate: Offer, waiting: records.Waiting
 ) -> tuple[float, str]:
-    return candidate.first_token_seconds(waiting.slot_request), _server_id(candidate)
+    return candidate.first_token_seconds(waiting.slot_request), _server_id(
+        candidate
+    )
--- a/libs/scheduling/geraniumweir/scheduling/placement.py
+++ b/libs/scheduling/geraniumweir/scheduling/placement.py
@@ -235,7 +235,9 @@
     """List the few open servers worth a closer look."""
     found = [
         server_id
-        for server_id in leader.prefixes.longest_holders(waiting.slot_request.blocks)
+        for server_id in leader.prefixes.longest_holders(
+            waiting.slot_request.blocks
+        )
         if leader.open_servers.has(server_id)
     ]
     for kind in waiting.latest_starts:
--- a/libs/scheduling/geraniumweir/scheduling/progressing.py
+++ b/libs/scheduling/geraniumweir/scheduling/progressing.py
@@ -82,7 +82,9 @@
     request_fingerprint = running.slot_request.fingerprint
     server.failures.append((now, request_fingerprint))
     server.health.record_failure(now)
-    leader.suspects.record_incomplete(request_fingerprint, server.server_id, now)
+    leader.suspects.record_incomplete(
+        request_fingerprint, server.server_id, now
+    )
 
 
 def remove_running(
--- a/libs/scheduling/geraniumweir/scheduling/shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/shedding.py
@@ -213,8 +213,8 @@
 
 
 def shed_lower(
-    leader: deadline_state.DeadlineLeaderState, slot_request: requests.SlotRequest
-
+    leader: deadline_state.DeadlineLeaderState,
+    slot_request: requests.SlotRequest,
 ) -> bool:
     """Shed the lowest, latest request if it is lower than a newcomer."""
     for tier in reversed(ids.Tier):
--- a/libs/scheduling/geraniumweir/scheduling/waitlist.py
+++ b/libs/scheduling/geraniumweir/scheduling/waitlist.py
@@ -26,7 +26,9 @@
     leader.by_tier[slot_request.tier][slot_request.request_id] = waiting
     leader.cost_by_tier[slot_request.tier] += waiting.cost
     leader.cost_by_flow[waiting.flow] += waiting.cost
-    rule = leader.rules.setdefault(slot_request.rule, deadline_records.RuleCount())
+    rule = leader.rules.setdefault(
+        slot_request.rule, deadline_records.RuleCount()
+    )
     rule.waiting += 1
     if is_suspect(leader, slot_request):
         waiting.held = True
@@ -148,8 +150,8 @@
 
 
 def is_suspect(
-    leader: deadline_state.DeadlineLeaderState, slot_request: requests.SlotRequest
-
+    leader: deadline_state.DeadlineLeaderState,
+    slot_request: requests.SlotRequest,
 ) -> bool:
     """Tell whether a request may crash the server that runs it."""
     verdict = leader.suspects.verdict(slot_request.fingerprint, leader.now())
