--- a/libs/scheduling/geraniumweir/scheduling/gating.py
+++ b/libs/scheduling/geraniumweir/scheduling/gating.py
@@ -1,4 +1,4 @@
-"""What asks must pass before pool leaders see them: quotas, retry budgets."""
+"""Admission control in front of the pool leaders: quotas, retry budgets."""
 
 import math
 import typing
@@ -14,14 +14,14 @@
 )
 
 _MS = 1000
-# Others of the same customer take what gets free next; a caller that comes
-# back sooner than this is mostly refused again, and it comes
-# back once. In seconds.
-_LEAST_WAIT_SECONDS = 2.0
+# Other requests of the same customer take the next free part of its quota. A
+# caller that retries sooner than this is mostly refused again, and callers
+# retry only once.
+_MIN_WAIT_SECONDS = 2.0
 
 
 class Gate:
-    """Lets asks within their customers' quotas and retry budgets through."""
+    """Admission of slot requests by customer quotas and retry budgets."""
 
     def __init__(
         self,
@@ -31,29 +31,30 @@
         on_slot_request: typing.Callable[[requests.SlotRequest], None]
         | None = None,
     ) -> None:
-        """Count in windows that all pools share.
+        """Initialize a gate that all pools share.
 
-        :param now: gives the time in seconds.
-        :param on_slot_request: told of each ask, whether it is let through or not.
+        :param now: returns the time in seconds.
+        :param on_slot_request: called with each slot request, admitted or
+            not.
         """
         self._quotas = counted
         self._budgets = budgets
         self._now = now
-        self._on_ask = on_slot_request
+        self._on_slot_request = on_slot_request
 
     def admit(
         self, slot_request: requests.SlotRequest
     ) -> requests.Denial | None:
-        """Charge an ask, or tell when it may come again."""
-        if self._on_ask is not None:
-            self._on_ask(slot_request)
+        """Charge a slot request, or deny it with the time of a retry."""
+        if self._on_slot_request is not None:
+            self._on_slot_request(slot_request)
         now = self._now()
         if slot_request.sending is requests.Sending.first:
             self._budgets.note_request(slot_request.pool, now)
         if slot_request.sending is requests.Sending.retry:
             level = self._budgets.level(slot_request.pool, now)
             if level.is_full:
-                return _no_retry(slot_request, level)
+                return _deny_retry(slot_request, level)
         seconds = self._quotas.take(
             slot_request.customer,
             slot_request.quota_cost,
@@ -64,14 +65,14 @@
             return requests.Denial(
                 slot_request.request_id,
                 requests.DenialReason.over_quota,
-                math.ceil(max(seconds, _LEAST_WAIT_SECONDS) * _MS),
+                math.ceil(max(seconds, _MIN_WAIT_SECONDS) * _MS),
             )
         if slot_request.sending is requests.Sending.retry:
             self._budgets.take(slot_request.pool, now)
         return None
 
     def granted(self, slot_request: requests.SlotRequest) -> None:
-        """Take that an ask that was let through got a grant."""
+        """Record that an admitted slot request got a grant."""
         if slot_request.sending is requests.Sending.retry:
             self._budgets.granted(slot_request.pool, self._now())
 
@@ -81,7 +82,7 @@
         charge: led.Charge,
         outcome: requests.Outcome,
     ) -> None:
-        """Give back what an ask was charged that wasn't served."""
+        """Refund the charge of a slot request that was not served."""
         self._quotas.refund(
             slot_request.customer,
             slot_request.quota_cost,
@@ -93,7 +94,7 @@
             self._budgets.refund(slot_request.pool, charge.granted_at)
 
 
-def _no_retry(
+def _deny_retry(
     slot_request: requests.SlotRequest,
     level: retrybudget.Level,
 ) -> requests.Denial:
--- a/libs/scheduling/geraniumweir/scheduling/led.py
+++ b/libs/scheduling/geraniumweir/scheduling/led.py
@@ -1,10 +1,10 @@
-"""What a pool leader's host remembers of the requests of a pool it leads.
+"""Table of the slot requests and grants of a pool that this host leads.
 
-The pool leader decides; this keeps it from being asked twice. An ask is named
-by request id and attempt: a repeat joins the first or gets the same grant
-again, and a higher attempt means that the owner has given up the lower one.
-Owners say once a second what they have here, so whatever message was lost,
-both sides agree a moment later.
+It makes slot requests idempotent, so that the pool leader decides once about
+each. A slot request is identified by request id and attempt: a repeat joins
+the first or gets the same grant again, and a higher attempt means that the
+owner has given up the lower one. Owners report once a second what they have
+here, so that both sides agree within a second after any lost message.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Charge:
-    """What an ask was charged.
+    """Charge of a slot request against quotas and retry budgets.
 
-    :ivar admitted_at: when it was let through, in seconds.
-    :ivar granted_at: when it got its grant, None where it has none.
+    :ivar admitted_at: time of admission in seconds.
+    :ivar granted_at: time of the grant in seconds, None without a grant.
     """
 
     admitted_at: float
@@ -30,15 +30,15 @@
 
 
 class Gate(typing.Protocol):
-    """What an ask must pass before the leader sees it."""
+    """Admission of slot requests before they reach the leader."""
 
     def admit(
         self, slot_request: requests.SlotRequest
     ) -> requests.Denial | None:
-        """Let an ask through, or deny it."""
+        """Admit a slot request, or return why it is denied."""
 
     def granted(self, slot_request: requests.SlotRequest) -> None:
-        """Take that an ask that was let through got a grant."""
+        """Record that an admitted slot request got a grant."""
 
     def undo(
         self,
@@ -46,7 +46,7 @@
         charge: Charge,
         outcome: requests.Outcome,
     ) -> None:
-        """Take back that an ask was let through: it wasn't served.
+        """Undo the admission of a slot request that was not served.
 
         :param outcome: how it ended.
         """
@@ -54,13 +54,14 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Entry:
-    """One ask.
-
-    :ivar attempt: the owner's number of it.
-    :ivar work: the leader's decision under way, or None for a grant that
-        was handed over.
-    :ivar held: its owner's call is still open and takes the answer.
-    :ivar notifying: the answer is on its way to the owner.
+    """One slot request with its answer.
+
+    :ivar attempt: the owner's number of the attempt.
+    :ivar work: the leader's pending decision, or None for a grant that was
+        handed over.
+    :ivar call_open: whether the owner's call is still open, so that its
+        reply can carry the answer.
+    :ivar notifying: whether the answer is being sent to the owner.
     :ivar charge: what the gate charged here, None for nothing.
     """
 
@@ -68,17 +69,17 @@
     attempt: int
     work: asyncio.Task[None] | None = None
     answer: Answer | None = None
-    held: bool = False
+    call_open: bool = False
     notifying: bool = False
     charge: Charge | None = None
 
 
 class LedPool:
-    """A pool that this host leads.
+    """Pool that this host leads.
 
     :ivar pool: its name.
-    :ivar leader: decides about the pool.
-    :ivar entries: asks that wait or are granted.
+    :ivar leader: the pool leader, which decides.
+    :ivar entries: slot requests that wait or are granted, by request id.
     """
 
     def __init__(
@@ -89,11 +90,11 @@
         on_answer: typing.Callable[['LedPool', Entry], None],
         gate: Gate | None = None,
     ) -> None:
-        """Start without asks.
+        """Initialize without slot requests.
 
-        :param now: gives the time in seconds.
-        :param on_answer: told of each decision.
-        :param gate: what asks must pass first.
+        :param now: returns the time in seconds.
+        :param on_answer: called after each decision.
+        :param gate: admits slot requests before the leader sees them.
         """
         self.pool = pool
         self.leader = pool_leader
@@ -101,49 +102,49 @@
         self._now = now
         self._on_answer = on_answer
         self._gate = gate
-        self._heard: dict[ids.HostId, float] = {}
+        self._last_seen_at: dict[ids.HostId, float] = {}
 
     def join(
         self, slot_request: requests.SlotRequest, attempt: int
     ) -> Entry | None:
-        """Take an ask, or find it here already.
+        """Enter a slot request, or join the same one.
 
-        :returns: None when the owner has asked anew since.
+        :returns: None when the owner has sent a later attempt already.
         """
-        self._heard[slot_request.owner] = self._now()
+        self._last_seen_at[slot_request.owner] = self._now()
         known = self.entries.get(slot_request.request_id)
         if known is not None and known.attempt >= attempt:
             return known if known.attempt == attempt else None
         if known is not None:
-            self._drop(known, requests.Outcome.given_up)
+            self._remove(known, requests.Outcome.given_up)
         entry = Entry(slot_request, attempt)
         self.entries[slot_request.request_id] = entry
         entry.work = asyncio.create_task(self._decide(entry))
         return entry
 
     def withdraw(self, request_id: ids.RequestId, attempt: int) -> None:
-        """Drop an ask whose owner gave it up, granted or not."""
+        """Remove a slot request that its owner gave up, granted or not."""
         entry = self.entries.get(request_id)
         if entry is not None and entry.attempt <= attempt:
-            self._drop(entry, requests.Outcome.given_up)
+            self._remove(entry, requests.Outcome.given_up)
 
     def release(self, release: requests.Release, attempt: int) -> None:
-        """Take back a grant."""
+        """Release a grant."""
         entry = self.entries.get(release.request_id)
         if entry is not None and entry.attempt <= attempt:
-            self._drop(entry, release.outcome, release)
+            self._remove(entry, release.outcome, release)
 
     def adopt(self, grant: requests.OpenGrant, attempt: int) -> None:
-        """Take over a grant in use that another leader gave."""
+        """Take over a grant in use that another leader made."""
         request_id = grant.slot_request.request_id
-        self._heard[grant.slot_request.owner] = self._now()
+        self._last_seen_at[grant.slot_request.owner] = self._now()
         known = self.entries.get(request_id)
         if known is not None and known.attempt > attempt:
             return
         if known is not None and known.answer == grant.grant:
             return
         if known is not None:
-            self._drop(known, requests.Outcome.given_up)
+            self._remove(known, requests.Outcome.given_up)
         entry = Entry(grant.slot_request, attempt, answer=grant.grant)
         self.entries[request_id] = entry
         self.leader.adopt([grant])
@@ -155,45 +156,50 @@
         waiting: frozenset[ids.RequestId],
         in_use: frozenset[ids.RequestId],
     ) -> tuple[list[ids.RequestId], list[ids.RequestId]]:
-        """Agree with an owner on what it has here.
+        """Reconcile the table with what an owner reports.
 
-        What the owner no longer has is dropped; what it waits for and was
-        granted already is told again.
+        What the owner no longer has is removed. Where it still waits for an
+        answer that was made already, the answer is sent again.
 
-        :param attempt: the owner's last one when it said so; asks of later
-            ones are left alone.
-        :returns: ids of waiting asks and of grants that aren't known here.
+        :param attempt: the owner's last attempt at the time of its report;
+            slot requests of later attempts are left unchanged.
+        :returns: ids of waiting slot requests and of grants that are
+            unknown here.
         """
-        self._heard[owner] = self._now()
-        for entry in self._of(owner):
+        self._last_seen_at[owner] = self._now()
+        for entry in self._entries_of(owner):
             request_id = entry.slot_request.request_id
             if entry.attempt > attempt or request_id in in_use:
                 continue
             if request_id not in waiting:
-                self._drop(entry, requests.Outcome.cancelled)
+                self._remove(entry, requests.Outcome.cancelled)
             elif entry.answer is not None:
                 self._on_answer(self, entry)
         lost = [found for found in waiting if found not in self.entries]
         unknown = [found for found in in_use if not self._is_granted(found)]
         return lost, unknown
 
-    def silent_owners(self, since: float) -> list[ids.HostId]:
-        """List owners that said nothing for some time.
+    def silent_owners(self, last_seen_before: float) -> list[ids.HostId]:
+        """List owners from which nothing has arrived since a time.
 
-        :param since: time in seconds of the last word.
+        :param last_seen_before: that time, in seconds.
         """
-        return [owner for owner, at in self._heard.items() if at < since]
+        return [
+            owner
+            for owner, at in self._last_seen_at.items()
+            if at < last_seen_before
+        ]
 
     def remove_owner(self, owner: ids.HostId) -> int:
-        """Drop all that an owner has here; tell how much it was."""
-        self._heard.pop(owner, None)
-        dropped = self._of(owner)
+        """Remove all entries of an owner and return their number."""
+        self._last_seen_at.pop(owner, None)
+        dropped = self._entries_of(owner)
         for entry in dropped:
-            self._drop(entry, requests.Outcome.cancelled)
+            self._remove(entry, requests.Outcome.cancelled)
         return len(dropped)
 
     def close(self) -> list[Entry]:
-        """Stop deciding; give the asks that got no grant."""
+        """Cancel pending decisions; return the entries without a grant."""
         waiting = [
             entry
             for entry in self.entries.values()
@@ -207,12 +213,12 @@
         return waiting
 
     def discard_denied(self, entry: Entry) -> None:
-        """Forget an ask whose denial the owner has got."""
+        """Remove a denied entry, as its owner has the denial."""
         if isinstance(entry.answer, requests.Denial) and self.has(entry):
             self.entries.pop(entry.slot_request.request_id)
 
     def has(self, entry: Entry) -> bool:
-        """Tell whether an ask is still this one."""
+        """Return whether an entry is still in the table."""
         return self.entries.get(entry.slot_request.request_id) is entry
 
     async def _decide(self, entry: Entry) -> None:
@@ -247,7 +253,7 @@
             self._gate.undo(entry.slot_request, entry.charge, outcome)
             entry.charge = None
 
-    def _drop(
+    def _remove(
         self,
         entry: Entry,
         outcome: requests.Outcome,
@@ -259,11 +265,11 @@
             self._undo(entry, outcome)
         if entry.answer is None:
             self.leader.withdraw(request_id)
-            # The grant may be made and not yet be told here.
+            # The leader may have made a grant that has not arrived here yet.
             outcome = requests.Outcome.given_up
         self.leader.release(release or requests.Release(request_id, outcome))
 
-    def _of(self, owner: ids.HostId) -> list[Entry]:
+    def _entries_of(self, owner: ids.HostId) -> list[Entry]:
         return [
             entry
             for entry in self.entries.values()
--- a/libs/scheduling/geraniumweir/scheduling/remote.py
+++ b/libs/scheduling/geraniumweir/scheduling/remote.py
@@ -189,7 +189,7 @@
             takeover.adopt(found, message, self._clock.now())
 
     def _answered(self, found: led.LedPool, entry: led.Entry) -> None:
-        if not entry.held and not entry.notifying:
+        if not entry.call_open and not entry.notifying:
             entry.notifying = True
             self._link.start(answer_delivery.deliver(self._link, found, entry))
 
@@ -230,11 +230,11 @@
     """Wait a moment, so that a quick grant goes with the call's answer."""
     if entry.work is None or entry.notifying:
         return
-    entry.held = True
+    entry.call_open = True
     try:
         await asyncio.wait((entry.work,), timeout=_HOLD)
     finally:
-        entry.held = False
+        entry.call_open = False
 
 
 def _refuse(
--- a/libs/scheduling/geraniumweir/scheduling/suspects.py
+++ b/libs/scheduling/geraniumweir/scheduling/suspects.py
@@ -1,22 +1,27 @@
-"""Finds requests that crash the backend servers that run them.
-
-Whatever ran on a server when it crashed is a suspect, with a score that is
-smaller the more ran beside it. A suspect runs alone of its kind and never
-beside another suspect, so a second crash under a lone suspect has one
-explanation: it is quarantined, and who ran beside it is not blamed. A suspect
-that ends well is cleared, and content that ended well before needs stronger
-evidence, so neighbours that share crashes by chance are not condemned. This
-is group testing [1]_ with groups of one.
-
-Leaders tell each other what they saw. Each counts its own crashes, and the
-counts of all are added: a grow-only counter [2]_, which may be told again, late
-and in any order. So two crashes count as two wherever they were seen.
-
-A stream that breaks off is a weak suspect at once, because callers come back
-before a restart is known; after the second it waits until that is known.
-Streams that break off on several servers at a time show a cut, not a request,
-unless it is the same content.
-A quarantine that ends leaves a suspect, and the next one lasts twice as long.
+"""Detection of requests that crash the backend servers that run them.
+
+Every request that ran on a server when it crashed is a suspect, with a score
+that is smaller the more requests were concurrent. Of a suspect's content one
+request runs at a time, and never on the same server as another suspect, so a
+second crash with one suspect has one explanation: the suspect is quarantined
+and the concurrent requests are not blamed. A suspect that completes is
+cleared, and content that completed before needs stronger evidence, so that
+requests which share crashes by chance are not quarantined. This is group
+testing [1]_ with groups of one.
+
+Leaders exchange their evidence. Each counts the crashes that it saw itself,
+and the counts of all leaders are added. This is a grow-only counter [2]_, so
+updates may arrive repeatedly, late and in any order, and two crashes count as
+two wherever they were seen.
+
+A stream whose connection closes early makes its content a weak suspect at
+once, because callers retry before a restart is known. After the second such
+stream the content waits until the cause is known. Streams that end early on
+several servers at the same time indicate a partition and clear the content,
+unless the same content was on more than one of those servers.
+
+After a quarantine the content stays a suspect, and each further quarantine
+lasts twice as long as the one before.
 
 References
 ==========
@@ -34,26 +39,26 @@
 from geraniumweir.common import ids
 
 NO_FINGERPRINT = ids.Fingerprint(0)
-_MOST_CASES = 2048
-_MOST_CLEARED = 8192
+_MAX_CASES = 2048
+_MAX_COMPLETED = 8192
 _SUSPECT_SECONDS = 600.0
-_CONDEMNED_SCORE = 1.0
+_QUARANTINE_SCORE = 1.0
 _GOOD_RECORD_DISCOUNT = 0.5
-_CONDEMNED_CRASHES = 2
-_LONGEST_QUARANTINE = 86400.0
-_GROWTH = 2
-_MOST_DOUBLINGS = 16
-_WEAK_SECONDS = 30.0
-_WAIT_SECONDS = 8.0
-_CUT_SECONDS = 1.0
-_LEAST_REMAINING = 1.0
-# Servers on which the streams of a content broke off that is suspected by
-# itself, whatever broke off beside it.
-_BY_ITSELF = 2
+_QUARANTINE_CRASHES = 2
+_MAX_QUARANTINE_SECONDS = 86400.0
+_GROWTH_FACTOR = 2
+_MAX_DOUBLINGS = 16
+_WEAK_SUSPECT_SECONDS = 30.0
+_EXPLANATION_SECONDS = 8.0
+_PARTITION_SECONDS = 1.0
+_MIN_REMAINING_SECONDS = 1.0
+# Content whose streams ended early on at least so many servers stays suspect,
+# whatever else ended early at that time.
+_MIN_SERVERS = 2
 
 
 class Verdict(enum.Enum):
-    """What is thought of a fingerprint."""
+    """Classification of a fingerprint."""
 
     clear = 'clear'
     suspect = 'suspect'
@@ -62,13 +67,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Case:
-    """What one leader knows against a fingerprint.
+    """Evidence of one leader against a fingerprint.
 
-    :ivar crashes: that the leader saw.
-    :ivar score: share of the blame for crashes.
-    :ivar seconds: for which it counts, from now.
-    :ivar quarantined: whether it is refused for this time.
-    :ivar origin: names the leader.
+    :ivar crashes: number of crashes that the leader saw.
+    :ivar score: sum of the shares in these crashes.
+    :ivar seconds: remaining time for which the case holds.
+    :ivar quarantined: whether the content is refused for this time.
+    :ivar origin: identifies the leader.
     """
 
     fingerprint: ids.Fingerprint
@@ -80,71 +85,72 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Seen:
+class _Evidence:
     crashes: int = 0
     score: float = 0
 
 
 @dataclasses.dataclass(slots=True)
-class _Entry:
-    """What is known of a fingerprint; times are in seconds.
-
-    :ivar by_origin: what each leader saw, by its name.
-    :ivar until: end of the suspicion.
-    :ivar condemned_until: end of the quarantine.
-    :ivar broken: streams that broke off, not yet explained by a crash.
-    :ivar broken_at: when the last of them did.
-    :ivar broken_by: where they did, two servers at most.
+class _Record:
+    """State of a fingerprint; times are in seconds.
+
+    :ivar by_origin: evidence of each leader, by its name.
+    :ivar ends_at: end of the suspicion.
+    :ivar quarantine_ends_at: end of the quarantine.
+    :ivar incomplete: number of streams that ended early and are not yet
+        explained by a crash.
+    :ivar incomplete_at: time of the last of them.
+    :ivar incomplete_on: servers on which they ran, two at most.
     """
 
-    by_origin: dict[str, _Seen] = dataclasses.field(default_factory=dict)
-    until: float = 0
-    condemned_until: float = 0
-    broken: int = 0
-    broken_at: float = float('-inf')
-    broken_by: set[ids.ServerId] = dataclasses.field(default_factory=set)
+    by_origin: dict[str, _Evidence] = dataclasses.field(default_factory=dict)
+    ends_at: float = 0
+    quarantine_ends_at: float = 0
+    incomplete: int = 0
+    incomplete_at: float = float('-inf')
+    incomplete_on: set[ids.ServerId] = dataclasses.field(default_factory=set)
 
     @property
     def crashes(self) -> int:
-        """Count the crashes that all leaders saw."""
-        return sum(seen.crashes for seen in self.by_origin.values())
+        """The number of crashes that all leaders saw."""
+        return sum(evidence.crashes for evidence in self.by_origin.values())
 
-    def is_proved(self) -> bool:
-        """Tell whether all that was seen condemns it."""
-        if self.crashes < _CONDEMNED_CRASHES:
+    def has_enough_evidence(self) -> bool:
+        """Return whether the evidence suffices for a quarantine."""
+        if self.crashes < _QUARANTINE_CRASHES:
             return False
-        seen = self.by_origin.values()
-        return sum(one.score for one in seen) >= _CONDEMNED_SCORE
+        evidence = self.by_origin.values()
+        return sum(one.score for one in evidence) >= _QUARANTINE_SCORE
 
 
 class Suspects:
-    """Fingerprints under suspicion, in bounded memory."""
+    """Table of suspect fingerprints, in bounded memory."""
 
     def __init__(self, quarantine_seconds: float, origin: str = '') -> None:
-        """Suspect nobody.
+        """Initialize without suspects.
 
-        :param quarantine_seconds: for which a condemned one is refused.
-        :param origin: names this leader, and no other one.
+        :param quarantine_seconds: length of a first quarantine.
+        :param origin: identifies this leader uniquely.
         """
         self.origin = origin
         self._quarantine_seconds = quarantine_seconds
-        self._cases: collections.OrderedDict[ids.Fingerprint, _Entry] = (
+        self._cases: collections.OrderedDict[ids.Fingerprint, _Record] = (
             collections.OrderedDict()
         )
-        self._last_broken: tuple[float, ids.ServerId] | None = None
-        self._cut_until = float('-inf')
-        self._good: collections.OrderedDict[ids.Fingerprint, None] = (
+        self._last_incomplete: tuple[float, ids.ServerId] | None = None
+        self._partition_ends_at = float('-inf')
+        self._completed: collections.OrderedDict[ids.Fingerprint, None] = (
             collections.OrderedDict()
         )
 
     def verdict(self, fingerprint: ids.Fingerprint, now: float) -> Verdict:
-        """Tell what is thought of a fingerprint."""
+        """Return the classification of a fingerprint."""
         entry = self._cases.get(fingerprint)
         if entry is None:
             return Verdict.clear
-        if entry.condemned_until > now:
+        if entry.quarantine_ends_at > now:
             return Verdict.quarantined
-        if entry.until > now:
+        if entry.ends_at > now:
             return Verdict.suspect
         self._cases.pop(fingerprint)
         return Verdict.clear
@@ -152,13 +158,13 @@
     def awaits_explanation(
         self, fingerprint: ids.Fingerprint, now: float
     ) -> bool:
-        """Tell whether a suspect waits until its last breaks are explained."""
+        """Return whether a suspect waits for the cause of early ends."""
         entry = self._cases.get(fingerprint)
-        if entry is None or not entry.broken:
+        if entry is None or not entry.incomplete:
             return False
-        if entry.crashes + entry.broken < _CONDEMNED_CRASHES:
+        if entry.crashes + entry.incomplete < _QUARANTINE_CRASHES:
             return False
-        return now < entry.broken_at + _WAIT_SECONDS
+        return now < entry.incomplete_at + _EXPLANATION_SECONDS
 
     def record_incomplete(
         self,
@@ -166,56 +172,56 @@
         server_id: ids.ServerId,
         now: float,
     ) -> None:
-        """Take that a stream broke off and that no crash is known yet."""
-        last = self._last_broken
-        self._last_broken = (now, server_id)
+        """Record that a stream ended early, with no crash known yet."""
+        last = self._last_incomplete
+        self._last_incomplete = (now, server_id)
         if fingerprint != NO_FINGERPRINT:
-            entry = self._entry(fingerprint)
-            entry.broken += 1
-            entry.broken_at = now
-            entry.until = max(entry.until, now + _WEAK_SECONDS)
-            if len(entry.broken_by) < _BY_ITSELF:
-                entry.broken_by.add(server_id)
+            entry = self._record(fingerprint)
+            entry.incomplete += 1
+            entry.incomplete_at = now
+            entry.ends_at = max(entry.ends_at, now + _WEAK_SUSPECT_SECONDS)
+            if len(entry.incomplete_on) < _MIN_SERVERS:
+                entry.incomplete_on.add(server_id)
         if last is not None and last[1] != server_id:
-            if now - last[0] <= _CUT_SECONDS:
-                self._cut_until = now + _CUT_SECONDS
-        if now < self._cut_until:
-            self._clear_cut(now)
+            if now - last[0] <= _PARTITION_SECONDS:
+                self._partition_ends_at = now + _PARTITION_SECONDS
+        if now < self._partition_ends_at:
+            self._clear_partitioned(now)
 
-    def _clear_cut(self, now: float) -> None:
-        """Clear those whose streams broke off together on many servers.
+    def _clear_partitioned(self, now: float) -> None:
+        """Clear content whose streams ended early in a partition.
 
-        Content that broke off on two of them itself is no part of a cut: it
-        may have ended each server that it was sent to.
+        Content whose own streams ended early on two servers is not cleared:
+        it may have crashed each server that it was sent to.
         """
         for fingerprint, entry in list(self._cases.items()):
-            if len(entry.broken_by) >= _BY_ITSELF:
+            if len(entry.incomplete_on) >= _MIN_SERVERS:
                 continue
-            if entry.broken_at >= now - _CUT_SECONDS:
-                entry.broken = 0
-                entry.broken_by.clear()
+            if entry.incomplete_at >= now - _PARTITION_SECONDS:
+                entry.incomplete = 0
+                entry.incomplete_on.clear()
                 if not entry.crashes:
                     self._cases.pop(fingerprint)
 
     def remaining_seconds(
         self, fingerprint: ids.Fingerprint, now: float
     ) -> float:
-        """Give the seconds for which a fingerprint is refused."""
+        """Return the seconds for which a fingerprint is refused."""
         entry = self._cases.get(fingerprint)
-        seconds = entry.condemned_until - now if entry else 0
-        return max(seconds, _LEAST_REMAINING)
+        seconds = entry.quarantine_ends_at - now if entry else 0
+        return max(seconds, _MIN_REMAINING_SECONDS)
 
     def record_crash(
         self,
-        together: typing.Collection[ids.Fingerprint],
+        fingerprints: typing.Collection[ids.Fingerprint],
         now: float,
     ) -> list[ids.Fingerprint]:
-        """Take that a server crashed.
+        """Record that a server crashed.
 
-        :param together: fingerprints of what ran on it.
+        :param fingerprints: of the requests that ran on it.
         :returns: those that are newly quarantined.
         """
-        ran = {known for known in together if known != NO_FINGERPRINT}
+        ran = {known for known in fingerprints if known != NO_FINGERPRINT}
         prior = [
             known
             for known in ran
@@ -223,55 +229,56 @@
             and self._cases[known].crashes
         ]
         if len(prior) == 1:
-            # The lone suspect explains the crash; its neighbours go free.
-            return self._blame(prior, _CONDEMNED_SCORE, now)
+            # The only suspect explains the crash; concurrent requests are
+            # not blamed.
+            return self._blame(prior, _QUARANTINE_SCORE, now)
         blamed = prior or self.unexplained(ran) or sorted(ran)
         return self._blame(blamed, 1 / max(len(blamed), 1), now)
 
     def record_success(self, fingerprint: ids.Fingerprint) -> None:
-        """Clear a fingerprint, unless it is in quarantine."""
+        """Record a complete response; clear content not in quarantine."""
         if fingerprint == NO_FINGERPRINT:
             return
         entry = self._cases.get(fingerprint)
-        if entry is not None and not entry.condemned_until:
+        if entry is not None and not entry.quarantine_ends_at:
             self._cases.pop(fingerprint)
-        self._good[fingerprint] = None
-        self._good.move_to_end(fingerprint)
-        if len(self._good) > _MOST_CLEARED:
-            self._good.popitem(last=False)
+        self._completed[fingerprint] = None
+        self._completed.move_to_end(fingerprint)
+        if len(self._completed) > _MAX_COMPLETED:
+            self._completed.popitem(last=False)
 
     def unexplained(
         self,
         ran: typing.Iterable[ids.Fingerprint],
     ) -> list[ids.Fingerprint]:
-        """List those that have not ended well since their stream broke."""
+        """List those that have not completed since a stream ended early."""
         known = (one for one in ran if one in self._cases)
-        return sorted(one for one in known if self._cases[one].broken)
+        return sorted(one for one in known if self._cases[one].incomplete)
 
     def export(self, now: float) -> list[Case]:
-        """List the cases for other hosts, with the seconds left."""
+        """List the cases for other hosts, with their remaining seconds."""
         return [
             _case(fingerprint, entry, origin, now)
             for fingerprint, entry in self._cases.items()
-            if entry.crashes and entry.until > now
+            if entry.crashes and entry.ends_at > now
             for origin in entry.by_origin
         ]
 
     def merge(self, cases: typing.Iterable[Case], now: float) -> None:
-        """Take other leaders' cases; of one leader's, the graver stands."""
+        """Merge other leaders' cases; the maximum of each leader's holds."""
         for case in cases:
-            entry = self._entry(case.fingerprint)
-            seen = entry.by_origin.setdefault(case.origin, _Seen())
-            is_news = case.crashes > seen.crashes
-            seen.crashes = max(seen.crashes, case.crashes)
-            seen.score = max(seen.score, case.score)
-            until = now + case.seconds
-            entry.until = max(entry.until, until)
+            entry = self._record(case.fingerprint)
+            evidence = entry.by_origin.setdefault(case.origin, _Evidence())
+            is_new = case.crashes > evidence.crashes
+            evidence.crashes = max(evidence.crashes, case.crashes)
+            evidence.score = max(evidence.score, case.score)
+            ends_at = now + case.seconds
+            entry.ends_at = max(entry.ends_at, ends_at)
             if case.quarantined:
-                _condemn(entry, until)
-            # What is told again must not begin a quarantine again.
-            elif is_news and entry.is_proved():
-                _condemn(entry, now + self._sentence(entry.crashes))
+                _quarantine(entry, ends_at)
+            # Repeated evidence must not start a quarantine again.
+            elif is_new and entry.has_enough_evidence():
+                _quarantine(entry, now + self._quarantine_length(entry.crashes))
 
     def _blame(
         self,
@@ -279,11 +286,11 @@
         weight: float,
         now: float,
     ) -> list[ids.Fingerprint]:
-        condemned = []
+        newly_quarantined = []
         for fingerprint in blamed:
             if self._add(fingerprint, weight, now):
-                condemned.append(fingerprint)
-        return condemned
+                newly_quarantined.append(fingerprint)
+        return newly_quarantined
 
     def _add(
         self,
@@ -291,67 +298,69 @@
         weight: float,
         now: float,
     ) -> bool:
-        entry = self._entry(fingerprint)
-        discount = _GOOD_RECORD_DISCOUNT if fingerprint in self._good else 1
-        seen = entry.by_origin.setdefault(self.origin, _Seen())
-        seen.crashes += 1
-        seen.score += weight * discount
-        entry.broken = max(entry.broken - 1, 0)
-        entry.until = max(entry.until, now + _SUSPECT_SECONDS)
-        before = entry.condemned_until > now
-        if not entry.is_proved():
+        entry = self._record(fingerprint)
+        discount = (
+            _GOOD_RECORD_DISCOUNT if fingerprint in self._completed else 1
+        )
+        evidence = entry.by_origin.setdefault(self.origin, _Evidence())
+        evidence.crashes += 1
+        evidence.score += weight * discount
+        entry.incomplete = max(entry.incomplete - 1, 0)
+        entry.ends_at = max(entry.ends_at, now + _SUSPECT_SECONDS)
+        before = entry.quarantine_ends_at > now
+        if not entry.has_enough_evidence():
             return False
-        _condemn(entry, now + self._sentence(entry.crashes))
+        _quarantine(entry, now + self._quarantine_length(entry.crashes))
         return not before
 
-    def _sentence(self, crashes: int) -> float:
-        """Give the seconds of a quarantine, doubling with each crash."""
-        doublings = min(crashes - _CONDEMNED_CRASHES, _MOST_DOUBLINGS)
-        seconds = self._quarantine_seconds * _GROWTH**doublings
+    def _quarantine_length(self, crashes: int) -> float:
+        """Return the seconds of a quarantine, doubled by each crash."""
+        doublings = min(crashes - _QUARANTINE_CRASHES, _MAX_DOUBLINGS)
+        seconds = self._quarantine_seconds * _GROWTH_FACTOR**doublings
         return min(
             seconds,
-            max(_LONGEST_QUARANTINE, self._quarantine_seconds),
+            max(_MAX_QUARANTINE_SECONDS, self._quarantine_seconds),
         )
 
-    def _entry(self, fingerprint: ids.Fingerprint) -> _Entry:
+    def _record(self, fingerprint: ids.Fingerprint) -> _Record:
         entry = self._cases.get(fingerprint)
         if entry is None:
-            entry = _Entry()
+            entry = _Record()
             self._cases[fingerprint] = entry
         self._cases.move_to_end(fingerprint)
-        if len(self._cases) > _MOST_CASES:
-            self._drop_one()
+        if len(self._cases) > _MAX_CASES:
+            self._evict_one()
         return entry
 
-    def _drop_one(self) -> None:
-        # The oldest that is not quarantined goes, else the oldest.
+    def _evict_one(self) -> None:
+        # Evicts the oldest that is not quarantined, else the oldest.
         for fingerprint, entry in self._cases.items():
-            if not entry.condemned_until:
+            if not entry.quarantine_ends_at:
                 self._cases.pop(fingerprint)
                 return
         self._cases.popitem(last=False)
 
 
-def _condemn(entry: _Entry, until: float) -> None:
-    """Put in quarantine; it stays a suspect for a while after that."""
-    entry.condemned_until = max(entry.condemned_until, until)
-    entry.until = max(entry.until, until + _SUSPECT_SECONDS)
+def _quarantine(entry: _Record, ends_at: float) -> None:
+    """Quarantine a fingerprint; it stays a suspect for a time afterwards."""
+    entry.quarantine_ends_at = max(entry.quarantine_ends_at, ends_at)
+    entry.ends_at = max(entry.ends_at, ends_at + _SUSPECT_SECONDS)
 
 
 def _case(
     fingerprint: ids.Fingerprint,
-    entry: _Entry,
+    entry: _Record,
     origin: str,
     now: float,
 ) -> Case:
-    quarantined = entry.condemned_until > now
-    until = entry.condemned_until if quarantined else entry.until
-    seen = entry.by_origin[origin]
+    quarantined = entry.quarantine_ends_at > now
+    ends_at = entry.quarantine_ends_at if quarantined else entry.ends_at
+    evidence = entry.by_origin[origin]
     return Case(
         fingerprint,
-        seen.crashes,
-        seen.score,
-        until - now,
+        evidence.crashes,
+        evidence.score,
+        ends_at - now,
         quarantined,
         origin,
     )
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_gating.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_gating.py
@@ -1,4 +1,4 @@
-"""What asks are charged, and what they get back."""
+"""Tests of the charges of slot requests and their refunds."""
 
 import asyncio
 import dataclasses
@@ -37,24 +37,26 @@
 
 
 class _Leader:
-    """Stands for a pool leader; grants when the test says."""
+    """Stub of a pool leader that grants when the test allows it."""
 
     def __init__(self) -> None:
         self.may_grant = asyncio.Event()
 
-    async def request_slot(self, _ask: requests.SlotRequest) -> requests.Grant:
+    async def request_slot(
+        self, _slot_request: requests.SlotRequest
+    ) -> requests.Grant:
         await self.may_grant.wait()
         return _GRANT
 
     def withdraw(self, _request_id: ids.RequestId) -> None:
-        """Forget a request."""
+        """Remove a request."""
 
     def release(self, _release: requests.Release) -> None:
-        """Take a grant back."""
+        """Release a grant."""
 
 
 class _Bed:
-    """A pool whose budget has room for one retry."""
+    """Pool whose budget has room for one retry."""
 
     def __init__(self) -> None:
         self.budgets = retrybudget.RetryBudgets(
@@ -77,14 +79,14 @@
         )
 
     async def join(self) -> led.Entry:
-        """Let a retry ask."""
+        """Send the slot request of a retry."""
         entry = self.found.join(_RETRY, 1)
         assert entry is not None
         await asyncio.sleep(0)
         return entry
 
     async def granted(self) -> None:
-        """Let a retry ask and get its grant."""
+        """Send the slot request of a retry and grant it."""
         await self.join()
         self.leader.may_grant.set()
         await asyncio.sleep(0.01)
@@ -94,7 +96,7 @@
         self.found.release(requests.Release(_RETRY.request_id, outcome), 1)
 
     def used(self) -> float:
-        """Count what the budget holds."""
+        """Return how many retries the budget counts."""
         return self.budgets.level(_POOL, _NOW).used
 
 
@@ -105,8 +107,8 @@
     asyncio.run(on_bed())
 
 
-def test_first_ask_takes_no_retry_and_second_retry_is_denied() -> None:
-    """Also one that asks again as no server got it."""
+def test_first_attempt_costs_no_retry_and_second_retry_is_denied() -> None:
+    """A repeat of a request that reached no server costs none either."""
 
     async def work(bed: _Bed) -> None:
         again = dataclasses.replace(_FIRST, sending=requests.Sending.again)
@@ -121,7 +123,7 @@
 
 
 def test_retry_counts_until_it_is_known_not_to_have_been_sent() -> None:
-    """A server that turns it away has got it."""
+    """A retry that the server rejected has reached the server."""
 
     async def work(bed: _Bed) -> None:
         await bed.granted()
@@ -132,8 +134,8 @@
     _run(work)
 
 
-def test_retry_that_was_not_sent_gives_its_place_back() -> None:
-    """Its grant was not used."""
+def test_retry_that_was_not_sent_is_refunded() -> None:
+    """Its grant was given up before dispatch."""
 
     async def work(bed: _Bed) -> None:
         await bed.granted()
@@ -143,8 +145,8 @@
     _run(work)
 
 
-def test_retry_that_leaves_the_queue_gives_its_place_back() -> None:
-    """By itself, or as another host leads the pool."""
+def test_retry_that_leaves_the_queue_is_refunded() -> None:
+    """It is withdrawn, or another host takes over the pool."""
 
     async def work(bed: _Bed) -> None:
         await bed.join()
@@ -158,8 +160,8 @@
     _run(work)
 
 
-def test_retry_counts_from_its_grant_not_from_when_it_asked() -> None:
-    """What waits in the queue reaches its server later."""
+def test_retry_counts_from_its_grant_not_from_its_slot_request() -> None:
+    """A retry that waits in the queue reaches its server later."""
     budgets = retrybudget.RetryBudgets(
         retrybudget.Budget(ratio=0, window=10, slack=2),
         _LEADER,
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_led.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_led.py
@@ -1,4 +1,4 @@
-"""Tests of what a leader's host remembers and what an owner accepts."""
+"""Tests of a leader's table of entries and of what an owner accepts."""
 
 import asyncio
 import typing
@@ -29,7 +29,7 @@
 _PACKED = ttypes.Grant('server', 1, '127.0.0.1:1')
 
 
-def _ask() -> requests.SlotRequest:
+def _slot_request() -> requests.SlotRequest:
     return requests.SlotRequest(
         _REQUEST,
         _OWNER,
@@ -42,13 +42,15 @@
 
 
 class _Decisions:
-    """Stands for a pool leader; the test decides."""
+    """Stub of a pool leader; the test decides."""
 
     def __init__(self) -> None:
         self.asked: list[asyncio.Future[led.Answer]] = []
         self.log: list[typing.Any] = []
 
-    async def request_slot(self, _ask: requests.SlotRequest) -> led.Answer:
+    async def request_slot(
+        self, _slot_request: requests.SlotRequest
+    ) -> led.Answer:
         self.asked.append(asyncio.get_running_loop().create_future())
         return await self.asked[-1]
 
@@ -74,7 +76,7 @@
         )
 
     async def granted(self, attempt: int) -> led.Entry:
-        entry = self.found.join(_ask(), attempt)
+        entry = self.found.join(_slot_request(), attempt)
         assert entry is not None
         await asyncio.sleep(0)
         self.decisions.asked[-1].set_result(_GRANT)
@@ -96,13 +98,13 @@
     )
 
 
-def test_repeated_ask_joins() -> None:
+def test_repeated_slot_request_joins_the_first() -> None:
     """The leader decides once; the repeat gets the same grant."""
 
     async def scenario() -> None:
         fixture = _Fixture()
         entry = await fixture.granted(1)
-        assert fixture.found.join(_ask(), 1) is entry
+        assert fixture.found.join(_slot_request(), 1) is entry
         assert len(fixture.decisions.asked) == 1
         assert entry.answer is _GRANT
 
@@ -110,27 +112,27 @@
 
 
 def test_higher_attempt_replaces_and_lower_is_stale() -> None:
-    """What the owner gave up is released before it is asked anew."""
+    """A grant that the owner gave up is released before a new attempt."""
 
     async def scenario() -> None:
         fixture = _Fixture()
         await fixture.granted(1)
-        entry = fixture.found.join(_ask(), 2)
+        entry = fixture.found.join(_slot_request(), 2)
         assert fixture.decisions.log == [requests.Outcome.given_up]
-        assert fixture.found.join(_ask(), 1) is None
+        assert fixture.found.join(_slot_request(), 1) is None
         assert entry is not None
         assert fixture.found.has(entry)
 
     virtual.run(scenario())
 
 
-def test_what_the_owner_no_longer_names_is_dropped() -> None:
-    """A lost release costs the slot until the next word, not for good."""
+def test_grant_that_the_owner_no_longer_reports_is_removed() -> None:
+    """A lost release occupies the slot only until the owner's next report."""
 
     async def scenario() -> None:
         fixture = _Fixture()
         await fixture.granted(5)
-        # This word was said before the ask of attempt 5.
+        # This report is older than the slot request of attempt 5.
         assert _compare(fixture, 4) == ([], [])
         assert not fixture.decisions.log
         assert _compare(fixture, 5) == ([], [])
@@ -139,25 +141,25 @@
     virtual.run(scenario())
 
 
-def test_what_the_leader_does_not_know_is_named() -> None:
-    """The owner asks or hands over again what was lost here."""
+def test_entries_unknown_to_the_leader_are_reported_back() -> None:
+    """The owner sends again what the leader lost."""
 
     async def scenario() -> None:
         fixture = _Fixture()
         lost = _compare(fixture, 5, waiting=[_REQUEST])
         assert lost == ([_REQUEST], [])
-        fixture.found.join(_ask(), 5)
-        # A grant in use that only waits here isn't known either.
+        fixture.found.join(_slot_request(), 5)
+        # A grant in use whose slot request only waits here is unknown too.
         lost = _compare(fixture, 5, in_use=[_REQUEST])
         assert lost == ([], [_REQUEST])
-        fixture.found.adopt(requests.OpenGrant(_ask(), _GRANT), 5)
+        fixture.found.adopt(requests.OpenGrant(_slot_request(), _GRANT), 5)
         assert _compare(fixture, 5, in_use=[_REQUEST]) == ([], [])
 
     virtual.run(scenario())
 
 
-def test_grant_that_the_owner_waits_for_is_told_again() -> None:
-    """An answer that was lost is noticed by the owner's next word."""
+def test_grant_that_the_owner_waits_for_is_sent_again() -> None:
+    """The owner's next report shows that an answer was lost."""
 
     async def scenario() -> None:
         fixture = _Fixture()
@@ -168,8 +170,8 @@
     virtual.run(scenario())
 
 
-def test_grant_that_is_not_taken_is_released() -> None:
-    """The leader takes back what led to nothing."""
+def test_grant_that_the_owner_rejects_is_released() -> None:
+    """The leader releases a grant for which no request waits."""
 
     async def scenario() -> None:
         network = memory.MemoryNetwork()
@@ -188,8 +190,8 @@
     virtual.run(scenario())
 
 
-def test_only_the_present_place_takes_a_grant() -> None:
-    """Former leaders, former attempts and repeats grant nothing more."""
+def test_only_the_current_place_takes_a_grant() -> None:
+    """Grants of former leaders and attempts and repeats are not used."""
 
     async def scenario() -> None:
         network = memory.MemoryNetwork()
@@ -199,11 +201,15 @@
         former = network.join(_FORMER, ids.Address('::1', 3))
         asker = requesting.SlotRequester(link, mine, timers.TimerService())
 
-        async def queue(_sender: ids.HostId, _ask: typing.Any) -> typing.Any:
+        async def queue(
+            _sender: ids.HostId, _slot_request: typing.Any
+        ) -> typing.Any:
             return ttypes.AskReply()
 
         leader.handle(ttypes.Ask, queue)
-        asked = asyncio.create_task(asker.ask_at(_ask(), _LEADER, home=True))
+        asked = asyncio.create_task(
+            asker.ask_at(_slot_request(), _LEADER, home=True)
+        )
         await asyncio.sleep(0.1)
 
         async def answer(sender: memory.MemoryPeers, attempt: int) -> bool:
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_suspects.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Suspects before a crash is known, and after a quarantine."""
+"""Tests of suspects before a crash is known and after a quarantine."""
 
 from geraniumweir.common import ids
 from geraniumweir.scheduling import suspects
@@ -9,8 +9,8 @@
 _RECOVERY = 0.5
 
 
-def test_second_break_waits_for_its_explanation() -> None:
-    """The first makes a suspect at once; the second holds it for a while."""
+def test_second_incomplete_stream_waits_for_its_explanation() -> None:
+    """The first makes a suspect at once; the second delays the content."""
     known = suspects.Suspects(_QUARANTINE)
     known.record_incomplete(_POISON, _ONE, 0)
     assert known.verdict(_POISON, 0) is suspects.Verdict.suspect
@@ -21,8 +21,8 @@
     assert known.verdict(_POISON, 60) is suspects.Verdict.clear
 
 
-def test_breaks_on_several_servers_at_once_are_a_cut() -> None:
-    """Nobody is suspected when half of the servers are gone."""
+def test_incomplete_streams_on_several_servers_are_a_partition() -> None:
+    """No content is suspected when half of the servers are unreachable."""
     known = suspects.Suspects(_QUARANTINE)
     marks = [ids.Fingerprint(number) for number in range(1, 5)]
     for mark, server in zip(marks, (_ONE, _TWO, _ONE, _TWO), strict=True):
@@ -32,8 +32,8 @@
     }
 
 
-def test_late_crash_blames_who_did_not_end_well_since() -> None:
-    """A neighbour that ended well elsewhere is not a suspect again."""
+def test_late_crash_blames_content_that_did_not_complete_since() -> None:
+    """A concurrent request that completed elsewhere stays cleared."""
     known = suspects.Suspects(_QUARANTINE)
     neighbour = ids.Fingerprint(1)
     for mark in (_POISON, neighbour):
@@ -45,7 +45,7 @@
 
 
 def test_quarantine_doubles_each_time() -> None:
-    """One crash after a quarantine is enough for one twice as long."""
+    """One crash after a quarantine suffices for one twice as long."""
     known = suspects.Suspects(_QUARANTINE)
     known.record_crash([_POISON], 0)
     known.record_crash([_POISON], 0)
@@ -60,7 +60,7 @@
 
 
 def test_another_hosts_case_does_not_lengthen_a_quarantine() -> None:
-    """What is exchanged after its end leaves a suspect on both sides."""
+    """Cases exchanged after its end leave a suspect on both sides."""
     one, two = suspects.Suspects(_QUARANTINE), suspects.Suspects(_QUARANTINE)
     one.record_crash([_POISON], 0)
     one.record_crash([_POISON], 0)
