--- a/libs/scheduling/geraniumweir/scheduling/quotas.py
+++ b/libs/scheduling/geraniumweir/scheduling/quotas.py
@@ -1,16 +1,17 @@
-"""Quotas of customers, counted where all entry hosts ask.
-
-Whoever coordinates counts each ask once, for all pools together, before it
-may wait. What isn't served in the end is given back. A coordinator that hears
-only a part of the entry hosts grants that part of each quota.
-
-A quota holds over any window of some seconds: the rate for so long, and the
-burst. A bucket of the burst alone refuses much that a window allows, as
-single requests differ a hundredfold: with it, 29 of 255 long requests on a
-calm day. A coordinator that is new learns from the entry hosts what others
-granted before; what it grants itself it knows for each customer from then on.
-Windows taken as used up to a customer's first request instead would refuse
-much of the first seconds of a calm load.
+"""Quotas of customers, counted by the coordinator.
+
+The coordinator counts each slot request once, for all pools together, before
+it may wait in a queue. Requests that are not served in the end are refunded. A
+coordinator that reaches only some of the entry hosts grants their share of
+each quota.
+
+A quota holds over any window of a fixed length: it allows the rate for that
+time plus the burst. A token bucket with the burst alone would refuse much that
+a window allows, as the cost of single requests differs by a factor of a
+hundred: it refused 29 of 255 long requests on a calm day. A new coordinator
+gets the earlier usage from the entry hosts' reports, and counts what it grants
+itself from then on. Taking the windows as fully used until a customer's first
+request instead would refuse much of the first seconds of a calm load.
 """
 
 import collections
@@ -20,22 +21,22 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import recent_usage, windows
 
-# A share below this is as good as none and would make waits without end.
-_LEAST_SHARE = 0.01
-# Part of a quota kept from each rank below the highest. Customers use 55 in
-# 100 of theirs on ordinary days, so that the lowest rank, which may use 80,
-# is refused by it only where the customer is about to exceed it.
-_KEPT_BY_RANK = 0.1
-# Ranks from here on leave the same part.
-_LOWEST_RANK = 2
-# Part of the tolerance of quotas that is granted while it isn't known what was
-# used before; the rest is for what others grant at the same moment. Single
-# requests take up to a tenth of a window, and an eighth of what a burst allows
-# lets none of the long ones through.
-_USED_OF_TOLERANCE = 0.5
-
-
-# Gives the part of all quotas that is granted here.
+# A smaller share amounts to none and would lead to endless waits.
+_MIN_SHARE = 0.01
+# Fraction of a quota that is reserved from each rank below the highest.
+# Customers use 55 % of their quota on ordinary days, and the lowest rank may
+# use 80 %, so it is refused only where the customer is about to exceed it.
+_RESERVED_FRACTION_BY_RANK = 0.1
+# From this rank on the reserved fraction is the same.
+_LOWEST_RESERVED_RANK = 2
+# Fraction of the quotas' tolerance that is granted while earlier usage is
+# unknown; the rest is for what others grant at the same time. Single requests
+# take up to a tenth of a window, and an eighth of what a burst allows would
+# admit none of the long ones.
+_TOLERANCE_FRACTION = 0.5
+
+
+# Returns the share of all quotas that is granted here.
 Share = typing.Callable[[], float]
 
 
@@ -45,10 +46,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Allowance:
-    """What a customer may ask for, over all entry hosts.
+    """Quota of a customer over all entry hosts.
 
-    :ivar per_second: in the unit of the asks' cost.
-    :ivar burst: may come at once.
+    :ivar per_second: rate, in the unit of the requests' cost.
+    :ivar burst: amount that may be used at once, in the same unit.
     """
 
     per_second: float
@@ -57,123 +58,129 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tolerance:
-    """By how much more than a quota may be granted where it isn't known.
+    """Excess over a quota that is allowed where earlier usage is unknown.
 
-    :ivar part: of the quota.
-    :ivar amount: besides, in the unit of the asks' cost.
+    :ivar part: as a fraction of the quota.
+    :ivar amount: added to it, in the unit of the requests' cost.
     """
 
     part: float = 0
     amount: float = 0
 
-    def spare(self, whole: float, burst: float) -> float:
-        """Give what may be granted beyond a window.
+    def tolerated(self, full_window: float, burst: float) -> float:
+        """Return the amount that may be granted beyond a window.
 
-        What was used before counts at the full rate; the burst may have been
-        used as well.
+        Unknown earlier usage is counted at the full rate, but the burst may
+        have been used as well, so it is subtracted.
 
-        >>> Tolerance(0.1, 50).spare(1000, 100)
+        >>> Tolerance(0.1, 50).tolerated(1000, 100)
         25.0
         """
-        allowed = self.part * whole + self.amount
-        return max(allowed - burst, 0) * _USED_OF_TOLERANCE
+        allowed = self.part * full_window + self.amount
+        return max(allowed - burst, 0) * _TOLERANCE_FRACTION
 
 
 _NO_TOLERANCE: typing.Final = Tolerance()
 
 
-class _Before:
-    """What others granted before this host began to coordinate.
+class _EarlierUsage:
+    """Usage that others granted before this host began to coordinate.
 
-    Entry hosts tell what they were granted. As long as one of them doesn't,
-    and for times at which one was not there yet, customers are taken to have
-    used their full rate.
+    Entry hosts report what they were granted. While a report is missing, and
+    for times before the start of an entry host's process, customers are
+    assumed to have used their full rate.
     """
 
-    def __init__(self, seconds: float, until: float) -> None:
-        """Know of no entry host.
+    def __init__(self, seconds: float, started_at: float) -> None:
+        """Initialize without reports.
 
         :param seconds: length of the windows.
-        :param until: this host grants from then on, in seconds.
+        :param started_at: time in seconds from which this host grants.
         """
         self._seconds = seconds
-        self._until = windows.bin_of(until)
-        self._newest = self._until
-        self._told: set[ids.HostId] = set()
-        self._knowing: collections.Counter[int] = collections.Counter()
+        self._started_bin = windows.bin_of(started_at)
+        self._newest = self._started_bin
+        self._reported: set[ids.HostId] = set()
+        self._complete_reports: collections.Counter[int] = collections.Counter()
         self._amounts: dict[ids.CustomerName, collections.Counter[int]] = {}
 
     def apply_report(
         self,
         host_id: ids.HostId,
-        spent: recent_usage.RecentUsage,
+        usage: recent_usage.RecentUsage,
         now: float,
     ) -> None:
-        """Take what an entry host was granted, once.
+        """Apply the first report of an entry host.
 
-        What it tells a second time was granted here.
+        Later reports are ignored: what they add was granted here.
         """
-        if host_id in self._told:
+        if host_id in self._reported:
             return
-        self._told.add(host_id)
+        self._reported.add(host_id)
         newest = windows.bin_of(now)
         self._newest = max(self._newest, newest)
-        known = windows.bin_of(now - spent.known_seconds)
-        self._knowing.update(range(known, self._until))
-        for customer, amounts in spent.customers.items():
+        known = windows.bin_of(now - usage.known_seconds)
+        self._complete_reports.update(range(known, self._started_bin))
+        for customer, amounts in usage.customers.items():
             counted = self._amounts.setdefault(customer, collections.Counter())
             for ago, amount in amounts.items():
                 counted[newest - ago] += amount
 
-    def is_over(self, now: float) -> bool:
-        """Tell whether nothing of it is within the window any more."""
+    def is_expired(self, now: float) -> bool:
+        """Return whether all earlier usage has left the window."""
         return windows.bin_of(now - self._seconds) >= self._newest
 
-    def is_unknown(self, hosts: int, now: float) -> bool:
-        """Tell whether an entry host tells nothing of a part of the window."""
+    def has_unknown_bins(self, hosts: int, now: float) -> bool:
+        """Return whether reports are missing for a part of the window."""
         oldest = windows.bin_of(now - self._seconds)
         return any(
             self._is_unknown(number, hosts)
-            for number in range(oldest, self._until)
+            for number in range(oldest, self._started_bin)
         )
 
-    def beside(
+    def granted_by_others(
         self,
         customer: ids.CustomerName,
-        own: typing.Mapping[int, float],
+        granted_here: typing.Mapping[int, float],
         rate: float,
         hosts: int,
         now: float,
     ) -> dict[int, float]:
-        """Give what was used beside what was granted here, by bin.
+        """Return by bin the usage that was granted by other hosts.
 
-        :param own: granted here, when this host coordinated before; entry
-            hosts tell of that as well, so that the larger of both counts.
-        :param rate: of the customer's quota, a second.
-        :param hosts: entry hosts that there are.
+        :param granted_here: granted by this host when it coordinated before;
+            the reports of entry hosts contain it too, so the larger of both
+            counts.
+        :param rate: of the customer's quota, per second.
+        :param hosts: number of entry hosts.
         """
         oldest = windows.bin_of(now - self._seconds)
-        told = self._amounts.get(customer, {})
+        reported = self._amounts.get(customer, {})
         full = rate * windows.BIN_SECONDS
         used: dict[int, float] = {}
         for number in range(oldest, self._newest + 1):
-            used[number] = told.get(number, 0)
+            used[number] = reported.get(number, 0)
             if self._is_unknown(number, hosts):
                 used[number] = max(used[number], full)
-            if number < self._until:
-                used[number] = max(used[number] - own.get(number, 0), 0)
+            if number < self._started_bin:
+                used[number] = max(
+                    used[number] - granted_here.get(number, 0), 0
+                )
         return used
 
     def _is_unknown(self, number: int, hosts: int) -> bool:
-        """Tell whether an entry host tells nothing of a bin.
+        """Return whether an entry host's report of a bin is missing.
 
-        It may have had most of what a customer used.
+        That host may have had most of a customer's usage.
         """
-        return number < self._until and self._knowing[number] < hosts
+        return (
+            number < self._started_bin
+            and self._complete_reports[number] < hosts
+        )
 
 
 class Quotas:
-    """Windows by customer.
+    """Usage windows of all customers.
 
     >>> quotas = Quotas(lambda _: Allowance(10, 20), lambda: 1, 2, start=0)
     >>> [quotas.take(ids.CustomerName('c'), 15, now) > 0 for now in (0, 0, 2)]
@@ -189,15 +196,15 @@
         hosts: typing.Callable[[], int] = _one,
         tolerance: Tolerance = _NO_TOLERANCE,
     ) -> None:
-        """Begin to grant.
+        """Initialize the quotas of a coordinator.
 
-        :param allowance: gives a customer's, or None for no limit.
-        :param share: gives the part of it that is granted here.
+        :param allowance: returns a customer's quota, or None for no limit.
+        :param share: returns the share of the quotas that is granted here.
         :param seconds: length of the windows.
-        :param start: when, in seconds.
-        :param hosts: gives how many entry hosts there are, also those that
-            tell nothing.
-        :param tolerance: for what was used before and isn't known.
+        :param start: time in seconds from which this host grants.
+        :param hosts: returns the number of entry hosts, with or without a
+            report.
+        :param tolerance: for unknown earlier usage.
         """
         self._allowance = allowance
         self._share = share
@@ -205,26 +212,26 @@
         self._hosts = hosts
         self._tolerance = tolerance
         self._windows = windows.by_customer(seconds)
-        self._before = _Before(seconds, start)
+        self._earlier = _EarlierUsage(seconds, start)
 
     def begin(self, now: float) -> None:
-        """Begin to grant anew, after others did.
+        """Restart granting at a time, after other hosts coordinated.
 
-        A host that was cut off twice kept the windows of its first cut and
-        granted its part of a whole one at once at the second: 1.4 quotas in
-        8 s for a customer that took all it could get from two hosts, 1.11
-        with this.
+        Without this, a host that was partitioned twice kept the windows of
+        the first partition and granted its share of a whole window at once in
+        the second: a customer that took all it could get from two hosts got
+        1.4 quotas in 8 s, and 1.11 with the restart.
         """
-        self._before = _Before(self._seconds, now)
+        self._earlier = _EarlierUsage(self._seconds, now)
 
     def apply_report(
         self,
         host_id: ids.HostId,
-        spent: recent_usage.RecentUsage,
+        usage: recent_usage.RecentUsage,
         now: float,
     ) -> None:
-        """Take what an entry host was granted by others."""
-        self._before.apply_report(host_id, spent, now)
+        """Apply an entry host's report of what others granted it."""
+        self._earlier.apply_report(host_id, usage, now)
 
     def take(
         self,
@@ -235,36 +242,40 @@
     ) -> float:
         """Charge a customer.
 
-        A request that costs more than a whole window is let through by an
-        empty one. Of the last of a quota a part is kept for what is more
-        important, as small requests of little worth would else leave none
-        of it to the long ones. Plain calls cost next to nothing.
+        A request that costs more than a full window is admitted by an empty
+        one. The last part of a quota is reserved for more important requests,
+        as small requests of low rank would otherwise leave nothing to the
+        long ones. Requests that do not stream cost almost nothing.
 
-        :param now: in seconds.
+        :param now: time in seconds.
         :param rank: importance of the request, 0 is the highest.
-        :returns: 0 when charged, else the seconds until it may be.
+        :returns: 0 when charged, else the seconds until a charge may succeed.
         """
         allowed = self._allowance(customer)
         if allowed is None or cost <= 0:
             return 0
-        share = max(self._share(), _LEAST_SHARE)
-        whole = (allowed.per_second * self._seconds + allowed.burst) * share
-        whole += self._spare(allowed, now) * share
-        limit = whole * (1 - _KEPT_BY_RANK * min(rank, _LOWEST_RANK))
+        share = max(self._share(), _MIN_SHARE)
+        full_window = (
+            allowed.per_second * self._seconds + allowed.burst
+        ) * share
+        full_window += self._tolerated(allowed, now) * share
+        limit = full_window * (
+            1 - _RESERVED_FRACTION_BY_RANK * min(rank, _LOWEST_RESERVED_RANK)
+        )
         window = self._windows[customer]
-        beside: dict[int, float] = {}
-        if not self._before.is_over(now):
-            beside = self._before.beside(
+        granted_by_others: dict[int, float] = {}
+        if not self._earlier.is_expired(now):
+            granted_by_others = self._earlier.granted_by_others(
                 customer,
                 dict(window.bins(now)),
                 allowed.per_second * share,
                 self._hosts(),
                 now,
             )
-        used = window.used(now) + sum(beside.values())
+        used = window.used(now) + sum(granted_by_others.values())
         over = used + min(cost, limit) - limit
         if over > 0:
-            bins = collections.Counter(beside)
+            bins = collections.Counter(granted_by_others)
             bins.update(dict(window.bins(now)))
             return self._wait(bins, over, now)
         window.add(cost, now)
@@ -276,24 +287,24 @@
         cost: float,
         at: float,
     ) -> None:
-        """Undo a charge.
+        """Refund a charge.
 
-        :param at: when it was taken, in seconds.
+        :param at: time of the charge, in seconds.
         """
         window = self._windows.get(customer)
         if window is not None:
             window.refund(cost, at)
 
-    def _spare(self, allowed: Allowance, now: float) -> float:
-        """Give what may be granted beyond a quota just now.
+    def _tolerated(self, allowed: Allowance, now: float) -> float:
+        """Return the amount that may be granted beyond a quota now.
 
-        Hosts that all started again, or were left without a coordinator, are
-        taken to have used the full rate before.
+        The tolerance matters where all hosts restarted, or had no
+        coordinator: they are assumed to have used the full rate before.
         """
-        if not self._before.is_unknown(self._hosts(), now):
+        if not self._earlier.has_unknown_bins(self._hosts(), now):
             return 0
-        whole = allowed.per_second * self._seconds + allowed.burst
-        return self._tolerance.spare(whole, allowed.burst)
+        full_window = allowed.per_second * self._seconds + allowed.burst
+        return self._tolerance.tolerated(full_window, allowed.burst)
 
     def _wait(
         self,
@@ -301,7 +312,7 @@
         amount: float,
         now: float,
     ) -> float:
-        """Give the seconds until so much of what was used is out of it."""
+        """Return the seconds until an amount has left the window."""
         for number in sorted(bins):
             amount -= bins[number]
             if amount <= 0:
--- a/libs/scheduling/geraniumweir/scheduling/retrybudget.py
+++ b/libs/scheduling/geraniumweir/scheduling/retrybudget.py
@@ -1,17 +1,17 @@
-"""How often requests of a pool may be sent once more.
+"""Retry budgets of pools.
 
-Over any window, the servers of a pool get retries up to a part of the requests
-for it and a fixed number besides, from all entry hosts together. Whoever
-coordinates counts them, as it counts quotas. A retry is counted from when it
-is admitted, and is within the window until its length after the grant.
+Over any window, the servers of a pool get retries up to a ratio of the pool's
+requests plus a fixed number, from all entry hosts together. The coordinator
+counts them, as it counts quotas. A retry counts from its admission, and leaves
+the window one window length after its grant.
 
-Entry hosts tell a new coordinator what others granted them. Until all have, or
-a window has passed, its predecessor may have granted all that it keeps to, and
-it grants what its predecessor left.
+Entry hosts report to a new coordinator what others granted them. Until all
+have reported, or a window has passed, the predecessor may have granted up to
+its own limit, so the new coordinator grants only the remaining fraction.
 
-Of the fixed number only one host may grant at a time, the leader of the
-replicated log. Hosts that are cut off from it grant the part of the requests
-that they are asked for, which nobody else counts.
+Only one host at a time may grant of the fixed number, the leader of the
+replicated log. Hosts partitioned from it grant the ratio of the requests sent
+to them, which no other host counts.
 
 References
 ==========
@@ -28,20 +28,21 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import retrycounts, windows
 
-# Part of a budget that is granted, so that what reaches servers a little later
-# than it was granted, and what a lost predecessor granted, is within the rest.
-_GRANTED = 0.8
-# Entry hosts turn to a new coordinator within so long, in seconds.
-_TURN_SECONDS = 1.0
+# Fraction of a budget that is granted. The rest covers retries that reach
+# servers some time after their grant, and those that a lost predecessor
+# granted.
+_GRANTED_FRACTION = 0.8
+# Entry hosts switch to a new coordinator within this time.
+_COORDINATOR_CHANGE_SECONDS = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Budget:
-    """What all hosts together may send again.
+    """Limit of the retries of a pool from all hosts together.
 
-    :ivar ratio: of the requests of the window.
-    :ivar window: in seconds.
-    :ivar slack: number besides in each window.
+    :ivar ratio: retries allowed per request in the window.
+    :ivar window: its length in seconds.
+    :ivar slack: additional retries in each window.
     """
 
     ratio: float
@@ -51,10 +52,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scope:
-    """Whom a coordinator counts for.
+    """Part of the system for which a coordinator counts.
 
-    :ivar leads: whether it is the one that may grant of the fixed number.
-    :ivar hosts: gives how many entry hosts there are.
+    :ivar leads: returns whether it leads the replicated log, and so may
+        grant of the fixed number.
+    :ivar hosts: returns the number of entry hosts.
     """
 
     leads: typing.Callable[[], bool]
@@ -74,10 +76,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Level:
-    """What a pool's budget holds at a moment.
+    """Usage of a pool's budget at a point in time.
 
-    :ivar used: retries that count.
-    :ivar allowed: retries that may count.
+    :ivar used: retries counted.
+    :ivar allowed: retries that may be counted.
     """
 
     used: float
@@ -85,15 +87,15 @@
 
     @property
     def is_full(self) -> bool:
-        """Tell whether there is no room for one more."""
+        """Whether there is no room for one more retry."""
         return self.used + 1 > self.allowed
 
 
 @dataclasses.dataclass(slots=True)
 class _Pool:
-    """What was asked and granted here.
+    """Requests and retries of a pool that this host counted.
 
-    :ivar pending: retries that were admitted and aren't granted yet.
+    :ivar pending: retries that are admitted but not granted yet.
     """
 
     requests: windows.Window
@@ -102,7 +104,7 @@
 
 
 class RetryBudgets:
-    """The budgets of all pools, as one coordinator counts them.
+    """Budgets of all pools, as one coordinator counts them.
 
     >>> scope = Scope(leads=lambda: True, hosts=lambda: 6)
     >>> budgets = RetryBudgets(Budget(0, 10, 5), scope, 0)
@@ -112,15 +114,15 @@
     """
 
     def __init__(self, budget: Budget, scope: Scope, start: float) -> None:
-        """Begin to grant.
+        """Initialize the budgets of a coordinator.
 
-        :param start: when, in seconds.
+        :param start: time in seconds from which it grants.
         """
         self._budget = budget
         self._scope = scope
         self._start = start
-        self._told: dict[ids.HostId, list[retrycounts.HostReport]] = {}
-        self._sums = retrycounts.Sums()
+        self._reports: dict[ids.HostId, list[retrycounts.HostReport]] = {}
+        self._sums = retrycounts.ReportSums()
         self._pools: collections.defaultdict[ids.PoolName, _Pool] = (
             collections.defaultdict(
                 functools.partial(_new_pool, budget.window),
@@ -128,10 +130,10 @@
         )
 
     def begin(self, now: float) -> None:
-        """Begin to grant anew, after others did."""
+        """Restart granting at a time, after other hosts coordinated."""
         self._start = now
-        self._told.clear()
-        self._sums = retrycounts.Sums()
+        self._reports.clear()
+        self._sums = retrycounts.ReportSums()
 
     def apply_report(
         self,
@@ -139,25 +141,26 @@
         counts: retrycounts.Counts,
         now: float,
     ) -> None:
-        """Take what an entry host was granted.
+        """Apply an entry host's report of what it was granted.
 
-        What it tells again replaces what it told before; a process that
-        started since knows nothing of that.
+        A later report replaces the earlier ones of its time span. Earlier
+        reports stay where the host's process has restarted since, as its new
+        reports don't cover that time.
         """
         newest = retrycounts.HostReport(counts, now)
         oldest = now - self._budget.window
-        self._sums.forget_before(oldest)
+        self._sums.remove_before(oldest)
         kept = [newest]
-        for told in self._told.get(host_id, ()):
-            if told.at >= newest.known_from:
-                self._sums.remove(told)
-            elif told.at > oldest:
-                kept.append(told)
-        self._told[host_id] = kept
+        for report in self._reports.get(host_id, ()):
+            if report.reported_at >= newest.known_from:
+                self._sums.remove(report)
+            elif report.reported_at > oldest:
+                kept.append(report)
+        self._reports[host_id] = kept
         self._sums.add(newest)
 
     def note_request(self, pool: ids.PoolName, now: float) -> None:
-        """Count a request that asks for the first time."""
+        """Count the first slot request of a request."""
         self._pools[pool].requests.add(1, now)
 
     def take(self, pool: ids.PoolName, now: float) -> bool:
@@ -168,15 +171,16 @@
         return True
 
     def granted(self, pool: ids.PoolName, now: float) -> None:
-        """Take that an admitted retry may be sent now."""
+        """Record the grant of an admitted retry."""
         found = self._pools[pool]
         found.pending -= 1
         found.retries.add(1, now)
 
     def refund(self, pool: ids.PoolName, granted_at: float | None) -> None:
-        """Take that an admitted retry won't reach a server.
+        """Refund an admitted retry that did not reach a server.
 
-        :param granted_at: None where it wasn't granted.
+        :param granted_at: time of its grant in seconds, None where it was
+            not granted.
         """
         found = self._pools[pool]
         if granted_at is None:
@@ -185,50 +189,53 @@
             found.retries.refund(1, granted_at)
 
     def level(self, pool: ids.PoolName, now: float) -> Level:
-        """Tell what a pool's budget holds.
+        """Return the usage of a pool's budget.
 
-        What was granted here is within what was asked here, and all that is
-        known within all. The second alone wouldn't do: another host that
-        coordinates may grant for the same requests of before.
+        Two limits hold: retries granted here are limited by the requests
+        counted here, and all known retries by all known requests. The second
+        limit alone is not enough, as another coordinating host may grant
+        retries for the same earlier requests.
         """
         found = self._pools[pool]
-        asked = found.requests.used(now)
+        requested = found.requests.used(now)
         own = found.retries.used(now) + found.pending
-        if not self._knows_all(now):
-            return Level(own, (1 - _GRANTED) * self._budget.ratio * asked)
+        if not self._has_all_reports(now):
+            return Level(
+                own, (1 - _GRANTED_FRACTION) * self._budget.ratio * requested
+            )
         slack = self._budget.slack if self._scope.leads() else 0
-        here = Level(own, self._allowed(asked, slack))
-        told = self._sums.beside(
+        here = Level(own, self._allowed(requested, slack))
+        others = self._sums.other_counts(
             pool,
             dict(found.retries.bins(now)),
             now - self._budget.window,
         )
         everywhere = Level(
-            own + told.retries,
-            self._allowed(asked + told.requests, slack),
+            own + others.retries,
+            self._allowed(requested + others.requests, slack),
         )
-        return min(here, everywhere, key=_room)
+        return min(here, everywhere, key=_headroom)
 
-    def _allowed(self, asked: float, slack: float) -> float:
-        return _GRANTED * (self._budget.ratio * asked + slack)
+    def _allowed(self, requested: float, slack: float) -> float:
+        return _GRANTED_FRACTION * (self._budget.ratio * requested + slack)
 
-    def _knows_all(self, now: float) -> bool:
-        """Tell whether all retries within the window are known."""
+    def _has_all_reports(self, now: float) -> bool:
+        """Return whether all retries within the window are known."""
         if now - self._start >= self._budget.window + windows.BIN_SECONDS:
             return True
-        if now - self._start < _TURN_SECONDS:
+        if now - self._start < _COORDINATOR_CHANGE_SECONDS:
             return False
         since = now - self._budget.window
-        knowing = sum(
-            any(one.known_from <= since for one in told)
-            for told in self._told.values()
+        complete_reports = sum(
+            any(one.known_from <= since for one in reports)
+            for reports in self._reports.values()
         )
-        return knowing >= self._scope.hosts()
+        return complete_reports >= self._scope.hosts()
 
 
 def _new_pool(seconds: float) -> _Pool:
     return _Pool(windows.Window(seconds), windows.Window(seconds))
 
 
-def _room(level: Level) -> float:
+def _headroom(level: Level) -> float:
     return level.allowed - level.used
--- a/libs/scheduling/geraniumweir/scheduling/retrycounts.py
+++ b/libs/scheduling/geraniumweir/scheduling/retrycounts.py
@@ -1,7 +1,7 @@
-"""Requests and retries of entry hosts, for whoever coordinates next.
+"""Counts of the requests and retries of entry hosts, for a new coordinator.
 
-An entry host knows who granted each retry. A coordinator has what it granted
-itself, unless it started again since, and adds what others granted.
+An entry host records which host granted each retry. A coordinator counts what
+it granted itself, unless it restarted since, and adds what others granted.
 """
 
 import collections
@@ -12,24 +12,24 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import requests, windows
 
-# Ends of grants whose request didn't reach a server.
+# Outcomes of grants whose request did not reach a server.
 NOT_SENT: typing.Final = frozenset(
     (
         requests.Outcome.given_up,
         requests.Outcome.not_sent,
     )
 )
-# Amounts by how many bins ago.
+# Amounts by the age of their bin, counted in bins.
 Bins = typing.Mapping[int, float]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolCounts:
-    """What an entry host had of a pool within a window.
+    """Counts of an entry host for a pool within a window.
 
-    :ivar requests: asked of other hosts than the one that is told.
-    :ivar here: retries granted by the host that is told.
-    :ivar elsewhere: retries granted by others.
+    :ivar requests: requests sent to hosts other than the receiver.
+    :ivar here: retries granted by the receiver of the counts.
+    :ivar elsewhere: retries granted by other hosts.
     """
 
     requests: Bins
@@ -39,9 +39,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Counts:
-    """What an entry host had of all pools.
+    """Counts of an entry host for all pools.
 
-    :ivar known_seconds: it knows all within so many seconds, nothing before.
+    :ivar known_seconds: length of the time before the report that the counts
+        cover completely; they contain nothing before it.
     """
 
     known_seconds: float
@@ -53,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OtherCounts:
-    """What there was beside what a coordinator granted itself."""
+    """Requests and retries other than those that a coordinator counted."""
 
     requests: float
     retries: float
@@ -61,23 +62,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostReport:
-    """What an entry host told at a moment.
+    """Counts that an entry host reported at a time.
 
-    :ivar at: when, in seconds.
+    :ivar reported_at: time of the report in seconds.
     """
 
     counts: Counts
-    at: float
+    reported_at: float
 
     @property
     def known_from(self) -> float:
-        """Since when it knew all, in seconds."""
-        return self.at - self.counts.known_seconds
+        """Start of the time that the counts cover, in seconds."""
+        return self.reported_at - self.counts.known_seconds
 
 
 @dataclasses.dataclass(slots=True)
 class _Sum:
-    """What entry hosts told of a pool, by bin."""
+    """Sums of the entry hosts' counts of a pool, by bin."""
 
     requests: collections.Counter[int] = dataclasses.field(
         default_factory=collections.Counter,
@@ -90,27 +91,27 @@
     )
 
 
-class Sums:
-    """What all entry hosts told, added up as they tell it."""
+class ReportSums:
+    """Sums of all entry hosts' reports, updated with each report."""
 
     def __init__(self) -> None:
-        """Start with nothing told."""
+        """Initialize without reports."""
         self._pools: collections.defaultdict[ids.PoolName, _Sum] = (
             collections.defaultdict(_Sum)
         )
 
-    def add(self, told: HostReport) -> None:
-        """Take what an entry host told."""
-        self._add(told, 1)
+    def add(self, report: HostReport) -> None:
+        """Add a report of an entry host."""
+        self._add(report, 1)
 
-    def remove(self, told: HostReport) -> None:
+    def remove(self, report: HostReport) -> None:
         """Undo :meth:`add`."""
-        self._add(told, -1)
+        self._add(report, -1)
 
-    def forget_before(self, start: float) -> None:
-        """Drop what is older.
+    def remove_before(self, start: float) -> None:
+        """Remove the bins before a time.
 
-        :param start: in seconds.
+        :param start: that time, in seconds.
         """
         first = windows.bin_of(start)
         for found in self._pools.values():
@@ -119,13 +120,13 @@
                 for number in old:
                     del bins[number]
 
-    def beside(
+    def other_counts(
         self,
         pool: ids.PoolName,
         own: typing.Mapping[int, float],
         start: float,
     ) -> OtherCounts:
-        """Give what was told of a pool beside what was granted here.
+        """Return the reported counts of a pool without those counted here.
 
         :param own: retries granted here, by bin.
         :param start: of the window, in seconds.
@@ -140,13 +141,13 @@
             if number >= first
         )
         return OtherCounts(
-            _since(found.requests, first),
-            _since(found.elsewhere, first) + retries,
+            _total_since(found.requests, first),
+            _total_since(found.elsewhere, first) + retries,
         )
 
-    def _add(self, told: HostReport, sign: int) -> None:
-        newest = windows.bin_of(told.at)
-        for pool, counts in told.counts.pools.items():
+    def _add(self, report: HostReport, sign: int) -> None:
+        newest = windows.bin_of(report.reported_at)
+        for pool, counts in report.counts.pools.items():
             found = self._pools[pool]
             for into, bins in (
                 (found.requests, counts.requests),
@@ -157,7 +158,7 @@
                     into[newest - ago] += sign * round(amount)
 
 
-def _since(bins: typing.Mapping[int, float], first: int) -> float:
+def _total_since(bins: typing.Mapping[int, float], first: int) -> float:
     return sum(amount for number, amount in bins.items() if number >= first)
 
 
@@ -166,7 +167,7 @@
 
 
 class RetryCounter:
-    """Counts the requests and retries of one entry host."""
+    """Counter of the requests and retries of one entry host."""
 
     def __init__(
         self,
@@ -174,11 +175,11 @@
         started: float,
         granter: typing.Callable[[], ids.HostId],
     ) -> None:
-        """Know of nothing before the start.
+        """Initialize without counts.
 
         :param seconds: length of the windows.
-        :param started: when this process did, in seconds.
-        :param granter: gives who answers asks just now.
+        :param started: start of this process, in seconds.
+        :param granter: returns the host that answers slot requests now.
         """
         self._seconds = seconds
         self._started = started
@@ -194,7 +195,7 @@
         answer: requests.Grant | requests.Denial,
         now: float,
     ) -> None:
-        """Take the answer to an ask."""
+        """Record the answer to a slot request."""
         key = (slot_request.pool, self._granter())
         match slot_request.sending:
             case requests.Sending.first:
@@ -204,16 +205,16 @@
                 self._granted[slot_request.request_id] = (key, now)
 
     def release(self, release: requests.Release) -> None:
-        """Take the end of a grant; what wasn't sent doesn't count."""
+        """Record the end of a grant; a retry not sent does not count."""
         found = self._granted.pop(release.request_id, None)
         if found is not None and release.outcome in NOT_SENT:
             key, at = found
             self._retries[key].refund(1, at)
 
     def counts_for(self, host_id: ids.HostId, now: float) -> Counts:
-        """Give what a host needs to know that coordinates from now on."""
+        """Return the counts for a host that becomes coordinator."""
         for found in (self._requests, self._retries):
-            _forget_old(found, now)
+            _remove_unused(found, now)
         pools = {pool for pool, _ in (*self._requests, *self._retries)}
         return Counts(
             min(now - self._started, self._seconds),
@@ -238,7 +239,7 @@
         )
 
 
-def _forget_old(counted: _Windows, now: float) -> None:
+def _remove_unused(counted: _Windows, now: float) -> None:
     unused = [key for key, window in counted.items() if not window.used(now)]
     for key in unused:
         del counted[key]
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_quotas.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas hold over every window, whoever coordinates."""
+"""Tests that quotas hold over every window, also when coordinators change."""
 
 import collections
 
@@ -25,7 +25,7 @@
 
 
 def _unused_at(now: float) -> quotas.Quotas:
-    """Give quotas of a coordinator that has been one for long."""
+    """Return the quotas of a coordinator that has served for a long time."""
     counted = _quotas()
     counted.take(_NAME, 1, now - 10 * _SECONDS)
     return counted
--- a/libs/scheduling/geraniumweir/scheduling/windows.py
+++ b/libs/scheduling/geraniumweir/scheduling/windows.py
@@ -1,4 +1,4 @@
-"""What was used of a quota within the last seconds, in bins of time."""
+"""Sliding windows of usage, counted in bins of time."""
 
 import collections
 import functools
@@ -7,18 +7,18 @@
 
 from geraniumweir.common import ids
 
-# A fortieth of the users' windows of 8 s, so that a bin more or less is
-# within the slack of the rule that they hold. In seconds.
+# A fortieth of the windows of 8 s that are usual, so that the error of one bin
+# is within the tolerance of the quota rule.
 BIN_SECONDS = 0.2
 
 
 def bin_of(at: float) -> int:
-    """Give the number of the bin that a time lies in."""
+    """Return the number of the bin that contains a time in seconds."""
     return math.floor(at / BIN_SECONDS)
 
 
 class Window:
-    """What was used within a window that ends now.
+    """Usage within a window that ends now.
 
     >>> window = Window(seconds=2)
     >>> window.add(5, at=10)
@@ -27,23 +27,23 @@
     """
 
     def __init__(self, seconds: float) -> None:
-        """Start empty.
+        """Initialize an empty window.
 
-        :param seconds: length of the window.
+        :param seconds: its length.
         """
         self._seconds = seconds
         self._bins: collections.deque[list[float]] = collections.deque()
         self._total: float = 0
 
     def used(self, now: float) -> float:
-        """Give what was used within the window."""
+        """Return the amount used within the window."""
         oldest = (now - self._seconds) / BIN_SECONDS
         while self._bins and self._bins[0][0] + 1 <= oldest:
             self._total -= self._bins.popleft()[1]
         return self._total
 
     def add(self, amount: float, at: float) -> None:
-        """Count what is used; times never go back by more than a bin."""
+        """Add an amount; times never go back by more than a bin."""
         number = bin_of(at)
         if not self._bins or self._bins[-1][0] < number:
             self._bins.append([number, 0])
@@ -51,10 +51,11 @@
         self._total += amount
 
     def refund(self, amount: float, at: float) -> None:
-        """Undo what was added, where it was added.
+        """Subtract an amount from the bin to which it was added.
 
-        Taken off now instead, it would stay in the window after what it
-        undoes has left it, and let so much more through than is allowed.
+        Subtracted from the current bin instead, the refund would stay in the
+        window after the amount itself has left it, and would admit that much
+        more than is allowed.
         """
         number = bin_of(at)
         for counted in reversed(self._bins):
@@ -64,7 +65,7 @@
                 return
 
     def bins(self, now: float) -> typing.Iterator[tuple[int, float]]:
-        """Give the bins within the window by number, oldest first."""
+        """Yield number and amount of the bins in the window, oldest first."""
         self.used(now)
         for number, amount in self._bins:
             yield int(number), amount
@@ -73,5 +74,5 @@
 def by_customer(
     seconds: float,
 ) -> collections.defaultdict[ids.CustomerName, Window]:
-    """Make a table of windows; each is made when it is first looked up."""
+    """Return a table of windows that creates each on first access."""
     return collections.defaultdict(functools.partial(Window, seconds))
