--- a/libs/scheduling/geraniumweir/scheduling/answer_delivery.py
+++ b/libs/scheduling/geraniumweir/scheduling/answer_delivery.py
@@ -7,8 +7,8 @@
 from geraniumweir.wire import errors
 from geraniumweir.wire.gen.scheduling import ttypes
 
-_TIMEOUT = 0.5
-_PAUSE = 0.1
+_TIMEOUT_SECONDS = 0.5
+_RETRY_PAUSE_SECONDS = 0.1
 
 
 async def deliver(
@@ -20,10 +20,10 @@
     while found.has(entry):
         try:
             reply = await link.call(
-                entry.slot_request.owner, message(entry), _TIMEOUT
+                entry.slot_request.owner, message(entry), _TIMEOUT_SECONDS
             )
         except errors.PeerError:
-            await asyncio.sleep(_PAUSE)
+            await asyncio.sleep(_RETRY_PAUSE_SECONDS)
             continue
         if not reply.taken and found.has(entry):
             found.withdraw(entry.slot_request.request_id, entry.attempt)
--- a/libs/scheduling/geraniumweir/scheduling/broker.py
+++ b/libs/scheduling/geraniumweir/scheduling/broker.py
@@ -1,10 +1,10 @@
-"""The entry host's side of asking: one face, wherever the pool leader is.
+"""Slot requests of an entry host, independent of where the pool leader is.
 
 The leader of a pool in the own failure domain is found by rendezvous hashing
-over the domain's live hosts. When it can't serve in time, the leaders in
-other failure domains are asked, one after another, each once. When a leader
-moves, the requests that wait move to the new one, and it gets the grants in
-use.
+over the domain's live hosts. When it can't serve in time, the slot request
+goes to the leaders in other failure domains, one after another, each once.
+When a leader moves, the waiting requests move to the new one, which also gets
+the grants in use.
 
 See Also
 ========
@@ -30,12 +30,12 @@
 )
 from geraniumweir.wire.gen.scheduling import ttypes
 
-_PAUSE = 0.05
-_HOME_PATIENCE = 3.0
+_RETRY_PAUSE_SECONDS = 0.05
+_HOME_TIMEOUT_SECONDS = 3.0
 
 _Answer = requests.Grant | requests.Denial
-# What another leader may have: slots, and quotas of customers.
-_FOR_WANT = frozenset(
+# Denials for lack of slots or quota, which another leader may have.
+_CAPACITY_REASONS = frozenset(
     (
         requests.DenialReason.shed,
         requests.DenialReason.over_quota,
@@ -49,10 +49,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Tried:
-    """What came of asking at home.
+class _HomeAnswer:
+    """Answer of the leader in the own failure domain.
 
-    :ivar slot_request: as it may go on to other failure domains.
+    :ivar slot_request: in the form for other failure domains.
     """
 
     slot_request: requests.SlotRequest
@@ -60,9 +60,9 @@
 
 
 class Broker:
-    """Asks for grants on behalf of one entry host.
+    """Scheduler that forwards one entry host's requests to pool leaders.
 
-    :ivar on_preempt: told of a stream in flight that is to be cancelled.
+    :ivar on_preempt: called with a running stream that is to be cancelled.
     """
 
     def __init__(
@@ -74,24 +74,24 @@
         clock: timers.TimerService,
         is_leader_due: typing.Callable[[], bool] = _never,
     ) -> None:
-        """Start without requests.
+        """Initialize without requests.
 
         :param domain: this host's failure domain.
-        :param is_leader_due: tells whether this host leads its own requests
-            for a moment only, as another one is being elected.
+        :param is_leader_due: returns whether this host leads its own requests
+            only temporarily, as an election is in progress.
         """
         self.on_preempt: typing.Callable[[requests.Preempt], None] | None = None
         self._link = link
         self._directory = directory
         self._clock = clock
-        self._mine = owned.Owned()
+        self._owned = owned.Owned()
         self._home = home.HomeLeaders(domain, view, link.host_id)
-        self._asker = requesting.SlotRequester(link, self._mine, clock)
+        self._requester = requesting.SlotRequester(link, self._owned, clock)
         self._upkeep = upkeep.Upkeep(
             link,
-            self._mine,
+            self._owned,
             self._home,
-            self._asker,
+            self._requester,
             clock,
         )
         self._is_leader_due = is_leader_due
@@ -101,14 +101,14 @@
     async def request_slot(self, slot_request: requests.SlotRequest) -> _Answer:
         """Wait for a grant, here or in another failure domain.
 
-        Whoever gets a grant dispatches at most once and then releases it.
-        One that is cancelled while it waits leaves nothing behind.
+        The caller dispatches at most once on a grant and then releases it. A
+        cancelled call leaves neither a waiting request nor a grant.
 
-        :param slot_request: its deadline is on the loop's clock; no request of the
-            same id may be waiting or in use.
+        :param slot_request: its deadline is on the loop's clock; no request
+            of the same id may be waiting or in use.
         """
         try:
-            return await self._ask_everywhere(slot_request)
+            return await self._request_everywhere(slot_request)
         except asyncio.CancelledError:
             given_up = requests.Outcome.given_up
             self.release(requests.Release(slot_request.request_id, given_up))
@@ -117,15 +117,15 @@
             self._withdrawn.discard(slot_request.request_id)
 
     def withdraw(self, request_id: ids.RequestId) -> None:
-        """End the waiting of a request whose caller went away."""
+        """Withdraw a waiting request whose caller disconnected."""
         self._withdrawn.add(request_id)
-        place = self._mine.places.get(request_id)
+        place = self._owned.places.get(request_id)
         if place is not None:
             place.resolve(_withdrawn(request_id))
 
     def progress(self, progress: requests.Progress) -> None:
-        """Tell the pool leader how granted work goes on."""
-        found = self._mine.in_use.get(progress.request_id)
+        """Report the progress of granted work to the pool leader."""
+        found = self._owned.in_use.get(progress.request_id)
         if found is None:
             return
         found.first_token = progress.first_token
@@ -136,100 +136,104 @@
             progress.first_token,
             progress.output_tokens,
         )
-        self._link.send(self._holder(found), message)
+        self._link.send(self._leader_for(found), message)
 
     def release(self, release: requests.Release) -> None:
-        """Give a grant back; a repeat does nothing."""
-        found = self._mine.in_use.pop(release.request_id, None)
+        """Release a grant; a repeated release has no effect."""
+        found = self._owned.in_use.pop(release.request_id, None)
         if found is not None:
-            host = self._holder(found)
+            host = self._leader_for(found)
             self._upkeep.touch(host, found.slot_request.pool)
-            self._asker.release(found, host, release)
+            self._requester.release(found, host, release)
 
     def close(self) -> None:
         """Stop the periodic work."""
         self._upkeep.close()
 
-    def _holder(self, found: owned.InUse) -> ids.HostId:
+    def _leader_for(self, found: owned.InUse) -> ids.HostId:
         return (
             self._home.leader(found.slot_request.pool)
             if found.home
             else found.host
         )
 
-    async def _ask_everywhere(
+    async def _request_everywhere(
         self, slot_request: requests.SlotRequest
     ) -> _Answer:
-        tried = await self._ask_home(slot_request)
-        first = tried.answer
+        home_answer = await self._request_at_home(slot_request)
+        first = home_answer.answer
         if not _may_spill(first):
             return first
-        slot_request = tried.slot_request
+        slot_request = home_answer.slot_request
         others = self._directory.others(slot_request.pool)
         for pool in spill.in_order(slot_request, others):
             if self._clock.now() >= slot_request.deadline:
                 break
             if slot_request.request_id in self._withdrawn:
                 return _withdrawn(slot_request.request_id)
-            answer = await self._ask_there(slot_request, pool.leader)
+            answer = await self._request_elsewhere(slot_request, pool.leader)
             if answer is not None and not _may_spill(answer):
                 return answer
         return first
 
-    async def _ask_home(self, slot_request: requests.SlotRequest) -> _Tried:
-        until = self._clock.now() + _HOME_PATIENCE
+    async def _request_at_home(
+        self, slot_request: requests.SlotRequest
+    ) -> _HomeAnswer:
+        give_up_at = self._clock.now() + _HOME_TIMEOUT_SECONDS
         while slot_request.request_id not in self._withdrawn:
             host = self._home.leader(slot_request.pool)
-            place = await self._ask_at(slot_request, host, at_home=True)
+            place = await self._request_at(slot_request, host, at_home=True)
             slot_request = place.slot_request
             answer = place.fut.result()
-            if answer is not None and not _is_elsewhere(answer):
+            if answer is not None and not _is_not_leader(answer):
                 if not self._may_be_granted_soon(place, answer):
-                    return _Tried(slot_request, answer)
+                    return _HomeAnswer(slot_request, answer)
             self._home.reject(slot_request.pool, place.host, place.hint)
-            until = max(until, self._heard_at(place) + _HOME_PATIENCE)
-            if self._clock.now() >= until:
+            give_up_at = max(
+                give_up_at, self._last_seen_at(place) + _HOME_TIMEOUT_SECONDS
+            )
+            if self._clock.now() >= give_up_at:
                 no_server = requests.DenialReason.no_server
                 denial = requests.Denial(slot_request.request_id, no_server)
-                return _Tried(slot_request, denial)
-            await asyncio.sleep(_PAUSE)
-        return _Tried(slot_request, _withdrawn(slot_request.request_id))
+                return _HomeAnswer(slot_request, denial)
+            await asyncio.sleep(_RETRY_PAUSE_SECONDS)
+        return _HomeAnswer(slot_request, _withdrawn(slot_request.request_id))
 
     def _may_be_granted_soon(self, place: owned.Place, answer: _Answer) -> bool:
-        """Tell whether a denial of this host itself is worth a wait."""
+        """Return whether a new leader may grant what this host denied."""
         if isinstance(answer, requests.Grant):
             return False
         if place.host != self._link.host_id or not self._is_leader_due():
             return False
-        return answer.reason in _FOR_WANT
+        return answer.reason in _CAPACITY_REASONS
 
-    def _heard_at(self, place: owned.Place) -> float:
-        """Tell when the place's leader last showed that it is there.
+    def _last_seen_at(self, place: owned.Place) -> float:
+        """Return when the place's leader was last seen, in seconds.
 
-        A leader that answers other calls is there, so an ask that came to
-        nothing was lost on the way and is worth repeating.
+        A leader that answers other calls is alive, so a slot request without
+        an answer was lost in transit and is worth repeating.
         """
         if place.reached:
             return self._clock.now()
         if place.failed:
             return -math.inf
-        return self._mine.last_seen.get(place.host, -math.inf)
+        return self._owned.last_seen.get(place.host, -math.inf)
 
-    async def _ask_there(
+    async def _request_elsewhere(
         self,
         slot_request: requests.SlotRequest,
         host: ids.HostId,
     ) -> _Answer | None:
-        place = await self._ask_at(slot_request, host, at_home=False)
+        place = await self._request_at(slot_request, host, at_home=False)
         answer = place.fut.result()
-        if answer is None or not _is_elsewhere(answer):
+        if answer is None or not _is_not_leader(answer):
             return answer
         if place.hint is None or place.hint == host:
             return None
-        place = await self._ask_at(slot_request, place.hint, at_home=False)
+        place = await self._request_at(slot_request, place.hint, at_home=False)
         return place.fut.result()
 
-    async def _ask_at(
+    async def _request_at(
         self,
         slot_request: requests.SlotRequest,
         host: ids.HostId,
@@ -237,14 +241,16 @@
         at_home: bool,
     ) -> owned.Place:
         self._upkeep.touch(host, slot_request.pool)
-        return await self._asker.ask_at(slot_request, host, home=at_home)
+        return await self._requester.request_at(
+            slot_request, host, home=at_home
+        )
 
     async def _on_preempt(
         self,
         _sender: ids.HostId,
         message: ttypes.Preempt,
     ) -> None:
-        found = self._mine.in_use.get(ids.RequestId(message.request_id))
+        found = self._owned.in_use.get(ids.RequestId(message.request_id))
         if found is None or found.grant.server_id != message.server_id:
             return
         if self.on_preempt is not None:
@@ -257,7 +263,7 @@
             )
 
 
-def _is_elsewhere(answer: _Answer) -> bool:
+def _is_not_leader(answer: _Answer) -> bool:
     if isinstance(answer, requests.Grant):
         return False
     return answer.reason is requests.DenialReason.not_leader
--- a/libs/scheduling/geraniumweir/scheduling/channel.py
+++ b/libs/scheduling/geraniumweir/scheduling/channel.py
@@ -1,8 +1,8 @@
-"""Messages to any host, this one included.
+"""Messages to any host, including this one.
 
-What goes to this host is handed straight to its handler; the rest goes
-through the peer layer. So the broker and the leader's service needn't care
-on which host the other one is.
+A message to this host is passed directly to its handler, all others go through
+the peer layer. So the broker and the leader service do not depend on which
+host the other one is.
 """
 
 import asyncio
@@ -13,12 +13,12 @@
 
 
 class Channel:
-    """The peer layer with a short way to this host."""
+    """Peer layer with local delivery of messages to this host."""
 
     def __init__(self, remote: peers.Peers) -> None:
-        """Start without handlers.
+        """Initialize without handlers.
 
-        :param remote: carries what goes to other hosts.
+        :param remote: peer layer for messages to other hosts.
         """
         self.host_id = remote.host_id
         self._remote = remote
@@ -26,18 +26,18 @@
         self._tasks: set[asyncio.Task[typing.Any]] = set()
 
     def handle(self, message_type: type, handler: peers.Handler) -> None:
-        """Let a handler answer all messages of a type, whoever sends them."""
+        """Register the handler of a message type, for all senders."""
         self._handlers[message_type] = handler
         self._remote.handle(message_type, handler)
 
     def learn(self, host_id: ids.HostId, address: ids.Address) -> None:
-        """Remember where a host listens."""
+        """Record the address at which a host listens."""
         self._remote.learn(host_id, address)
 
     async def introduce(self, address: ids.Address) -> ids.HostId:
-        """Connect to a seed and learn who it is.
+        """Connect to a seed and return its host id.
 
-        :raises errors.UnreachableError: when nobody answers there.
+        :raises errors.UnreachableError: when no host answers there.
         """
         return await self._remote.introduce(address)
 
@@ -49,7 +49,7 @@
     ) -> peers.Message:
         """Send a message and wait for its answer.
 
-        :raises errors.PeerError: when none came.
+        :raises errors.PeerError: when there is no answer.
         """
         if to != self.host_id:
             return await self._remote.call(to, message, timeout)
@@ -69,14 +69,14 @@
         self,
         work: typing.Coroutine[typing.Any, typing.Any, typing.Any],
     ) -> asyncio.Task[typing.Any]:
-        """Run work beside; :meth:`close` cancels it."""
+        """Run a coroutine as a task; :meth:`close` cancels it."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     async def close(self) -> None:
-        """Cancel all work that was started."""
+        """Cancel all tasks that were started."""
         open_tasks = tuple(self._tasks)
         for task in open_tasks:
             task.cancel()
--- a/libs/scheduling/geraniumweir/scheduling/crashes.py
+++ b/libs/scheduling/geraniumweir/scheduling/crashes.py
@@ -13,7 +13,7 @@
 )
 
 _RECENT_SECONDS = 120.0
-_SAME_MOMENT = 0.5
+_SAME_MOMENT_SECONDS = 0.5
 
 
 def crashed(
@@ -36,18 +36,18 @@
         for running in server.running.values()
         if running.grant.incarnation <= incarnation
     ]
-    together = [running.slot_request.fingerprint for running in lost]
+    fingerprints = [running.slot_request.fingerprint for running in lost]
     recent = max(
         leader.now() - _RECENT_SECONDS,
-        server.last_good - _SAME_MOMENT,
+        server.last_good - _SAME_MOMENT_SECONDS,
     )
-    together.extend(mark for at, mark in server.failures if at >= recent)
+    fingerprints.extend(mark for at, mark in server.failures if at >= recent)
     server.failures.clear()
     for running in lost:
         progressing.drop(leader, running)
-    condemned = leader.suspects.record_crash(together, leader.now())
+    quarantined = leader.suspects.record_crash(fingerprints, leader.now())
     placement.refresh(leader, server)
-    _refuse_condemned(leader, set(condemned))
+    _refuse_quarantined(leader, set(quarantined))
     for running in lost:
         granting.unpark(leader, running.slot_request.rule)
 
@@ -60,14 +60,14 @@
         fleet.restarted(leader, server)
 
 
-def _refuse_condemned(
+def _refuse_quarantined(
     leader: state.LeaderState,
-    condemned: set[ids.Fingerprint],
+    quarantined: set[ids.Fingerprint],
 ) -> None:
-    if not condemned:
+    if not quarantined:
         return
     for waiting in list(leader.waiting.values()):
-        if waiting.slot_request.fingerprint in condemned:
+        if waiting.slot_request.fingerprint in quarantined:
             shedding.refuse(
                 leader,
                 waiting,
--- a/libs/scheduling/geraniumweir/scheduling/home.py
+++ b/libs/scheduling/geraniumweir/scheduling/home.py
@@ -1,8 +1,9 @@
-"""Who leads a pool in the own failure domain, as one entry host sees it.
+"""Pool leaders of the own failure domain, as one entry host sees them.
 
-The live hosts decide. A host that asks for the grants in use says by it that
-it leads, and one that doesn't lead may name another: such word counts until
-the live hosts change, if it names one of them.
+The set of live hosts determines the leaders. A host that requests the grants
+in use thereby claims to lead, and a host that doesn't lead may name the
+leader. Such a claim holds until the live hosts change, if it names one of
+them.
 """
 
 import reactivex
@@ -11,9 +12,9 @@
 
 
 class HomeLeaders:
-    """The pool leaders of one failure domain.
+    """Pool leaders of one failure domain.
 
-    :ivar changes: fires when any leader may have changed.
+    :ivar changes: emits when any leader may have changed.
     """
 
     def __init__(
@@ -22,26 +23,28 @@
         view: views.HostView,
         host_id: ids.HostId,
     ) -> None:
-        """Follow a view of the live hosts."""
+        """Initialize from a view of the live hosts."""
         self.changes: reactivex.Subject[None] = reactivex.Subject()
         self._domain = domain
         self._view = view
         self._host_id = host_id
-        self._said: dict[ids.PoolName, ids.HostId] = {}
-        self._subscription = view.changes.subscribe(lambda _: self._forget())
+        self._claims: dict[ids.PoolName, ids.HostId] = {}
+        self._subscription = view.changes.subscribe(
+            lambda _: self._clear_claims()
+        )
 
     def leader(self, pool: ids.PoolName) -> ids.HostId:
-        """Give the leader of a pool; alone, this host leads them all."""
-        said = self._said.get(pool)
-        if said is not None:
-            return said
+        """Return the leader of a pool; this host, if it knows no other."""
+        claimed_leader = self._claims.get(pool)
+        if claimed_leader is not None:
+            return claimed_leader
         return leader_by_view(self._domain, pool, self._view, self._host_id)
 
     def accept_claim(self, pool: ids.PoolName, host: ids.HostId) -> bool:
-        """Hear from a host that it leads; tell whether it may."""
+        """Record a host's claim to lead; return whether it is live."""
         if host != self._host_id and not self._is_live(host):
             return False
-        self._said[pool] = host
+        self._claims[pool] = host
         return True
 
     def reject(
@@ -50,24 +53,24 @@
         host: ids.HostId,
         hint: ids.HostId | None,
     ) -> None:
-        """Hear that a host doesn't lead, or doesn't answer.
+        """Record that a host doesn't lead or doesn't answer.
 
-        :param hint: who leads, by that host.
+        :param hint: the leader according to that host.
         """
-        if self._said.get(pool) == host:
-            self._said.pop(pool)
+        if self._claims.get(pool) == host:
+            self._claims.pop(pool)
         if hint is not None and hint != host and self._is_live(hint):
-            self._said[pool] = hint
+            self._claims[pool] = hint
 
     def close(self) -> None:
-        """Stop following."""
+        """Unsubscribe from the view."""
         self._subscription.dispose()
 
     def _is_live(self, host: ids.HostId) -> bool:
         return host in self._view.live(self._domain)
 
-    def _forget(self) -> None:
-        self._said.clear()
+    def _clear_claims(self) -> None:
+        self._claims.clear()
         self.changes.on_next(None)
 
 
@@ -77,9 +80,9 @@
     view: views.HostView,
     host_id: ids.HostId,
 ) -> ids.HostId:
-    """Give the leader of a pool by the live hosts alone.
+    """Return the leader of a pool by the live hosts alone.
 
-    :param host_id: this host, which leads when it knows of none.
+    :param host_id: this host, which leads where the view has no live hosts.
     """
     found = rendezvous.leader_of(domain, pool, view.live(domain))
     return host_id if found is None else found
--- a/libs/scheduling/geraniumweir/scheduling/joining.py
+++ b/libs/scheduling/geraniumweir/scheduling/joining.py
@@ -1,4 +1,4 @@
-"""Asks that wait for the same answer, and the end of the last of them."""
+"""Callers that wait for the same answer, and the end of the last of them."""
 
 import asyncio
 import typing
@@ -8,9 +8,9 @@
 
 
 class Waiting(typing.Protocol):
-    """A request in a leader's queue.
+    """Request in a leader's queue.
 
-    :ivar joined: asks that wait for the same answer.
+    :ivar joined: number of callers that wait for the same answer.
     """
 
     slot_request: requests.SlotRequest
@@ -19,7 +19,7 @@
 
 
 class Running(typing.Protocol):
-    """A request that a leader granted."""
+    """Request that a leader granted."""
 
     grant: requests.Grant
 
@@ -29,9 +29,9 @@
     waiting: Waiting,
     running: typing.Mapping[ids.RequestId, Running],
 ) -> requests.Grant | requests.Denial:
-    """Wait for the answer; the last that leaves takes the request along.
+    """Wait for the answer; withdraw the request with its last caller.
 
-    :param running: what the leader granted.
+    :param running: requests that the leader granted, by id.
     """
     waiting.joined += 1
     try:
--- a/libs/scheduling/geraniumweir/scheduling/notices.py
+++ b/libs/scheduling/geraniumweir/scheduling/notices.py
@@ -17,12 +17,12 @@
 
 # What no longer holds is kept for so long, in seconds: longer than any host may
 # be cut off that still tells of it.
-_ENDED_KEPT_SECONDS = 60.0
+_ENDED_RETENTION_SECONDS = 60.0
 # A pause that ends later by less than this isn't told again, in seconds: the
 # host that was asked for it keeps to the whole of it itself.
-_SAME_SECONDS = 0.05
+_MIN_EXTENSION_SECONDS = 0.05
 # A server that leaves is gone well before that, in seconds.
-_LEAVING_KEPT_SECONDS = 600.0
+_LEAVING_RETENTION_SECONDS = 600.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -109,15 +109,15 @@
             case _:
                 return self.received_at > known.received_at
 
-    def is_over(self, now: float) -> bool:
+    def is_expired(self, now: float) -> bool:
         """Tell whether nobody needs to know of it any more."""
         match self.content:
             case RateLimit(per_second=None):
-                return now - self.received_at > _ENDED_KEPT_SECONDS
+                return now - self.received_at > _ENDED_RETENTION_SECONDS
             case RateLimit():
                 return False
             case Leaving():
-                return now - self.received_at > _LEAVING_KEPT_SECONDS
+                return now - self.received_at > _LEAVING_RETENTION_SECONDS
             case Pause():
                 return now >= self.until
 
@@ -214,36 +214,38 @@
         known = self._rows[type(notice.content)].get(key)
         if known is None:
             if notice.content != RateLimit(None):
-                self._put(key, notice)
+                self._store_change(key, notice)
             return
         if not notice.supersedes(known.notice):
             return
-        if _is_same(notice, known.notice):
-            self._keep(key, _Row(notice, known.revision))
+        if _is_equivalent(notice, known.notice):
+            self._store(key, _Row(notice, known.revision))
             return
-        self._put(key, notice)
+        self._store_change(key, notice)
 
-    def _put(self, key: _Key, notice: Notice) -> None:
-        self._forget_old()
+    def _store_change(self, key: _Key, notice: Notice) -> None:
+        self._remove_expired()
         self.revision += 1
-        self._keep(key, _Row(notice, self.revision))
+        self._store(key, _Row(notice, self.revision))
         _log(notice)
         self._changes.on_next(notice)
 
-    def _keep(self, key: _Key, row: _Row) -> None:
+    def _store(self, key: _Key, row: _Row) -> None:
         self._rows[type(row.notice.content)][key] = row
         if isinstance(row.notice.content, Pause):
             asked = self._pauses.setdefault(row.notice.host_id, {})
             asked[row.notice.start] = row.notice.until
 
-    def _forget_old(self) -> None:
+    def _remove_expired(self) -> None:
         now = self._clock.now()
         for rows in self._rows.values():
-            old = [key for key, row in rows.items() if row.notice.is_over(now)]
+            old = [
+                key for key, row in rows.items() if row.notice.is_expired(now)
+            ]
             for key in old:
-                self._forget(rows.pop(key).notice)
+                self._remove(rows.pop(key).notice)
 
-    def _forget(self, notice: Notice) -> None:
+    def _remove(self, notice: Notice) -> None:
         if not isinstance(notice.content, Pause):
             return
         asked = self._pauses[notice.host_id]
@@ -259,9 +261,9 @@
     return notice.start, asked
 
 
-def _is_same(notice: Notice, known: Notice) -> bool:
+def _is_equivalent(notice: Notice, known: Notice) -> bool:
     if isinstance(notice.content, Pause):
-        return notice.until - known.until < _SAME_SECONDS
+        return notice.until - known.until < _MIN_EXTENSION_SECONDS
     return notice.content == known.content
 
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/occupancy.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/occupancy.py
@@ -35,7 +35,7 @@
     >>> some = Occupancy()
     >>> some.passed(4, 0.5)
     >>> some.ended()
-    >>> round(some.call_open(1), 1)
+    >>> round(some.held(1), 1)
     1.5
     """
 
--- a/libs/scheduling/geraniumweir/scheduling/owned.py
+++ b/libs/scheduling/geraniumweir/scheduling/owned.py
@@ -1,8 +1,8 @@
-"""What an entry host has with pool leaders: places in queues, grants in use.
+"""Places in pool leaders' queues and grants in use of an entry host.
 
-A request is in one place at a time. Each place has an attempt number of its
-own, and only a grant for the present place counts, so that a grant that was
-late, repeated or made by a former leader can't lead to a second dispatch.
+A request has one place at a time. Each place has its own attempt number, and
+only a grant for the current place is accepted, so that a late or repeated
+grant, or one of a former leader, can't lead to a second dispatch.
 """
 
 import asyncio
@@ -16,15 +16,15 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Place:
-    """One request in the queue of one pool leader.
-
-    :ivar host: the leader that is asked.
-    :ivar home: whether it is the one of the own failure domain.
-    :ivar fut: a grant or denial, or None when the place is lost.
-    :ivar hint: who leads, by one that doesn't.
-    :ivar reached: whether a leader had the ask in its queue.
-    :ivar failed: whether a leader got the ask and failed on it.
-    :ivar delivery: sends the ask until the leader has it.
+    """Place of one request in the queue of one pool leader.
+
+    :ivar host: host of the pool leader.
+    :ivar home: whether it leads the pool in the own failure domain.
+    :ivar fut: resolves to a grant or denial, or None when the place is lost.
+    :ivar hint: the leader's host according to a host that doesn't lead.
+    :ivar reached: whether a leader had the slot request in its queue.
+    :ivar failed: whether a leader got the slot request and raised an error.
+    :ivar delivery: task that sends the slot request until the leader has it.
     """
 
     slot_request: requests.SlotRequest
@@ -41,18 +41,18 @@
         self,
         answer: requests.Grant | requests.Denial | None,
     ) -> None:
-        """End the waiting, unless it has ended already."""
+        """Set the result, unless it is set already."""
         if not self.fut.done():
             self.fut.set_result(answer)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class InUse:
-    """A grant that the entry host works with.
+    """Grant that the entry host uses.
 
-    :ivar host: the leader that gave it.
-    :ivar home: whether that was the one of the own failure domain.
-    :ivar since: time of the grant in seconds.
+    :ivar host: host of the leader that granted it.
+    :ivar home: whether it leads the pool in the own failure domain.
+    :ivar granted_at: time of the grant in seconds.
     """
 
     slot_request: requests.SlotRequest
@@ -60,29 +60,30 @@
     host: ids.HostId
     home: bool
     attempt: int
-    since: float
+    granted_at: float
     first_token: float | None = None
     output_tokens: int = 0
 
     def for_handover(self, now: float) -> requests.OpenGrant:
-        """Give what another leader needs to take the grant over."""
+        """Return the grant as another leader needs it for its takeover."""
         return requests.OpenGrant(
             self.slot_request,
             self.grant,
-            now - self.since,
+            now - self.granted_at,
             self.first_token,
             self.output_tokens,
         )
 
 
 class Owned:
-    """All requests of one entry host that wait or have a grant.
+    """Requests of one entry host that wait or have a grant.
 
-    :ivar last_seen: when a leader last answered a call as such, in seconds.
+    :ivar last_seen: time in seconds at which each host last answered a call
+        as leader.
     """
 
     def __init__(self) -> None:
-        """Start without requests."""
+        """Initialize without requests."""
         self.places: dict[ids.RequestId, Place] = {}
         self.in_use: dict[ids.RequestId, InUse] = {}
         self.last_seen: dict[ids.HostId, float] = {}
@@ -90,7 +91,7 @@
         self._numbers = itertools.count(1)
 
     def next_attempt(self) -> int:
-        """Give a number that no place has had."""
+        """Return an attempt number that no place has had."""
         self.attempt = next(self._numbers)
         return self.attempt
 
--- a/libs/scheduling/geraniumweir/scheduling/quotas.py
+++ b/libs/scheduling/geraniumweir/scheduling/quotas.py
@@ -245,7 +245,7 @@
         A request that costs more than a full window is admitted by an empty
         one. The last part of a quota is reserved for more important requests,
         as small requests of low rank would otherwise leave nothing to the
-        long ones. Requests that do not stream cost almost nothing.
+        long ones. Requests that generate no tokens cost almost nothing.
 
         :param now: time in seconds.
         :param rank: importance of the request, 0 is the highest.
--- a/libs/scheduling/geraniumweir/scheduling/recent_usage.py
+++ b/libs/scheduling/geraniumweir/scheduling/recent_usage.py
@@ -68,7 +68,7 @@
         """Tell a host what was granted within the window that ends now."""
         now = self._clock.now()
         newest = windows.bin_of(now)
-        self._forget_old(now)
+        self._remove_unused(now)
         return RecentUsage(
             min(now - self._started, self._seconds),
             {
@@ -113,7 +113,7 @@
             )
         self._scheduler.release(release)
 
-    def _forget_old(self, now: float) -> None:
+    def _remove_unused(self, now: float) -> None:
         unused = [
             customer
             for customer, window in self._windows.items()
--- a/libs/scheduling/geraniumweir/scheduling/remote.py
+++ b/libs/scheduling/geraniumweir/scheduling/remote.py
@@ -25,9 +25,9 @@
 )
 from geraniumweir.wire.gen.scheduling import ttypes
 
-_HOLD = 0.005
-_SILENCE = 4.0
-_CHECK_PERIOD = 1.0
+_QUICK_ANSWER_SECONDS = 0.005
+_OWNER_SILENCE_SECONDS = 4.0
+_CHECK_PERIOD_SECONDS = 1.0
 
 OnPreempt = typing.Callable[[requests.Preempt], None]
 MakeLeader = typing.Callable[[ids.PoolName, OnPreempt], views.PoolLeader]
@@ -66,8 +66,10 @@
         self._closed = False
         self._pools: dict[ids.PoolName, led.LedPool] = {}
         self._subscriptions = (
-            view.changes.subscribe(lambda _: self._recheck()),
-            clock.every(_CHECK_PERIOD).subscribe(lambda _: self._check()),
+            view.changes.subscribe(lambda _: self._follow_view()),
+            clock.every(_CHECK_PERIOD_SECONDS).subscribe(
+                lambda _: self._check()
+            ),
         )
         link.handle(ttypes.Ask, self._on_ask)
         link.handle(ttypes.Withdraw, self._on_withdraw)
@@ -94,7 +96,7 @@
         for subscription in self._subscriptions:
             subscription.dispose()
         for pool in self.pools():
-            self._hand_off(pool)
+            self._hand_over(pool)
 
     def _led(self, pool: ids.PoolName) -> led.LedPool | None:
         if self._closed or self._leader_of(pool) != self._link.host_id:
@@ -122,15 +124,15 @@
     ) -> ttypes.AskReply:
         found = self._led(message.pool)
         if found is None:
-            return _refuse(
+            return _denial_reply(
                 requests.DenialReason.not_leader,
                 self._leader_of(message.pool),
             )
         slot_request = translation.unpack_ask(message, self._clock.now())
         entry = found.join(slot_request, message.attempt)
         if entry is None:
-            return _refuse(requests.DenialReason.withdrawn)
-        await _hold(entry)
+            return _denial_reply(requests.DenialReason.withdrawn)
+        await _wait_for_quick_answer(entry)
         reply = ttypes.AskReply(**answer_delivery.packed(entry.answer))
         found.discard_denied(entry)
         return reply
@@ -197,12 +199,12 @@
         message = ttypes.Preempt(preempt.request_id, preempt.server_id)
         self._link.send(preempt.owner, message)
 
-    def _recheck(self) -> None:
+    def _follow_view(self) -> None:
         for pool in self.pools():
             if self._leader_of(pool) != self._link.host_id:
-                self._hand_off(pool)
+                self._hand_over(pool)
 
-    def _hand_off(self, pool: ids.PoolName) -> None:
+    def _hand_over(self, pool: ids.PoolName) -> None:
         eventlog.emit(logevents.LEADERSHIP_ENDED, pool=pool)
         for entry in self._pools.pop(pool).close():
             reason = requests.DenialReason.not_leader
@@ -214,30 +216,30 @@
             )
 
     def _check(self) -> None:
-        since = self._clock.now() - _SILENCE
+        last_seen_before = self._clock.now() - _OWNER_SILENCE_SECONDS
         for found in self._pools.values():
-            _drop_silent(found, since)
+            _remove_silent(found, last_seen_before)
 
 
-def _drop_silent(found: led.LedPool, since: float) -> None:
-    for owner in found.silent_owners(since):
+def _remove_silent(found: led.LedPool, last_seen_before: float) -> None:
+    for owner in found.silent_owners(last_seen_before):
         count = found.remove_owner(owner)
         if count:
             eventlog.emit(logevents.OWNER_SILENT, owner=owner, count=count)
 
 
-async def _hold(entry: led.Entry) -> None:
+async def _wait_for_quick_answer(entry: led.Entry) -> None:
     """Wait a moment, so that a quick grant goes with the call's answer."""
     if entry.work is None or entry.notifying:
         return
     entry.call_open = True
     try:
-        await asyncio.wait((entry.work,), timeout=_HOLD)
+        await asyncio.wait((entry.work,), timeout=_QUICK_ANSWER_SECONDS)
     finally:
         entry.call_open = False
 
 
-def _refuse(
+def _denial_reply(
     reason: requests.DenialReason,
     holder: ids.HostId | None = None,
 ) -> ttypes.AskReply:
--- a/libs/scheduling/geraniumweir/scheduling/requesting.py
+++ b/libs/scheduling/geraniumweir/scheduling/requesting.py
@@ -1,8 +1,9 @@
-"""How an entry host asks one pool leader and gets one answer.
+"""Delivery of an entry host's slot requests to one pool leader.
 
-The ask is sent until the leader has it; the leader joins repeats. The answer
-comes with the call or, for an ask that waits, in a message of its own. What
-comes for a place that was left is given back at once.
+A slot request is sent until the leader has it; the leader joins repeats. The
+answer arrives in the call's reply or, for a slot request that waits, in a
+separate message. A grant for a place that no longer waits is rejected at once,
+so that the leader releases it.
 """
 
 import asyncio
@@ -19,15 +20,15 @@
 from geraniumweir.wire import errors
 from geraniumweir.wire.gen.scheduling import ttypes
 
-_ASK_TIMEOUT = 0.5
-_ASK_TRIES = 3
-_RELEASE_TIMEOUT = 0.5
-_RELEASE_TRIES = 3
-_PAUSE = 0.05
+_REQUEST_TIMEOUT_SECONDS = 0.5
+_REQUEST_ATTEMPTS = 3
+_RELEASE_TIMEOUT_SECONDS = 0.5
+_RELEASE_ATTEMPTS = 3
+_RETRY_PAUSE_SECONDS = 0.05
 
 
 class SlotRequester:
-    """Asks pool leaders on behalf of one entry host's requests."""
+    """Client of pool leaders for the requests of one entry host."""
 
     def __init__(
         self,
@@ -35,13 +36,13 @@
         mine: owned.Owned,
         clock: timers.TimerService,
     ) -> None:
-        """Take leaders' answers from now on."""
+        """Initialize and register for the leaders' answers."""
         self._link = link
-        self._mine = mine
+        self._owned = mine
         self._clock = clock
         link.handle(ttypes.Answer, self._on_answer)
 
-    async def ask_at(
+    async def request_at(
         self,
         slot_request: requests.SlotRequest,
         host: ids.HostId,
@@ -51,32 +52,32 @@
         """Wait in one leader's queue.
 
         :param home: whether it leads the pool in the own failure domain.
-        :returns: the place, with its answer; None there means that the
-            leader can't be reached or lost the ask.
+        :returns: the place with its answer; None as answer means that the
+            leader is unreachable or lost the slot request.
         """
         fut = asyncio.get_running_loop().create_future()
-        attempt = self._mine.next_attempt()
+        attempt = self._owned.next_attempt()
         place = owned.Place(slot_request, host, home, attempt, fut)
-        self._mine.places[slot_request.request_id] = place
+        self._owned.places[slot_request.request_id] = place
         self.deliver(place)
         try:
             await self._answered(place)
         finally:
-            self._mine.places.pop(slot_request.request_id, None)
-            self._leave(place)
+            self._owned.places.pop(slot_request.request_id, None)
+            self._leave_queue(place)
         return place
 
     def deliver(self, place: owned.Place) -> None:
-        """Send the ask until the leader has it."""
+        """Send the slot request until the leader has it."""
         if place.delivery is not None:
             place.delivery.cancel()
         place.delivery = self._link.start(self._deliver(place))
 
     def move(self, place: owned.Place, host: ids.HostId) -> None:
-        """Take a waiting request to another leader of the same pool."""
+        """Move a waiting request to another leader of the same pool."""
         self._withdraw(place)
         place.host = host
-        place.attempt = self._mine.next_attempt()
+        place.attempt = self._owned.next_attempt()
         self.deliver(place)
 
     def release(
@@ -85,7 +86,7 @@
         host: ids.HostId,
         release: requests.Release,
     ) -> None:
-        """Give a grant back to whoever leads the pool now."""
+        """Release a grant at the pool's current leader."""
         message = translation.pack_release(
             found.slot_request.pool,
             release,
@@ -103,7 +104,7 @@
                 requests.Denial(place.slot_request.request_id, reason)
             )
 
-    def _leave(self, place: owned.Place) -> None:
+    def _leave_queue(self, place: owned.Place) -> None:
         if place.delivery is not None:
             place.delivery.cancel()
         if place.fut.done() and isinstance(
@@ -123,26 +124,28 @@
         self._link.send(place.host, message)
 
     async def _deliver(self, place: owned.Place) -> None:
-        for _ in range(_ASK_TRIES):
+        for _ in range(_REQUEST_ATTEMPTS):
             message = translation.pack_ask(
                 place.slot_request,
                 place.attempt,
                 self._clock.now(),
             )
             try:
-                reply = await self._link.call(place.host, message, _ASK_TIMEOUT)
+                reply = await self._link.call(
+                    place.host, message, _REQUEST_TIMEOUT_SECONDS
+                )
             except errors.UnreachableError:
                 break
             except errors.PeerError as exc:
                 place.failed = isinstance(exc, errors.RemoteError)
-                await asyncio.sleep(_PAUSE)
+                await asyncio.sleep(_RETRY_PAUSE_SECONDS)
                 continue
             place.hint = reply.leader
             if reply.leader is None:
                 place.reached = True
-                _note_counted(place, reply)
-                self._mine.last_seen[place.host] = self._clock.now()
-            self._take(place, reply)
+                _clear_rate_limit(place, reply)
+                self._owned.last_seen[place.host] = self._clock.now()
+            self._accept_answer(place, reply)
             return
         place.resolve(None)
 
@@ -152,23 +155,23 @@
         message: ttypes.Answer,
     ) -> ttypes.AnswerReply:
         request_id = ids.RequestId(message.request_id)
-        place = self._mine.places.get(request_id)
+        place = self._owned.places.get(request_id)
         if place is not None and _is_from(place, sender, message):
-            self._take(place, message)
-        taken = message.grant is None or self._is_in_use(sender, message)
-        if not taken:
+            self._accept_answer(place, message)
+        accepted = message.grant is None or self._is_in_use(sender, message)
+        if not accepted:
             eventlog.emit(
                 logevents.STRAY_GRANT,
                 request=request_id,
                 leader=sender,
             )
-        return ttypes.AnswerReply(taken)
+        return ttypes.AnswerReply(accepted)
 
     def _is_in_use(self, sender: ids.HostId, message: ttypes.Answer) -> bool:
-        found = self._mine.in_use.get(ids.RequestId(message.request_id))
+        found = self._owned.in_use.get(ids.RequestId(message.request_id))
         return found is not None and _is_from(found, sender, message)
 
-    def _take(
+    def _accept_answer(
         self,
         place: owned.Place,
         message: ttypes.AskReply | ttypes.Answer,
@@ -178,7 +181,7 @@
         if answer is None or place.fut.done():
             return
         if isinstance(answer, requests.Grant):
-            self._mine.in_use[request_id] = owned.InUse(
+            self._owned.in_use[request_id] = owned.InUse(
                 place.slot_request,
                 answer,
                 place.host,
@@ -193,17 +196,17 @@
         host: ids.HostId,
         message: ttypes.Release,
     ) -> None:
-        for _ in range(_RELEASE_TRIES):
+        for _ in range(_RELEASE_ATTEMPTS):
             try:
-                await self._link.call(host, message, _RELEASE_TIMEOUT)
+                await self._link.call(host, message, _RELEASE_TIMEOUT_SECONDS)
             except errors.PeerError:
-                await asyncio.sleep(_PAUSE)
+                await asyncio.sleep(_RETRY_PAUSE_SECONDS)
             else:
                 return
 
 
-def _note_counted(place: owned.Place, reply: ttypes.AskReply) -> None:
-    """Keep an ask from being counted against its rule's rate again."""
+def _clear_rate_limit(place: owned.Place, reply: ttypes.AskReply) -> None:
+    """Prevent that a slot request counts against its rule's rate again."""
     not_leader = requests.DenialReason.not_leader.value
     if reply.denial is not None and reply.denial.reason == not_leader:
         return
--- a/libs/scheduling/geraniumweir/scheduling/requests.py
+++ b/libs/scheduling/geraniumweir/scheduling/requests.py
@@ -1,8 +1,8 @@
-"""What an entry host and a pool leader say to each other, as typed values.
+"""Typed values of the protocol between entry hosts and pool leaders.
 
-The entry host that accepted a request asks; the pool leader answers with a
-grant or a denial; the entry host reports how the granted work goes and
-releases the grant once.
+The entry host that accepted a request sends a slot request. The pool leader
+answers with a grant or a denial. The entry host reports the progress of the
+granted work and releases the grant once.
 """
 
 import dataclasses
@@ -13,11 +13,11 @@
 
 
 class Sending(enum.Enum):
-    """How often a request has been sent before.
+    """Kind of attempt that a slot request is for.
 
-    :cvar first: this is its first ask.
-    :cvar again: it has asked before, and reached no server.
-    :cvar retry: it has reached a server.
+    :cvar first: the first slot request of the request.
+    :cvar again: a repeated one; the request has reached no server yet.
+    :cvar retry: the request has reached a server before.
     """
 
     first = 'first'
@@ -27,29 +27,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """A request that waits for a backend server.
+    """Demand of a request for a dispatch slot.
 
-    :ivar deadline: the whole answer is due then; seconds on the clock of
-        whoever holds the value, sent between hosts as time that is left.
+    :ivar deadline: time by which the complete response is due, in seconds on
+        the local clock; sent between hosts as remaining time.
     :ivar prompt_tokens: estimated prompt length.
-    :ivar max_tokens: most output tokens the caller asked for, 0 if unsaid.
+    :ivar max_tokens: limit of output tokens, 0 if unspecified.
     :ivar blocks: hashes of the prompt's blocks, first to last.
     :ivar fingerprint: equal for the same content sent again.
-    :ivar share: the customer's weight inside the tier.
+    :ivar share: the customer's weight within the tier.
     :ivar owner: the entry host that accepted the request.
-    :ivar streams: whether tokens come one by one, so that a stall shows.
-    :ivar max_running: the rule's most calls on backend servers at a time.
-    :ivar max_waiting: the rule's most calls in the queue at a time.
-    :ivar rate_per_s: the rule's most calls a second, or None where there is
-        no such limit or a leader has counted this call already.
-    :ivar quota_cost: what it takes of its customer's quota, 0 for nothing.
-    :ivar target: the first token is worth most until then, on the same clock
-        as the deadline; infinite where there is no such time.
-    :ivar rank: importance inside its tier, 0 is the highest.
-    :ivar likely_tokens: output tokens that the caller expects, 0 if unsaid.
-    :ivar patience: the caller leaves if no token came by then, on the same
-        clock; infinite where that isn't known.
-    :ivar gap: longest pause between events for full worth, in seconds.
+    :ivar streams: whether tokens arrive one by one, so that a stalled
+        response can be detected.
+    :ivar max_running: the rule's limit of requests running at a time.
+    :ivar max_waiting: the rule's limit of requests queued at a time.
+    :ivar rate_per_s: the rule's limit of requests per second, or None where
+        there is none or a leader has counted this request already.
+    :ivar quota_cost: charge against the customer's quota, 0 for none.
+    :ivar target: time until which the first token has its full value, on the
+        same clock as the deadline; infinite for no such time.
+    :ivar rank: importance within the tier, 0 is the highest.
+    :ivar likely_tokens: output tokens that the caller expects, 0 if
+        unspecified.
+    :ivar patience: time at which the caller disconnects without a first
+        token, on the same clock; infinite if unknown.
+    :ivar gap: longest pause between events for full value, in seconds.
     """
 
     request_id: ids.RequestId
@@ -82,10 +84,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """Leave to dispatch one request to one backend server, once.
+    """Permission to dispatch one request to one backend server, once.
 
-    :ivar incarnation: the server's, at the time of the grant.
-    :ivar version: of its software, empty where it doesn't say.
+    :ivar incarnation: of the server at the time of the grant.
+    :ivar version: of the server's software, empty if it doesn't report one.
     """
 
     request_id: ids.RequestId
@@ -96,12 +98,12 @@
 
     @property
     def start(self) -> notices.ServerIncarnation:
-        """The start of the server that may get the request."""
+        """The server and its incarnation that may get the request."""
         return self.server_id, self.incarnation
 
 
 class DenialReason(enum.Enum):
-    """Why a pool leader did not grant."""
+    """Reason of a denial."""
 
     shed = 'shed'
     too_late = 'too_late'
@@ -117,9 +119,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Denial:
-    """A request that this pool leader will not serve.
+    """Answer to a slot request that this pool leader will not grant.
 
-    :ivar retry_after_ms: when asking again may help, in milliseconds.
+    :ivar retry_after_ms: time after which a new slot request may succeed, in
+        milliseconds.
     """
 
     request_id: ids.RequestId
@@ -128,22 +131,23 @@
 
 
 class Outcome(enum.Enum):
-    """How granted work ended.
+    """Outcome of a grant.
 
-    :cvar done: the whole answer came.
-    :cvar given_up: its owner gave the grant up before it dispatched, so that
-        it says nothing of the server.
+    :cvar done: the response was complete.
+    :cvar given_up: the owner gave up the grant before dispatch, so it yields
+        no information about the server.
     :cvar not_sent: no connection could be made, so no byte reached the
-        server; the same id may ask again.
-    :cvar turned_away: the server answered that it didn't run the request, as
-        one that is full does; the same id may ask again.
-    :cvar answered_failure: the whole answer came and says that it failed.
-    :cvar wrong_server: another run of a server answers at the address; the
-        same id may ask again.
-    :cvar failed: the server answered with an error or broke off.
-    :cvar crashed: the server is known to have crashed under it.
-    :cvar cancelled: the caller went away.
-    :cvar preempted: cancelled because the leader asked for it.
+        server; a new slot request may have the same id.
+    :cvar turned_away: the server rejected the request without running it, as
+        a full one does; a new slot request may have the same id.
+    :cvar answered_failure: the response was complete and reports a failure.
+    :cvar wrong_server: another incarnation answers at the address; a new
+        slot request may have the same id.
+    :cvar failed: the server answered with an error, or its connection closed
+        early.
+    :cvar crashed: the server is known to have crashed while it ran.
+    :cvar cancelled: the caller disconnected.
+    :cvar preempted: cancelled at the leader's request.
     """
 
     done = 'done'
@@ -160,10 +164,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Release:
-    """The end of a grant.
+    """End of a grant.
 
     :ivar first_token: seconds from dispatch to the first token, or None.
-    :ivar output_tokens: tokens that came.
+    :ivar output_tokens: number of tokens received.
     :ivar seconds: from dispatch to the end.
     :ivar usual_gap: mean pause between a stream's events, in seconds.
     :ivar longest_gap: longest such pause, in seconds.
@@ -180,11 +184,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progress:
-    """How granted work goes on, as the entry host sees it.
+    """Progress of granted work, as seen by the entry host.
 
     :ivar first_token: seconds from dispatch to the first token, or None
         while there is none.
-    :ivar output_tokens: tokens that came so far.
+    :ivar output_tokens: number of tokens received so far.
     """
 
     request_id: ids.RequestId
@@ -194,10 +198,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an engine says of its load; it may be late or repeated.
+    """Report of an engine's load; it may arrive late or repeatedly.
 
-    :ivar kv_used: tokens in its KV cache.
-    :ivar age: seconds since it was measured.
+    :ivar kv_used: tokens in the engine's KV cache.
+    :ivar age: seconds since the measurement.
     """
 
     server_id: ids.ServerId
@@ -209,7 +213,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvents:
-    """What an engine says of its prefix cache; late, repeated, with gaps.
+    """Changes of an engine's prefix cache.
+
+    They may arrive late, repeatedly or with gaps.
 
     :ivar sequence: grows by one with each message of an incarnation.
     """
@@ -223,7 +229,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenGrant:
-    """A grant in use, handed to a new leader by the request's owner.
+    """Grant in use, handed over to a new leader by the request's owner.
 
     :ivar age: seconds since dispatch.
     """
@@ -237,7 +243,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Preempt:
-    """The leader wants a stream in flight cancelled by its owner.
+    """Demand of the leader that an owner cancels a running stream.
 
     The owner cancels it at the server and releases the grant with the
     outcome ``preempted``.
@@ -250,10 +256,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelCapacity:
-    """What a pool can run of one model at a time.
+    """Capacity of a pool for one model.
 
-    :ivar slots: requests at a time, by the learnt limits.
-    :ivar free: of them, not granted.
+    :ivar slots: requests at a time, by the estimated limits.
+    :ivar free: slots that are not granted.
     """
 
     model: str
@@ -263,12 +269,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TierWait:
-    """The queue of one tier.
+    """Queue of one tier.
 
     :ivar waiting: number of requests.
-    :ivar running: number of grants in use; told on the leader's host only.
-    :ivar oldest: seconds that the oldest has waited.
-    :ivar expected: seconds that a newcomer of the tier is expected to wait.
+    :ivar running: number of grants in use; set on the leader's host only.
+    :ivar oldest: seconds that the oldest request has waited.
+    :ivar expected: expected wait of a new request of the tier, in seconds.
     """
 
     tier: ids.Tier
@@ -280,7 +286,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolSummary:
-    """What a pool leader tells others of its pool.
+    """Summary of a pool that its leader publishes.
 
     :ivar capacity: by model; the name is empty where any model is served.
     :ivar lowest_served: lowest tier that runs or waits, None if idle.
--- a/libs/scheduling/geraniumweir/scheduling/retries.py
+++ b/libs/scheduling/geraniumweir/scheduling/retries.py
@@ -16,16 +16,16 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import suspects
 
-_MOST_REFUSED = 8192
-_MOST_CUSTOMERS = 4096
-_REMEMBER_SECONDS = 30.0
+_MAX_REFUSED = 8192
+_MAX_CUSTOMERS = 4096
+_REPEAT_SECONDS = 30.0
 _EARNED_BY_REQUEST = 0.1
-_MOST_SAVED = 20.0
+_MAX_SAVED = 20.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Budget:
-    saved: float = _MOST_SAVED
+    saved: float = _MAX_SAVED
 
 
 class Retries:
@@ -51,7 +51,7 @@
             return
         self._refused[(customer, fingerprint)] = now
         self._refused.move_to_end((customer, fingerprint))
-        if len(self._refused) > _MOST_REFUSED:
+        if len(self._refused) > _MAX_REFUSED:
             self._refused.popitem(last=False)
 
     def within_budget(
@@ -66,9 +66,9 @@
         """
         budget = self._budget(customer)
         before = self._refused.get((customer, fingerprint))
-        if before is None or now - before > _REMEMBER_SECONDS:
+        if before is None or now - before > _REPEAT_SECONDS:
             earned = budget.saved + _EARNED_BY_REQUEST
-            budget.saved = min(_MOST_SAVED, earned)
+            budget.saved = min(_MAX_SAVED, earned)
             return True
         if budget.saved < 1:
             return False
@@ -78,6 +78,6 @@
     def _budget(self, customer: ids.CustomerName) -> _Budget:
         budget = self._budgets.setdefault(customer, _Budget())
         self._budgets.move_to_end(customer)
-        if len(self._budgets) > _MOST_CUSTOMERS:
+        if len(self._budgets) > _MAX_CUSTOMERS:
             self._budgets.popitem(last=False)
         return budget
--- a/libs/scheduling/geraniumweir/scheduling/spill.py
+++ b/libs/scheduling/geraniumweir/scheduling/spill.py
@@ -1,9 +1,9 @@
-"""In which order other failure domains are asked when the own can't serve.
+"""Order of other failure domains for requests that the own can't serve.
 
-Summaries are old by the time they are read, so they only order the pools;
-none is left out for what its summary says. Each failure domain is asked at
-most once for one request, and no leader passes an ask on, so there are no
-loops.
+Summaries are out of date by the time they are read, so they only order the
+pools; none is excluded because of its summary. Each failure domain gets at
+most one slot request for a request, and no leader forwards slot requests, so
+there are no loops.
 """
 
 import typing
@@ -11,7 +11,7 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import requests, views
 
-_REASONS = frozenset(
+_CAPACITY_REASONS = frozenset(
     (
         requests.DenialReason.shed,
         requests.DenialReason.too_late,
@@ -23,18 +23,18 @@
 
 
 def is_for_capacity(denial: requests.Denial) -> bool:
-    """Tell whether another pool may still serve what was denied."""
-    return denial.reason in _REASONS
+    """Return whether another pool may still serve the denied request."""
+    return denial.reason in _CAPACITY_REASONS
 
 
 def in_order(
     slot_request: requests.SlotRequest,
     pools: typing.Iterable[views.RemotePool],
 ) -> list[views.RemotePool]:
-    """Sort pools, the best for an ask first.
+    """Sort pools, the best for a slot request first.
 
-    First those with free capacity for its model, then those that serve a
-    lower tier, which can make room, then by expected wait.
+    Pools with free capacity for its model come first, then those that serve
+    a lower tier, which can be preempted, then by expected wait.
 
     :param pools: one for each failure domain.
     """
--- a/libs/scheduling/geraniumweir/scheduling/takeover.py
+++ b/libs/scheduling/geraniumweir/scheduling/takeover.py
@@ -23,16 +23,16 @@
 
     :param hosts: the live ones; this host is asked in any case.
     """
-    asked = sorted({link.host_id, *hosts})
-    told = await asyncio.gather(
-        *(_pull(link, found, host, clock) for host in asked),
+    queried = sorted({link.host_id, *hosts})
+    answered = await asyncio.gather(
+        *(_fetch_handover(link, found, host, clock) for host in queried),
     )
     found.leader.takeover_complete()
     eventlog.emit(
         logevents.TAKEOVER_COMPLETE,
         pool=found.pool,
         grants=len(found.entries),
-        silent=told.count(False),
+        silent=answered.count(False),
     )
 
 
@@ -50,7 +50,7 @@
         )
 
 
-async def _pull(
+async def _fetch_handover(
     link: channel.Channel,
     found: led.LedPool,
     host: ids.HostId,
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_led.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_led.py
@@ -208,7 +208,7 @@
 
         leader.handle(ttypes.Ask, queue)
         asked = asyncio.create_task(
-            asker.ask_at(_slot_request(), _LEADER, home=True)
+            asker.request_at(_slot_request(), _LEADER, home=True)
         )
         await asyncio.sleep(0.1)
 
--- a/libs/scheduling/geraniumweir/scheduling/translation.py
+++ b/libs/scheduling/geraniumweir/scheduling/translation.py
@@ -43,10 +43,10 @@
         quota_cost=float(slot_request.quota_cost)
         if slot_request.quota_cost
         else None,
-        target_left=_left(slot_request.target, now),
+        target_left=_remaining(slot_request.target, now),
         rank=slot_request.rank,
         likely_tokens=slot_request.likely_tokens,
-        patience_left=_left(slot_request.patience, now),
+        patience_left=_remaining(slot_request.patience, now),
         gap=None if math.isinf(slot_request.gap) else float(slot_request.gap),
         failure_domain=slot_request.failure_domain,
         sending=slot_request.sending.value,
@@ -78,22 +78,22 @@
         rate_per_s=message.rate_per_s,
         streams=message.streams is not False,
         quota_cost=message.quota_cost or 0,
-        target=_until(message.target_left, now),
+        target=_time_at(message.target_left, now),
         rank=message.rank or 0,
         likely_tokens=message.likely_tokens or 0,
-        patience=_until(message.patience_left, now),
+        patience=_time_at(message.patience_left, now),
         gap=math.inf if message.gap is None else message.gap,
         failure_domain=ids.FailureDomain(message.failure_domain or ''),
         sending=requests.Sending(message.sending or 'first'),
     )
 
 
-def _left(until: float, now: float) -> float | None:
-    return None if math.isinf(until) else float(until - now)
+def _remaining(ends_at: float, now: float) -> float | None:
+    return None if math.isinf(ends_at) else float(ends_at - now)
 
 
-def _until(left: float | None, now: float) -> float:
-    return math.inf if left is None else now + left
+def _time_at(remaining: float | None, now: float) -> float:
+    return math.inf if remaining is None else now + remaining
 
 
 def pack_grant(grant: requests.Grant) -> ttypes.Grant:
--- a/libs/scheduling/geraniumweir/scheduling/views.py
+++ b/libs/scheduling/geraniumweir/scheduling/views.py
@@ -1,7 +1,7 @@
-"""What the broker and the leaders' host need, as narrow interfaces.
+"""Interfaces that the broker and the leader service depend on.
 
-The membership library gives the views of hosts and pools; tests give simple
-ones. A pool leader is whatever decides about a pool.
+The membership library implements the views of hosts and pools; tests use
+simple ones. Any component that decides about a pool can be its pool leader.
 """
 
 import dataclasses
@@ -13,22 +13,22 @@
 
 
 class HostView(typing.Protocol):
-    """The live entry hosts, as one host sees them."""
+    """View of the live entry hosts on one host."""
 
     @property
     def changes(self) -> reactivex.Observable[typing.Any]:
-        """Fires after each change of the live hosts."""
+        """Emits after each change of the live hosts."""
 
     def live(self, domain: ids.FailureDomain) -> typing.Sequence[ids.HostId]:
         """List the hosts of a failure domain that can lead a pool."""
 
     def owners(self, domain: ids.FailureDomain) -> typing.Sequence[ids.HostId]:
-        """List the hosts that a new leader asks for what they have."""
+        """List the hosts that a new leader queries for open grants."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RemotePool:
-    """A pool in another failure domain, by the last word from there.
+    """Pool in another failure domain, by its last published summary.
 
     :ivar leader: the host that leads it.
     """
@@ -39,14 +39,14 @@
 
 
 class PoolDirectory(typing.Protocol):
-    """The pools of other failure domains that can be reached."""
+    """Directory of the reachable pools of other failure domains."""
 
     def others(self, pool: ids.PoolName) -> typing.Sequence[RemotePool]:
         """List the other failure domains' pools of a name."""
 
 
 class Scheduler(typing.Protocol):
-    """Grants capacity: a pool leader, or the broker that finds it."""
+    """Component that grants slots: a pool leader, or a broker."""
 
     async def request_slot(
         self,
@@ -55,23 +55,23 @@
         """Wait for a backend server; a repeated id joins the first."""
 
     def withdraw(self, request_id: ids.RequestId) -> None:
-        """Drop a request whose caller went away while it waited."""
+        """Withdraw a waiting request whose caller disconnected."""
 
     def progress(self, progress: requests.Progress) -> None:
-        """Take how granted work goes on."""
+        """Record the progress of granted work."""
 
     def release(self, release: requests.Release) -> None:
-        """Take back a grant; a repeat is ignored."""
+        """Release a grant; a repeated release is ignored."""
 
 
 class PoolLeader(Scheduler, typing.Protocol):
-    """Decides about one pool; soft state, on one host at a time."""
+    """Leader of one pool: soft state, on one host at a time."""
 
     def adopt(self, grants: typing.Sequence[requests.OpenGrant]) -> None:
-        """Take over grants in use that another leader gave."""
+        """Take over grants in use that another leader made."""
 
     def takeover_complete(self) -> None:
-        """Start granting: all owners have handed over their grants."""
+        """Start granting, as all owners have handed over their grants."""
 
     def grant_waiting(self) -> None:
-        """Take that announcements or the configuration changed."""
+        """Grant waiting requests after announcements or settings changed."""
