--- a/libs/control/geraniumweir/control/coordination.py
+++ b/libs/control/geraniumweir/control/coordination.py
@@ -84,7 +84,7 @@
             start: ratelimits.share_of_limit(
                 per_second,
                 share,
-                rendezvous.draw(self.link.host_id, start[0]),
+                rendezvous.rand(self.link.host_id, start[0]),
             )
             for start, per_second in named.items()
         }
--- a/libs/control/geraniumweir/control/roster.py
+++ b/libs/control/geraniumweir/control/roster.py
@@ -140,7 +140,7 @@
     def _part(self, found: enrolments.Enrolment, share: float) -> _Part:
         slots = found.slots * share
         whole = math.floor(slots)
-        draw = rendezvous.draw(self._host_id, found.server_id)
+        draw = rendezvous.rand(self._host_id, found.server_id)
         return _Part(whole, draw, draw < slots - whole)
 
     def _announcement(
--- a/libs/scheduling/geraniumweir/scheduling/rendezvous.py
+++ b/libs/scheduling/geraniumweir/scheduling/rendezvous.py
@@ -42,10 +42,10 @@
     )
 
 
-def draw(host_id: ids.HostId, server_id: ids.ServerId) -> float:
+def rand(host_id: ids.HostId, server_id: ids.ServerId) -> float:
     """Draw a number from 0 to 1 for a host and a server, always the same.
 
-    >>> draw('entry-1', 's1') == draw('entry-1', 's1') != draw('entry-2', 's1')
+    >>> rand('entry-1', 's1') == rand('entry-1', 's1') != rand('entry-2', 's1')
     True
     """
     text = f'{host_id} {server_id}'.encode()
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_ratelimits.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_ratelimits.py
@@ -16,7 +16,7 @@
             ratelimits.share_of_limit(
                 limit,
                 1 / hosts,
-                rendezvous.draw(ids.HostId(f'10.0.0.{number}'), _SERVER),
+                rendezvous.rand(ids.HostId(f'10.0.0.{number}'), _SERVER),
             ),
             at=0,
         )
