--- a/libs/scheduling/geraniumweir/scheduling/__init__.py
+++ b/libs/scheduling/geraniumweir/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""The pool leader: the one owner of a pool's capacity.
+"""Pool leaders, which allocate the capacity of pools, and their clients.
 
 See Also
 ========
--- a/libs/scheduling/geraniumweir/scheduling/answer_delivery.py
+++ b/libs/scheduling/geraniumweir/scheduling/answer_delivery.py
@@ -1,4 +1,4 @@
-"""How a pool leader's host tells an owner the answer to its ask."""
+"""Delivery of answers from a pool leader's host to the request's owner."""
 
 import asyncio
 import typing
@@ -16,7 +16,7 @@
     found: led.LedPool,
     entry: led.Entry,
 ) -> None:
-    """Tell until the owner has it; take back a grant that it can't use."""
+    """Send an answer until it arrives; withdraw a grant not accepted."""
     while found.has(entry):
         try:
             reply = await link.call(
@@ -33,7 +33,7 @@
 
 
 def message(entry: led.Entry) -> ttypes.Answer:
-    """Give the message of an answer."""
+    """Return the message of an answer."""
     return ttypes.Answer(
         entry.slot_request.request_id,
         entry.attempt,
@@ -42,7 +42,7 @@
 
 
 def packed(answer: led.Answer | None) -> dict[str, typing.Any]:
-    """Give the fields that hold an answer in a message."""
+    """Return the fields that hold an answer in a message."""
     match answer:
         case requests.Grant():
             return {'grant': translation.pack_grant(answer)}
--- a/libs/scheduling/geraniumweir/scheduling/broker.py
+++ b/libs/scheduling/geraniumweir/scheduling/broker.py
@@ -8,7 +8,7 @@
 
 See Also
 ========
-geraniumweir.scheduling.asking, geraniumweir.scheduling.upkeep,
+geraniumweir.scheduling.requesting, geraniumweir.scheduling.upkeep,
 geraniumweir.scheduling.remote
 """
 
--- a/libs/scheduling/geraniumweir/scheduling/case_encoding.py
+++ b/libs/scheduling/geraniumweir/scheduling/case_encoding.py
@@ -1,4 +1,4 @@
-"""Suspects' cases as bytes, to be spread to all entry hosts.
+"""Encoding of suspects' cases as bytes, to be published to all entry hosts.
 
 See Also
 ========
@@ -14,7 +14,7 @@
 
 
 def write(cases: typing.Iterable[suspects.Case]) -> bytes:
-    """Write cases.
+    """Return the encoded cases.
 
     >>> case = suspects.Case(ids.Fingerprint(7), 2, 1.0, 60.0, True)
     >>> read(write([case])) == [case]
@@ -24,7 +24,7 @@
 
 
 def pack(cases: typing.Iterable[suspects.Case]) -> list[ttypes.Case]:
-    """Give the structs of cases."""
+    """Return the structs of cases."""
     return [
         ttypes.Case(
             translation.signed(case.fingerprint),
--- a/libs/scheduling/geraniumweir/scheduling/crashes.py
+++ b/libs/scheduling/geraniumweir/scheduling/crashes.py
@@ -1,4 +1,4 @@
-"""Takes crashes of backend servers and what they say of their requests."""
+"""Handling of crashes of backend servers and of the requests they ran."""
 
 from geraniumweir.common import ids
 from geraniumweir.scheduling import (
@@ -21,12 +21,13 @@
     server: records.Server,
     incarnation: ids.Incarnation,
 ) -> None:
-    """Take that an incarnation of a server is gone.
+    """Handle the crash of an incarnation of a server.
 
-    What ran on it is suspected, also what failed there since its last sign
-    of life: owners see a broken connection sooner than the crash is known.
+    The requests that ran on it become suspects, and so do those that failed
+    there since the server was last seen: owners notice a closed connection
+    before the crash is known.
 
-    :param incarnation: the newest that is gone; told again, it is ignored.
+    :param incarnation: the newest that has ended; a repeat is ignored.
     """
     if incarnation <= server.crashed:
         return
@@ -45,15 +46,15 @@
     server.failures.clear()
     for running in lost:
         progressing.drop(leader, running)
-    quarantined = leader.suspects.record_crash(fingerprints, leader.now())
+    newly_quarantined = leader.suspects.record_crash(fingerprints, leader.now())
     placement.refresh(leader, server)
-    _refuse_quarantined(leader, set(quarantined))
+    _refuse_quarantined(leader, set(newly_quarantined))
     for running in lost:
         granting.unpark(leader, running.slot_request.rule)
 
 
 def synced(leader: state.LeaderState) -> None:
-    """Follow the live servers and take the crashes that show."""
+    """Update the live servers and handle the crashes this shows."""
     for server in fleet.sync(leader):
         current = server.announcement.incarnation
         crashed(leader, server, ids.Incarnation(current - 1))
@@ -62,12 +63,12 @@
 
 def _refuse_quarantined(
     leader: state.LeaderState,
-    quarantined: set[ids.Fingerprint],
+    newly_quarantined: set[ids.Fingerprint],
 ) -> None:
-    if not quarantined:
+    if not newly_quarantined:
         return
     for waiting in list(leader.waiting.values()):
-        if waiting.slot_request.fingerprint in quarantined:
+        if waiting.slot_request.fingerprint in newly_quarantined:
             shedding.refuse(
                 leader,
                 waiting,
--- a/libs/scheduling/geraniumweir/scheduling/logevents.py
+++ b/libs/scheduling/geraniumweir/scheduling/logevents.py
@@ -5,66 +5,69 @@
 LEADERSHIP_STARTED = logevents.Event(
     241,
     logevents.Level.info,
-    'this host now leads pool {pool}',
+    'this host started leading pool {pool}',
 )
 TAKEOVER_COMPLETE = logevents.Event(
     242,
     logevents.Level.info,
-    'pool {pool} taken over with {grants} open grants; silent: {silent}',
+    'takeover of pool {pool} complete: {grants} open grants, {silent} hosts '
+    'did not answer',
 )
 LEADERSHIP_ENDED = logevents.Event(
     243,
     logevents.Level.info,
-    'this host no longer leads pool {pool}',
+    'this host stopped leading pool {pool}',
 )
 OWNER_SILENT = logevents.Event(
     244,
     logevents.Level.warning,
-    'nothing from entry host {owner}; its {count} requests are dropped',
+    'entry host {owner} is silent; its {count} requests are removed',
 )
 POOL_BUSY = logevents.Event(
     246,
     logevents.Level.info,
-    'pool {pool}: {waiting} wait, {running} run, a slot each {interval_ms} ms',
+    'pool {pool}: {waiting} requests waiting, {running} running, '
+    'a slot is released every {interval_ms} ms',
 )
 SERVER_COOLDOWN = logevents.Event(
     247,
     logevents.Level.info,
-    'server {server} of pool {pool} gets nothing for {seconds} s: {cause}',
+    'server {server} of pool {pool} in cooldown for {seconds} s: {cause}',
 )
 STRAY_GRANT = logevents.Event(
     245,
     logevents.Level.notice,
-    'grant of {request} from {leader} came too late and was given back',
+    'grant of {request} from {leader} arrived too late and was released',
 )
 LIMIT_SET = logevents.Event(
     248,
     logevents.Level.notice,
-    'server {server} takes {per_second} requests a second from all hosts',
+    'server {server} limits all hosts to {per_second} requests per second',
 )
 LIMIT_LIFTED = logevents.Event(
     249,
     logevents.Level.notice,
-    'server {server} names no limit any more',
+    'server {server} lifted its request limit',
 )
 SERVER_LEAVING = logevents.Event(
     250,
     logevents.Level.notice,
-    'server {server} says in an answer to {told} that it leaves',
+    'server {server} announced its shutdown in an answer to {told}',
 )
 SERVER_PAUSED = logevents.Event(
     251,
     logevents.Level.info,
-    'server {server} wants nothing from {asked} for {seconds} s',
+    'server {server} asked {asked} to pause for {seconds} s',
 )
 RETRY_DENIED = logevents.Event(
     252,
     logevents.Level.info,
-    'retry of {request} denied: {used} of {allowed} of pool {pool} are used',
+    'retry of {request} denied: pool {pool} has used {used} of {allowed} '
+    'retries',
 )
 CONTENT_QUARANTINED = logevents.Event(
     253,
     logevents.Level.warning,
-    'requests with content {content} are refused for {seconds} s: '
-    'servers ended under them, {server} last',
+    'requests with content {content} quarantined for {seconds} s: '
+    'servers crashed while running them, most recently {server}',
 )
--- a/libs/scheduling/geraniumweir/scheduling/notices.py
+++ b/libs/scheduling/geraniumweir/scheduling/notices.py
@@ -1,9 +1,10 @@
-"""What backend servers say of themselves in their answers.
+"""Notices that backend servers send in headers of their answers.
 
-A server that is in need names the requests a second that it takes from all
-hosts together. One that leaves says so. One that turns a request away may ask
-the host that sent it for a pause. Each is said of one start of a server, and
-holds from when it was heard; what another start says changes nothing.
+A server under load sets a limit of the requests per second that it accepts
+from all hosts together. A server that shuts down announces it. A server that
+rejects a request may ask the host that sent it for a pause. Each notice
+concerns one incarnation of a server and holds from the time it was received;
+notices of other incarnations don't change it.
 """
 
 import dataclasses
@@ -15,21 +16,21 @@
 
 ServerIncarnation = tuple[ids.ServerId, ids.Incarnation]
 
-# What no longer holds is kept for so long, in seconds: longer than any host may
-# be cut off that still tells of it.
+# Lifted limits are retained for longer than a host that still publishes them
+# may be partitioned.
 _ENDED_RETENTION_SECONDS = 60.0
-# A pause that ends later by less than this isn't told again, in seconds: the
-# host that was asked for it keeps to the whole of it itself.
+# A pause that is extended by less than this is not published again: the host
+# that was asked for it observes the full pause itself.
 _MIN_EXTENSION_SECONDS = 0.05
-# A server that leaves is gone well before that, in seconds.
+# A server that shuts down has ended well before this time.
 _LEAVING_RETENTION_SECONDS = 600.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RateLimit:
-    """The requests that a server takes from all hosts together.
+    """Limit of the requests that a server accepts from all hosts together.
 
-    :ivar per_second: None where it names no limit.
+    :ivar per_second: the limit, None for no limit.
     """
 
     per_second: float | None
@@ -37,14 +38,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Leaving:
-    """The server leaves: it finishes what it has and wants nothing more."""
+    """The server shuts down: it finishes its requests and accepts none."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pause:
-    """The server wants nothing from the host that it answered for a while.
+    """The server asked the host that it answered to send nothing.
 
-    :ivar seconds: from its answer on.
+    :ivar seconds: length of the pause, from the answer on.
     """
 
     seconds: float
@@ -52,9 +53,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unreadable:
-    """Something that can't be read; it changes nothing.
+    """Notice that can't be parsed; it has no effect.
 
-    :ivar said: for the log.
+    :ivar said: its text, for the log.
     """
 
     said: str
@@ -67,11 +68,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Notice:
-    """What one answer of a server said.
+    """Notice in one answer of a server.
 
-    :ivar host_id: that was answered.
-    :ivar sent_at: when the request that it answers was sent, in seconds.
-    :ivar received_at: when the answer began to come, in seconds.
+    :ivar host_id: the host that was answered.
+    :ivar sent_at: time when the answered request was sent, in seconds.
+    :ivar received_at: time when the answer began to arrive, in seconds.
     """
 
     server_id: ids.ServerId
@@ -83,12 +84,12 @@
 
     @property
     def start(self) -> ServerIncarnation:
-        """The start of the server that said it."""
+        """The server and its incarnation that sent the notice."""
         return self.server_id, self.incarnation
 
     @property
     def until(self) -> float:
-        """When it ends by itself, in seconds."""
+        """The time when it expires by itself, in seconds."""
         match self.content:
             case Pause(seconds=seconds):
                 return self.received_at + seconds
@@ -96,10 +97,10 @@
                 return float('inf')
 
     def supersedes(self, known: 'Notice') -> bool:
-        """Tell whether it holds in place of an earlier one of its kind.
+        """Return whether it replaces an earlier notice of its kind.
 
-        An answer to a request that was sent before a limit was named may be
-        older than the limit, however late it comes.
+        An answer to a request that was sent before a limit was set may be
+        older than the limit, however late it arrives.
         """
         match self.content:
             case RateLimit(per_second=None):
@@ -110,7 +111,7 @@
                 return self.received_at > known.received_at
 
     def is_expired(self, now: float) -> bool:
-        """Tell whether nobody needs to know of it any more."""
+        """Return whether it can be removed."""
         match self.content:
             case RateLimit(per_second=None):
                 return now - self.received_at > _ENDED_RETENTION_SECONDS
@@ -125,10 +126,10 @@
 def leaving(
     start: ServerIncarnation, host_id: ids.HostId, now: float
 ) -> Notice:
-    """Make the notice of a server that is known to leave.
+    """Return the notice of a server that is known to shut down.
 
-    :param host_id: that knows it.
-    :param now: in seconds.
+    :param host_id: the host that detected it.
+    :param now: time in seconds.
     """
     return Notice(*start, Leaving(), host_id, now, now)
 
@@ -140,13 +141,13 @@
 
 
 class Notices:
-    """What one host knows of what servers said.
+    """Table of the servers' notices on one host.
 
-    :ivar revision: counts the changes.
+    :ivar revision: number of changes.
     """
 
     def __init__(self, clock: timers.TimerService) -> None:
-        """Know of nothing."""
+        """Initialize without notices."""
         self.revision = 0
         self._clock = clock
         self._rows: dict[type[Content], dict[_Key, _Row]] = {
@@ -159,11 +160,11 @@
 
     @property
     def changes(self) -> reactivex.Observable[Notice]:
-        """Gives each notice that changes what is known."""
+        """Emits each notice that changes the table."""
         return self._changes
 
     def limits(self) -> dict[ServerIncarnation, float]:
-        """Give the limits that hold, in requests a second."""
+        """Return the limits that hold, in requests per second."""
         found = {}
         for notice in self.limits_since(0):
             content = notice.content
@@ -183,13 +184,13 @@
         ]
 
     def is_leaving(self, start: ServerIncarnation) -> bool:
-        """Tell whether a server said that it leaves."""
+        """Return whether a server has announced its shutdown."""
         return (start, _ALL_HOSTS) in self._rows[Leaving]
 
     def pauses(self, host_id: ids.HostId) -> dict[ServerIncarnation, float]:
-        """Give the servers that want nothing from a host, and until when.
+        """Return the servers that paused a host.
 
-        :returns: times in seconds.
+        :returns: ends of the pauses, in seconds, by server.
         """
         asked = self._pauses.get(host_id)
         if not asked:
@@ -198,7 +199,7 @@
         return {start: until for start, until in asked.items() if now < until}
 
     def since(self, revision: int) -> list[Notice]:
-        """List what changed after a revision."""
+        """List the notices that changed after a revision."""
         return [
             row.notice
             for rows in self._rows.values()
@@ -207,7 +208,7 @@
         ]
 
     def apply(self, notice: Notice) -> None:
-        """Take what an answer said, heard here or by another host."""
+        """Apply a notice that this or another host received."""
         if notice.content == Pause(0):
             return
         key = _key(notice)
--- a/libs/scheduling/geraniumweir/scheduling/ratelimits.py
+++ b/libs/scheduling/geraniumweir/scheduling/ratelimits.py
@@ -1,4 +1,4 @@
-"""How hosts keep together to the request rates that backend servers name.
+"""Division of the request rate limits of backend servers among hosts.
 
 See Also
 ========
@@ -7,27 +7,27 @@
 
 import dataclasses
 
-# Where a server takes none at all, one request tries so often whether it still
-# says so, by the second: no other answer of it would tell.
+# Rate of the requests that probe a server with a limit of zero: without any
+# request there is no answer that could lift the limit.
 _PROBE_PER_SECOND = 0.1
-# A host whose part of a limit comes to less than a request in so long, in
-# seconds, takes part by lot: what each of hundreds saves up for its first
-# request would together be many times the limit.
+# A host whose share of a limit is less than one request in this time gets its
+# share at random: the tokens that hundreds of hosts save up for their first
+# request would add up to many times the limit.
 _DRAW_PERIOD_SECONDS = 4.0
-# Of the limit so much goes to those that the lot falls on: how many they are is
-# by chance, and each has saved up a request.
+# Fraction of the limit that goes to the hosts chosen at random: their number
+# varies, and each has saved up the tokens of a request.
 _DRAW_FRACTION = 0.5
-# So much of a limit may be saved up for requests that come at once, in seconds.
+# Time for which tokens accumulate, for requests that arrive at once.
 _BURST_SECONDS = 0.5
-# Tokens are sums of fractions; a whole one may come short by so much.
+# Tokens are sums of fractions; a whole token may fall short by this much.
 _ROUNDING = 1e-6
 
 
 def share_of_limit(per_second: float, share: float, draw: float) -> float:
-    """Give the requests a second that one host may grant of a limit.
+    """Return the requests per second that one host may grant of a limit.
 
-    :param share: the host's part of all requests.
-    :param draw: drawn once for this host and server, from 0 to 1.
+    :param share: the host's share of all requests.
+    :param draw: random number from 0 to 1, constant for host and server.
 
     >>> share_of_limit(2, 1, 0.9), share_of_limit(2, 0.5, 0.9)
     (2, 1.0)
@@ -43,9 +43,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Throttle:
-    """Spaces out the requests that a server gets, as a token bucket does.
+    """Token bucket that limits the rate of requests to a server.
 
-    It starts empty: what others granted a moment before isn't known.
+    It starts empty, as what others granted just before is unknown.
 
     >>> one = Throttle(2, at=10)
     >>> one.ready(10), one.ready(10.5), one.ready(99)
@@ -54,8 +54,8 @@
     >>> one.ready(99)
     0
 
-    :ivar per_second: requests that may be granted.
-    :ivar at: when the tokens were last counted, in seconds.
+    :ivar per_second: requests that may be granted per second.
+    :ivar at: time in seconds when the tokens were last updated.
     """
 
     per_second: float
@@ -63,7 +63,7 @@
     _tokens: float = 0
 
     def ready(self, now: float) -> int:
-        """Give how many requests may be granted now."""
+        """Return how many requests may be granted now."""
         max_tokens = max(self.per_second * _BURST_SECONDS, 1)
         gained = (now - self.at) * self.per_second
         self._tokens = min(self._tokens + gained, max_tokens)
@@ -71,7 +71,7 @@
         return max(int(self._tokens + _ROUNDING), 0)
 
     def change(self, per_second: float, now: float) -> None:
-        """Grant by another rate from now on."""
+        """Change the rate at a time in seconds."""
         if per_second != self.per_second:
             self.ready(now)
             self.per_second = per_second
--- a/libs/scheduling/geraniumweir/scheduling/recent_usage.py
+++ b/libs/scheduling/geraniumweir/scheduling/recent_usage.py
@@ -1,8 +1,9 @@
-"""What an entry host was granted lately, for whoever coordinates next.
+"""Recent usage of an entry host, reported to a new coordinator.
 
-A coordinator counts quotas in its own memory. Whoever follows it would have
-to take the time before as used at the full rate, and refuse customers that use
-half of theirs. Each entry host knows what it was granted itself, and tells it.
+A coordinator counts quotas in memory. Without reports its successor would have
+to assume the full rate for the time before, and would refuse customers that
+use half of their quota. So each entry host records what it was granted and
+reports it.
 """
 
 import dataclasses
@@ -24,11 +25,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecentUsage:
-    """What an entry host was granted.
+    """Amounts that an entry host was granted within a window.
 
-    :ivar known_seconds: it knows all within so many seconds, nothing before.
-    :ivar customers: amounts by customer and by how many bins ago.
-    :ivar retries: what it asked for and sent again, by pool.
+    :ivar known_seconds: length of the time before the report that it covers
+        completely; it contains nothing before.
+    :ivar customers: amounts by customer and by the age of their bin.
+    :ivar retries: counts of requests and retries by pool.
     """
 
     known_seconds: float
@@ -37,7 +39,7 @@
 
 
 class UsageRecorder:
-    """Asks a scheduler and counts what is granted; see its protocol."""
+    """Scheduler that forwards to another one and counts its grants."""
 
     def __init__(
         self,
@@ -47,12 +49,12 @@
         started: float,
         retries: retrycounts.RetryCounter,
     ) -> None:
-        """Know of nothing before the start.
+        """Initialize without usage.
 
         :param seconds: length of the windows over which quotas hold.
-        :param started: when this process started, in seconds: nothing was
+        :param started: start of this process, in seconds: nothing was
             granted to it before.
-        :param retries: counts them beside.
+        :param retries: counter of requests and retries.
         """
         self._scheduler = scheduler
         self._clock = clock
@@ -65,7 +67,7 @@
         ] = {}
 
     def usage_for(self, host_id: ids.HostId) -> RecentUsage:
-        """Tell a host what was granted within the window that ends now."""
+        """Return the usage within the window that ends now, for a host."""
         now = self._clock.now()
         newest = windows.bin_of(now)
         self._remove_unused(now)
@@ -83,7 +85,7 @@
         )
 
     async def request_slot(self, slot_request: requests.SlotRequest) -> _Answer:
-        """Wait for a grant."""
+        """Wait for a grant and count it."""
         answer = await self._scheduler.request_slot(slot_request)
         now = self._clock.now()
         self._retries.note(slot_request, answer, now)
@@ -95,15 +97,15 @@
         return answer
 
     def withdraw(self, request_id: ids.RequestId) -> None:
-        """End the waiting of a request whose caller went away."""
+        """Withdraw a waiting request whose caller disconnected."""
         self._scheduler.withdraw(request_id)
 
     def progress(self, progress: requests.Progress) -> None:
-        """Tell how granted work goes on."""
+        """Record the progress of granted work."""
         self._scheduler.progress(progress)
 
     def release(self, release: requests.Release) -> None:
-        """Give a grant back; one that wasn't served cost nothing."""
+        """Release a grant; refund one that was not served."""
         self._retries.release(release)
         found = self._in_use.pop(release.request_id, None)
         if found is not None and release.outcome in NOT_SERVED:
--- a/libs/scheduling/geraniumweir/scheduling/remote.py
+++ b/libs/scheduling/geraniumweir/scheduling/remote.py
@@ -1,9 +1,9 @@
-"""The pool leaders of this host, as entry hosts meet them.
+"""Service of this host's pool leaders for entry hosts.
 
-A leader that is new asks every entry host of its failure domain for the
-grants in use and the waiting requests, and grants nothing before they have
-answered or the settle window is over; the window itself is kept by the pool
-leader. An ask for a pool that this host doesn't lead is answered ``not
+A new leader requests the grants in use and the waiting requests from every
+entry host of its failure domain, and grants nothing before they have answered
+or the takeover window is over; the pool leader measures the window itself. A
+slot request for a pool that this host doesn't lead is answered ``not
 leader``.
 """
 
@@ -34,7 +34,7 @@
 
 
 class LeaderService:
-    """Leads the pools of a failure domain that fall to this host."""
+    """Leaders of the pools of a failure domain that this host leads."""
 
     def __init__(
         self,
@@ -45,11 +45,11 @@
         clock: timers.TimerService,
         gate: led.Gate | None = None,
     ) -> None:
-        """Answer entry hosts from now on.
+        """Initialize and register the handlers of entry hosts' messages.
 
-        :param make_leader: gives a fresh leader of a pool, whose settle
-            window should be :data:`takeover.SETTLE_WINDOW`.
-        :param gate: what asks must pass before the leaders see them.
+        :param make_leader: returns a new leader of a pool, whose takeover
+            window should be :data:`takeover.TAKEOVER_WINDOW_SECONDS`.
+        :param gate: admits slot requests before the leaders see them.
         """
         self._link = link
         self._view = view
@@ -79,7 +79,7 @@
         link.handle(ttypes.Handover, self._on_handover)
 
     def leader(self, pool: ids.PoolName) -> views.PoolLeader | None:
-        """Give the leader of a pool, or None when it is on another host."""
+        """Return the leader of a pool, or None if it is on another host."""
         found = self._led(pool)
         return None if found is None else found.leader
 
@@ -88,9 +88,9 @@
         return list(self._pools)
 
     def close(self) -> None:
-        """Stop leading; those who wait are told to ask elsewhere.
+        """Stop leading; waiting slot requests are answered ``not leader``.
 
-        Asks that still come are answered ``not leader``.
+        So are those that still arrive.
         """
         self._closed = True
         for subscription in self._subscriptions:
@@ -229,7 +229,7 @@
 
 
 async def _wait_for_quick_answer(entry: led.Entry) -> None:
-    """Wait a moment, so that a quick grant goes with the call's answer."""
+    """Wait briefly, so that the call's reply can carry a quick answer."""
     if entry.work is None or entry.notifying:
         return
     entry.call_open = True
--- a/libs/scheduling/geraniumweir/scheduling/rendezvous.py
+++ b/libs/scheduling/geraniumweir/scheduling/rendezvous.py
@@ -1,8 +1,9 @@
-"""Which host leads a pool, worked out alike by everyone who knows the hosts.
+"""Rendezvous hashing of pools to hosts.
 
-Each host gets a weight from a hash of its id with the pool's key, and the
-heaviest leads. When a host comes or goes, only the pools that it leads, or
-will lead, move.
+Every host that has the same list of hosts computes the same leader. Each host
+gets a weight from a hash of its id with the pool's key, and the host of the
+highest weight leads. When a host joins or leaves, only the pools that it leads
+or will lead move.
 
 References
 ==========
@@ -34,7 +35,7 @@
     >>> leader_of('milano-a', 'lm-advisori', ['entry-1'])
     'entry-1'
     """
-    # The id breaks a tie of weights.
+    # The id breaks ties between equal weights.
     return max(
         hosts,
         key=lambda host: (_weight(domain, pool, host), host),
@@ -43,7 +44,7 @@
 
 
 def rand(host_id: ids.HostId, server_id: ids.ServerId) -> float:
-    """Draw a number from 0 to 1 for a host and a server, always the same.
+    """Return a constant pseudo-random number from 0 to 1 for two ids.
 
     >>> rand('entry-1', 's1') == rand('entry-1', 's1') != rand('entry-2', 's1')
     True
--- a/libs/scheduling/geraniumweir/scheduling/reporting.py
+++ b/libs/scheduling/geraniumweir/scheduling/reporting.py
@@ -1,7 +1,7 @@
-"""Engines' reports on their way to the pool leader, on whichever host it is.
+"""Forwarding of engines' reports to the pool leader.
 
-A backend server reports to any entry host of its failure domain. A report
-that gets lost does no harm: it only corrects what the leader counts itself.
+A backend server reports to any entry host of its failure domain. A lost report
+does no harm, as reports only correct the leader's own counts.
 """
 
 from geraniumweir.common import ids
@@ -18,7 +18,7 @@
 
 
 class Reporter:
-    """Hands reports to the leaders of one failure domain."""
+    """Forwarder of reports to the leaders of one failure domain."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         domain: ids.FailureDomain,
         service: remote.LeaderService,
     ) -> None:
-        """Take other hosts' reports from now on.
+        """Initialize and register for reports forwarded by other hosts.
 
         :param service: the pools that this host leads.
         """
@@ -39,7 +39,7 @@
         link.handle(ttypes.CacheEvents, self._on_cache_events)
 
     def load(self, pool: ids.PoolName, report: requests.LoadReport) -> None:
-        """Pass a load report on to the pool's leader."""
+        """Forward a load report to the pool's leader."""
         message = ttypes.LoadReport(
             pool,
             report.server_id,
@@ -55,7 +55,7 @@
         pool: ids.PoolName,
         events: requests.CacheEvents,
     ) -> None:
-        """Pass cache events on to the pool's leader."""
+        """Forward cache events to the pool's leader."""
         message = ttypes.CacheEvents(
             pool,
             events.server_id,
--- a/libs/scheduling/geraniumweir/scheduling/retries.py
+++ b/libs/scheduling/geraniumweir/scheduling/retries.py
@@ -1,8 +1,8 @@
-"""Keeps refused requests that come again from adding to an overload.
+"""Retry budgets of customers, against overload by refused requests.
 
-A customer's repeats may be a tenth of its new requests and a few more. What
-goes beyond is refused while the pool is short of capacity. A repeat is
-content that was refused a short while ago.
+A customer's repeats may be a tenth of its new requests plus a fixed number.
+Repeats beyond that are refused while the pool is short of capacity. A repeat
+is a request with content that was refused a short time ago.
 
 References
 ==========
@@ -29,10 +29,10 @@
 
 
 class Retries:
-    """Retry budgets by customer."""
+    """Retry budgets of all customers, in bounded memory."""
 
     def __init__(self) -> None:
-        """Remember no refusal."""
+        """Initialize without refusals."""
         self._refused: collections.OrderedDict[
             tuple[ids.CustomerName, ids.Fingerprint], float
         ] = collections.OrderedDict()
@@ -46,7 +46,7 @@
         fingerprint: ids.Fingerprint,
         now: float,
     ) -> None:
-        """Remember a refusal."""
+        """Record a refusal."""
         if fingerprint == suspects.NO_FINGERPRINT:
             return
         self._refused[(customer, fingerprint)] = now
@@ -60,9 +60,9 @@
         fingerprint: ids.Fingerprint,
         now: float,
     ) -> bool:
-        """Count a request and tell whether its customer may send it.
+        """Count a request and return whether it is within the budget.
 
-        :returns: False for a repeat for which nothing is saved.
+        :returns: False for a repeat when the budget is used up.
         """
         budget = self._budget(customer)
         before = self._refused.get((customer, fingerprint))
--- a/libs/scheduling/geraniumweir/scheduling/settings.py
+++ b/libs/scheduling/geraniumweir/scheduling/settings.py
@@ -7,21 +7,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaderSettings:
-    """What a pool leader's decisions are tuned by.
+    """Settings of a pool leader's decisions.
 
-    :ivar origin: names this leader among all that there ever were.
-    :ivar queue_limit: most requests that wait.
-    :ivar takeover_seconds: a leader that was not told that all owners handed
-        over their open grants starts granting after this time; 0 for one
-        that is first of all.
+    :ivar origin: identifies this leader among all, also former ones.
+    :ivar queue_limit: maximum number of waiting requests.
+    :ivar takeover_seconds: time after which a new leader starts granting
+        without the open grants of all owners; 0 for the first leader.
     :ivar fair_seconds: a customer may be ahead of the least served one of
-        its tier by what the pool does in this time.
+        its tier by the pool's work in this time.
     :ivar preempt_slack: seconds before its latest start at which a waiting
         request may preempt a lower tier.
     :ivar preempts: whether streams of a lower tier are cancelled for others.
-        A stream that its caller can't resume is lost by it.
-    :ivar safety: predicted durations are multiplied by it before they are
-        held against a deadline.
+        A stream that its caller can't resume is lost then.
+    :ivar safety: factor on predicted durations before they are compared with
+        a deadline.
     :ivar seed: of the jitter in ``retry_after_ms``.
     """
 
--- a/libs/scheduling/geraniumweir/scheduling/takeover.py
+++ b/libs/scheduling/geraniumweir/scheduling/takeover.py
@@ -1,4 +1,4 @@
-"""How a new leader learns of the grants in use and the waiting requests."""
+"""Transfer of open grants and waiting requests to a new leader."""
 
 import asyncio
 import typing
@@ -17,11 +17,11 @@
     hosts: typing.Iterable[ids.HostId],
     clock: timers.TimerService,
 ) -> None:
-    """Ask all hosts of the failure domain, then let the leader grant.
+    """Query all hosts of the failure domain, then let the leader grant.
 
-    A host that doesn't answer holds the others up for the settle window.
+    A host that doesn't answer delays the others by the takeover window.
 
-    :param hosts: the live ones; this host is asked in any case.
+    :param hosts: the live ones; this host is always queried.
     """
     queried = sorted({link.host_id, *hosts})
     answered = await asyncio.gather(
@@ -37,7 +37,7 @@
 
 
 def adopt(found: led.LedPool, handover: ttypes.Handover, now: float) -> None:
-    """Take over what an owner has with the pool.
+    """Take over an owner's grants and waiting requests of the pool.
 
     :param now: time in seconds.
     """
--- a/libs/scheduling/geraniumweir/scheduling/translation.py
+++ b/libs/scheduling/geraniumweir/scheduling/translation.py
@@ -1,7 +1,7 @@
-"""Between the values of :mod:`requests` and the thrift structs.
+"""Conversion between the values of :mod:`requests` and the thrift structs.
 
-Durations become times on the reader's clock and back; unsigned hashes become
-thrift's signed integers and back.
+Times on a host's clock are sent as durations; unsigned hashes are sent as
+thrift's signed integers.
 """
 
 import math
@@ -19,7 +19,7 @@
 def pack_ask(
     slot_request: requests.SlotRequest, attempt: int, now: float
 ) -> ttypes.Ask:
-    """Give the message of an ask."""
+    """Return the message of a slot request."""
     return ttypes.Ask(
         request_id=slot_request.request_id,
         owner=slot_request.owner,
@@ -54,7 +54,7 @@
 
 
 def unpack_ask(message: ttypes.Ask, now: float) -> requests.SlotRequest:
-    """Read the message of an ask.
+    """Read the message of a slot request.
 
     :raises ValueError: when there is no such tier or sending.
     """
@@ -97,7 +97,7 @@
 
 
 def pack_grant(grant: requests.Grant) -> ttypes.Grant:
-    """Give the message of a grant."""
+    """Return the message of a grant."""
     return ttypes.Grant(
         grant.server_id,
         grant.incarnation,
@@ -107,7 +107,7 @@
 
 
 def pack_denial(denial: requests.Denial) -> ttypes.Denial:
-    """Give the message of a denial."""
+    """Return the message of a denial."""
     return ttypes.Denial(denial.reason.value, denial.retry_after_ms)
 
 
@@ -115,7 +115,7 @@
     request_id: ids.RequestId,
     answer: ttypes.AskReply | ttypes.Answer,
 ) -> requests.Grant | requests.Denial | None:
-    """Read a grant or denial; None while the ask waits.
+    """Read a grant or denial; None while the slot request waits.
 
     :raises ValueError: when an address or a reason is malformed.
     """
@@ -135,7 +135,7 @@
     attempt: int,
     now: float,
 ) -> ttypes.OpenGrant:
-    """Give the message of a grant in use."""
+    """Return the message of a grant in use."""
     return ttypes.OpenGrant(
         pack_ask(grant.slot_request, attempt, now),
         pack_grant(grant.grant),
@@ -165,7 +165,7 @@
     release: requests.Release,
     attempt: int,
 ) -> ttypes.Release:
-    """Give the message of a release."""
+    """Return the message of a release."""
     return ttypes.Release(
         pool=pool,
         request_id=release.request_id,
@@ -215,7 +215,7 @@
 
 
 def signed(number: int) -> int:
-    """Fold an unsigned number of 64 bits into thrift's ``i64``.
+    """Convert an unsigned number of 64 bits to thrift's ``i64``.
 
     >>> unsigned(signed(2**64 - 1)) == 2**64 - 1
     True
@@ -224,7 +224,7 @@
 
 
 def unsigned(number: int) -> int:
-    """Undo :func:`signed`."""
+    """Convert a number of thrift's ``i64`` back; see :func:`signed`."""
     return number % _RANGE
 
 
