--- a/libs/control/geraniumweir/control/pool_servers.py
+++ b/libs/control/geraniumweir/control/pool_servers.py
@@ -145,7 +145,7 @@
     ) -> _SlotShare:
         slots = found.slots * share
         whole_slots = math.floor(slots)
-        draw = rendezvous.draw(self._host_id, found.server_id)
+        draw = rendezvous.rand(self._host_id, found.server_id)
         return _SlotShare(whole_slots, draw, draw < slots - whole_slots)
 
     def _announcement(
--- a/libs/scheduling/geraniumweir/scheduling/answer_delivery.py
+++ b/libs/scheduling/geraniumweir/scheduling/answer_delivery.py
@@ -1,4 +1,4 @@
-"""How a pool leader's host tells an owner the answer to its ask."""
+"""Delivery of answers from a pool leader's host to the request's owner."""
 
 import asyncio
 import typing
@@ -7,8 +7,8 @@
 from geraniumweir.wire import errors
 from geraniumweir.wire.gen.scheduling import ttypes
 
-_TIMEOUT = 0.5
-_PAUSE = 0.1
+_TIMEOUT_SECONDS = 0.5
+_RETRY_PAUSE_SECONDS = 0.1
 
 
 async def deliver(
@@ -16,14 +16,14 @@
     found: led.LedPool,
     entry: led.Entry,
 ) -> None:
-    """Tell until the owner has it; take back a grant that it can't use."""
+    """Send an answer until it arrives; withdraw a grant not accepted."""
     while found.has(entry):
         try:
             reply = await link.call(
-                entry.slot_request.owner, message(entry), _TIMEOUT
+                entry.slot_request.owner, message(entry), _TIMEOUT_SECONDS
             )
         except errors.PeerError:
-            await asyncio.sleep(_PAUSE)
+            await asyncio.sleep(_RETRY_PAUSE_SECONDS)
             continue
         if not reply.taken and found.has(entry):
             found.withdraw(entry.slot_request.request_id, entry.attempt)
@@ -33,7 +33,7 @@
 
 
 def message(entry: led.Entry) -> ttypes.Answer:
-    """Give the message of an answer."""
+    """Return the message of an answer."""
     return ttypes.Answer(
         entry.slot_request.request_id,
         entry.attempt,
@@ -42,7 +42,7 @@
 
 
 def packed(answer: led.Answer | None) -> dict[str, typing.Any]:
-    """Give the fields that hold an answer in a message."""
+    """Return the fields that hold an answer in a message."""
     match answer:
         case requests.Grant():
             return {'grant': translation.pack_grant(answer)}
--- a/libs/scheduling/geraniumweir/scheduling/crashes.py
+++ b/libs/scheduling/geraniumweir/scheduling/crashes.py
@@ -1,4 +1,4 @@
-"""Takes crashes of backend servers and what they say of their requests."""
+"""Handling of crashes of backend servers and of the requests they ran."""
 
 from geraniumweir.common import ids
 from geraniumweir.scheduling import (
@@ -13,7 +13,7 @@
 )
 
 _RECENT_SECONDS = 120.0
-_SAME_MOMENT = 0.5
+_SAME_MOMENT_SECONDS = 0.5
 
 
 def crashed(
@@ -21,12 +21,13 @@
     server: deadline_records.Server,
     incarnation: ids.Incarnation,
 ) -> None:
-    """Take that an incarnation of a server is gone.
+    """Handle the crash of an incarnation of a server.
 
-    What ran on it is suspected, also what failed there since its last sign
-    of life: owners see a broken connection sooner than the crash is known.
+    The requests that ran on it become suspects, and so do those that failed
+    there since the server was last seen: owners notice a closed connection
+    before the crash is known.
 
-    :param incarnation: the newest that is gone; told again, it is ignored.
+    :param incarnation: the newest that has ended; a repeat is ignored.
     """
     if incarnation <= server.crashed:
         return
@@ -36,38 +37,38 @@
         for running in server.running.values()
         if running.grant.incarnation <= incarnation
     ]
-    together = [running.slot_request.fingerprint for running in lost]
+    fingerprints = [running.slot_request.fingerprint for running in lost]
     recent = max(
         leader.now() - _RECENT_SECONDS,
-        server.last_progress_at - _SAME_MOMENT,
+        server.last_progress_at - _SAME_MOMENT_SECONDS,
     )
-    together.extend(mark for at, mark in server.failures if at >= recent)
+    fingerprints.extend(mark for at, mark in server.failures if at >= recent)
     server.failures.clear()
     for running in lost:
         progressing.remove_running(leader, running)
-    condemned = leader.suspects.record_crash(together, leader.now())
+    newly_quarantined = leader.suspects.record_crash(fingerprints, leader.now())
     placement.refresh(leader, server)
-    _refuse_condemned(leader, set(condemned))
+    _refuse_quarantined(leader, set(newly_quarantined))
     for running in lost:
         deadline_granting.unpark(leader, running.slot_request.rule)
 
 
 def synced(leader: deadline_state.DeadlineLeaderState) -> None:
-    """Follow the live servers and take the crashes that show."""
+    """Update the live servers and handle the crashes this shows."""
     for server in fleet.sync(leader):
         current = server.announcement.incarnation
         crashed(leader, server, ids.Incarnation(current - 1))
         fleet.readmit(leader, server)
 
 
-def _refuse_condemned(
+def _refuse_quarantined(
     leader: deadline_state.DeadlineLeaderState,
-    condemned: set[ids.Fingerprint],
+    newly_quarantined: set[ids.Fingerprint],
 ) -> None:
-    if not condemned:
+    if not newly_quarantined:
         return
     for waiting in list(leader.waiting.values()):
-        if waiting.slot_request.fingerprint in condemned:
+        if waiting.slot_request.fingerprint in newly_quarantined:
             shedding.deny(
                 leader,
                 waiting,
--- a/libs/scheduling/geraniumweir/scheduling/remote.py
+++ b/libs/scheduling/geraniumweir/scheduling/remote.py
@@ -1,9 +1,9 @@
-"""The pool leaders of this host, as entry hosts meet them.
+"""Service of this host's pool leaders for entry hosts.
 
-A leader that is new asks every entry host of its failure domain for the
-grants in use and the waiting requests, and grants nothing before they have
-answered or the settle window is over; the window itself is kept by the pool
-leader. An ask for a pool that this host doesn't lead is answered ``not
+A new leader requests the grants in use and the waiting requests from every
+entry host of its failure domain, and grants nothing before they have answered
+or the takeover window is over; the pool leader measures the window itself. A
+slot request for a pool that this host doesn't lead is answered ``not
 leader``.
 """
 
@@ -25,16 +25,16 @@
 )
 from geraniumweir.wire.gen.scheduling import ttypes
 
-_HOLD = 0.005
-_SILENCE = 4.0
-_CHECK_PERIOD = 1.0
+_QUICK_ANSWER_SECONDS = 0.005
+_OWNER_SILENCE_SECONDS = 4.0
+_CHECK_PERIOD_SECONDS = 1.0
 
 OnPreempt = typing.Callable[[requests.Preempt], None]
 MakeLeader = typing.Callable[[ids.PoolName, OnPreempt], views.PoolLeader]
 
 
 class LeaderService:
-    """Leads the pools of a failure domain that fall to this host."""
+    """Leaders of the pools of a failure domain that this host leads."""
 
     def __init__(
         self,
@@ -45,11 +45,11 @@
         clock: timers.TimerService,
         gate: led.Gate | None = None,
     ) -> None:
-        """Answer entry hosts from now on.
+        """Initialize and register the handlers of entry hosts' messages.
 
-        :param make_leader: gives a fresh leader of a pool, whose settle
-            window should be :data:`takeover.SETTLE_WINDOW`.
-        :param gate: what asks must pass before the leaders see them.
+        :param make_leader: returns a new leader of a pool, whose takeover
+            window should be :data:`takeover.TAKEOVER_WINDOW_SECONDS`.
+        :param gate: admits slot requests before the leaders see them.
         """
         self._link = link
         self._view = view
@@ -66,8 +66,10 @@
         self._closed = False
         self._pools: dict[ids.PoolName, led.LedPool] = {}
         self._subscriptions = (
-            view.changes.subscribe(lambda _: self._recheck()),
-            clock.every(_CHECK_PERIOD).subscribe(lambda _: self._check()),
+            view.changes.subscribe(lambda _: self._follow_view()),
+            clock.every(_CHECK_PERIOD_SECONDS).subscribe(
+                lambda _: self._check()
+            ),
         )
         link.handle(ttypes.Ask, self._on_ask)
         link.handle(ttypes.Withdraw, self._on_withdraw)
@@ -77,7 +79,7 @@
         link.handle(ttypes.Handover, self._on_handover)
 
     def leader(self, pool: ids.PoolName) -> views.PoolLeader | None:
-        """Give the leader of a pool, or None when it is on another host."""
+        """Return the leader of a pool, or None if it is on another host."""
         found = self._led(pool)
         return None if found is None else found.leader
 
@@ -86,15 +88,15 @@
         return list(self._pools)
 
     def close(self) -> None:
-        """Stop leading; those who wait are told to ask elsewhere.
+        """Stop leading; waiting slot requests are answered ``not leader``.
 
-        Asks that still come are answered ``not leader``.
+        So are those that still arrive.
         """
         self._closed = True
         for subscription in self._subscriptions:
             subscription.dispose()
         for pool in self.pools():
-            self._hand_off(pool)
+            self._hand_over(pool)
 
     def _led(self, pool: ids.PoolName) -> led.LedPool | None:
         if self._closed or self._leader_of(pool) != self._link.host_id:
@@ -122,15 +124,15 @@
     ) -> ttypes.AskReply:
         found = self._led(message.pool)
         if found is None:
-            return _refuse(
+            return _denial_reply(
                 requests.DenialReason.not_leader,
                 self._leader_of(message.pool),
             )
         slot_request = translation.unpack_ask(message, self._clock.now())
         entry = found.join(slot_request, message.attempt)
         if entry is None:
-            return _refuse(requests.DenialReason.withdrawn)
-        await _hold(entry)
+            return _denial_reply(requests.DenialReason.withdrawn)
+        await _wait_for_quick_answer(entry)
         reply = ttypes.AskReply(**answer_delivery.packed(entry.answer))
         found.discard_denied(entry)
         return reply
@@ -189,7 +191,7 @@
             takeover.adopt(found, message, self._clock.now())
 
     def _answered(self, found: led.LedPool, entry: led.Entry) -> None:
-        if not entry.held and not entry.notifying:
+        if not entry.call_open and not entry.notifying:
             entry.notifying = True
             self._link.start(answer_delivery.deliver(self._link, found, entry))
 
@@ -197,12 +199,12 @@
         message = ttypes.Preempt(preempt.request_id, preempt.server_id)
         self._link.send(preempt.owner, message)
 
-    def _recheck(self) -> None:
+    def _follow_view(self) -> None:
         for pool in self.pools():
             if self._leader_of(pool) != self._link.host_id:
-                self._hand_off(pool)
+                self._hand_over(pool)
 
-    def _hand_off(self, pool: ids.PoolName) -> None:
+    def _hand_over(self, pool: ids.PoolName) -> None:
         eventlog.emit(logevents.LEADERSHIP_ENDED, pool=pool)
         for entry in self._pools.pop(pool).close():
             reason = requests.DenialReason.not_leader
@@ -214,30 +216,30 @@
             )
 
     def _check(self) -> None:
-        since = self._clock.now() - _SILENCE
+        last_seen_before = self._clock.now() - _OWNER_SILENCE_SECONDS
         for found in self._pools.values():
-            _drop_silent(found, since)
+            _remove_silent(found, last_seen_before)
 
 
-def _drop_silent(found: led.LedPool, since: float) -> None:
-    for owner in found.silent_owners(since):
+def _remove_silent(found: led.LedPool, last_seen_before: float) -> None:
+    for owner in found.silent_owners(last_seen_before):
         count = found.remove_owner(owner)
         if count:
             eventlog.emit(logevents.OWNER_SILENT, owner=owner, count=count)
 
 
-async def _hold(entry: led.Entry) -> None:
-    """Wait a moment, so that a quick grant goes with the call's answer."""
+async def _wait_for_quick_answer(entry: led.Entry) -> None:
+    """Wait briefly, so that the call's reply can carry a quick answer."""
     if entry.work is None or entry.notifying:
         return
-    entry.held = True
+    entry.call_open = True
     try:
-        await asyncio.wait((entry.work,), timeout=_HOLD)
+        await asyncio.wait((entry.work,), timeout=_QUICK_ANSWER_SECONDS)
     finally:
-        entry.held = False
+        entry.call_open = False
 
 
-def _refuse(
+def _denial_reply(
     reason: requests.DenialReason,
     holder: ids.HostId | None = None,
 ) -> ttypes.AskReply:
--- a/libs/scheduling/geraniumweir/scheduling/retries.py
+++ b/libs/scheduling/geraniumweir/scheduling/retries.py
@@ -1,8 +1,8 @@
-"""Keeps refused requests that come again from adding to an overload.
+"""Retry budgets of customers, against overload by refused requests.
 
-A customer's repeats may be a tenth of its new requests and a few more. What
-goes beyond is refused while the pool is short of capacity. A repeat is
-content that was refused a short while ago.
+A customer's repeats may be a tenth of its new requests plus a fixed number.
+Repeats beyond that are refused while the pool is short of capacity. A repeat
+is a request with content that was refused a short time ago.
 
 References
 ==========
@@ -16,23 +16,23 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import suspects
 
-_MOST_REFUSED = 8192
-_MOST_CUSTOMERS = 4096
-_REMEMBER_SECONDS = 30.0
+_MAX_REFUSED = 8192
+_MAX_CUSTOMERS = 4096
+_REPEAT_SECONDS = 30.0
 _EARNED_BY_REQUEST = 0.1
-_MOST_SAVED = 20.0
+_MAX_SAVED = 20.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Budget:
-    saved: float = _MOST_SAVED
+    saved: float = _MAX_SAVED
 
 
 class Retries:
-    """Retry budgets by customer."""
+    """Retry budgets of all customers, in bounded memory."""
 
     def __init__(self) -> None:
-        """Remember no refusal."""
+        """Initialize without refusals."""
         self._refused: collections.OrderedDict[
             tuple[ids.CustomerName, ids.Fingerprint], float
         ] = collections.OrderedDict()
@@ -46,12 +46,12 @@
         fingerprint: ids.Fingerprint,
         now: float,
     ) -> None:
-        """Remember a refusal."""
+        """Record a refusal."""
         if fingerprint == suspects.NO_FINGERPRINT:
             return
         self._refused[(customer, fingerprint)] = now
         self._refused.move_to_end((customer, fingerprint))
-        if len(self._refused) > _MOST_REFUSED:
+        if len(self._refused) > _MAX_REFUSED:
             self._refused.popitem(last=False)
 
     def within_budget(
@@ -60,15 +60,15 @@
         fingerprint: ids.Fingerprint,
         now: float,
     ) -> bool:
-        """Count a request and tell whether its customer may send it.
+        """Count a request and return whether it is within the budget.
 
-        :returns: False for a repeat for which nothing is saved.
+        :returns: False for a repeat when the budget is used up.
         """
         budget = self._budget(customer)
         before = self._refused.get((customer, fingerprint))
-        if before is None or now - before > _REMEMBER_SECONDS:
+        if before is None or now - before > _REPEAT_SECONDS:
             earned = budget.saved + _EARNED_BY_REQUEST
-            budget.saved = min(_MOST_SAVED, earned)
+            budget.saved = min(_MAX_SAVED, earned)
             return True
         if budget.saved < 1:
             return False
@@ -78,6 +78,6 @@
     def _budget(self, customer: ids.CustomerName) -> _Budget:
         budget = self._budgets.setdefault(customer, _Budget())
         self._budgets.move_to_end(customer)
-        if len(self._budgets) > _MOST_CUSTOMERS:
+        if len(self._budgets) > _MAX_CUSTOMERS:
             self._budgets.popitem(last=False)
         return budget
--- a/libs/scheduling/geraniumweir/scheduling/takeover.py
+++ b/libs/scheduling/geraniumweir/scheduling/takeover.py
@@ -1,4 +1,4 @@
-"""How a new leader learns of the grants in use and the waiting requests."""
+"""Transfer of open grants and waiting requests to a new leader."""
 
 import asyncio
 import typing
@@ -17,27 +17,27 @@
     hosts: typing.Iterable[ids.HostId],
     clock: timers.TimerService,
 ) -> None:
-    """Ask all hosts of the failure domain, then let the leader grant.
+    """Query all hosts of the failure domain, then let the leader grant.
 
-    A host that doesn't answer holds the others up for the settle window.
+    A host that doesn't answer delays the others by the takeover window.
 
-    :param hosts: the live ones; this host is asked in any case.
+    :param hosts: the live ones; this host is always queried.
     """
-    asked = sorted({link.host_id, *hosts})
-    told = await asyncio.gather(
-        *(_pull(link, found, host, clock) for host in asked),
+    queried = sorted({link.host_id, *hosts})
+    answered = await asyncio.gather(
+        *(_fetch_handover(link, found, host, clock) for host in queried),
     )
     found.leader.takeover_complete()
     eventlog.emit(
         logevents.TAKEOVER_COMPLETE,
         pool=found.pool,
         grants=len(found.entries),
-        silent=told.count(False),
+        silent=answered.count(False),
     )
 
 
 def adopt(found: led.LedPool, handover: ttypes.Handover, now: float) -> None:
-    """Take over what an owner has with the pool.
+    """Take over an owner's grants and waiting requests of the pool.
 
     :param now: time in seconds.
     """
@@ -50,7 +50,7 @@
         )
 
 
-async def _pull(
+async def _fetch_handover(
     link: channel.Channel,
     found: led.LedPool,
     host: ids.HostId,
--- a/libs/scheduling/geraniumweir/scheduling/translation.py
+++ b/libs/scheduling/geraniumweir/scheduling/translation.py
@@ -1,7 +1,7 @@
-"""Between the values of :mod:`requests` and the thrift structs.
+"""Conversion between the values of :mod:`requests` and the thrift structs.
 
-Durations become times on the reader's clock and back; unsigned hashes become
-thrift's signed integers and back.
+Times on a host's clock are sent as durations; unsigned hashes are sent as
+thrift's signed integers.
 """
 
 import math
@@ -19,7 +19,7 @@
 def pack_ask(
     slot_request: requests.SlotRequest, attempt: int, now: float
 ) -> ttypes.Ask:
-    """Give the message of an ask."""
+    """Return the message of a slot request."""
     return ttypes.Ask(
         request_id=slot_request.request_id,
         owner=slot_request.owner,
@@ -43,10 +43,10 @@
         quota_cost=float(slot_request.quota_cost)
         if slot_request.quota_cost
         else None,
-        target_left=_left(slot_request.target, now),
+        target_left=_remaining(slot_request.target, now),
         rank=slot_request.rank,
         likely_tokens=slot_request.likely_tokens,
-        patience_left=_left(slot_request.patience, now),
+        patience_left=_remaining(slot_request.patience, now),
         gap=None if math.isinf(slot_request.gap) else float(slot_request.gap),
         failure_domain=slot_request.failure_domain,
         sending=slot_request.sending.value,
@@ -54,7 +54,7 @@
 
 
 def unpack_ask(message: ttypes.Ask, now: float) -> requests.SlotRequest:
-    """Read the message of an ask.
+    """Read the message of a slot request.
 
     :raises ValueError: when there is no such tier or sending.
     """
@@ -78,26 +78,26 @@
         rate_per_s=message.rate_per_s,
         streams=message.streams is not False,
         quota_cost=message.quota_cost or 0,
-        target=_until(message.target_left, now),
+        target=_time_at(message.target_left, now),
         rank=message.rank or 0,
         likely_tokens=message.likely_tokens or 0,
-        patience=_until(message.patience_left, now),
+        patience=_time_at(message.patience_left, now),
         gap=math.inf if message.gap is None else message.gap,
         failure_domain=ids.FailureDomain(message.failure_domain or ''),
         sending=requests.Sending(message.sending or 'first'),
     )
 
 
-def _left(until: float, now: float) -> float | None:
-    return None if math.isinf(until) else float(until - now)
+def _remaining(ends_at: float, now: float) -> float | None:
+    return None if math.isinf(ends_at) else float(ends_at - now)
 
 
-def _until(left: float | None, now: float) -> float:
-    return math.inf if left is None else now + left
+def _time_at(remaining: float | None, now: float) -> float:
+    return math.inf if remaining is None else now + remaining
 
 
 def pack_grant(grant: requests.Grant) -> ttypes.Grant:
-    """Give the message of a grant."""
+    """Return the message of a grant."""
     return ttypes.Grant(
         grant.server_id,
         grant.incarnation,
@@ -107,7 +107,7 @@
 
 
 def pack_denial(denial: requests.Denial) -> ttypes.Denial:
-    """Give the message of a denial."""
+    """Return the message of a denial."""
     return ttypes.Denial(denial.reason.value, denial.retry_after_ms)
 
 
@@ -115,7 +115,7 @@
     request_id: ids.RequestId,
     answer: ttypes.AskReply | ttypes.Answer,
 ) -> requests.Grant | requests.Denial | None:
-    """Read a grant or denial; None while the ask waits.
+    """Read a grant or denial; None while the slot request waits.
 
     :raises ValueError: when an address or a reason is malformed.
     """
@@ -135,7 +135,7 @@
     attempt: int,
     now: float,
 ) -> ttypes.OpenGrant:
-    """Give the message of a grant in use."""
+    """Return the message of a grant in use."""
     return ttypes.OpenGrant(
         pack_ask(grant.slot_request, attempt, now),
         pack_grant(grant.grant),
@@ -165,7 +165,7 @@
     release: requests.Release,
     attempt: int,
 ) -> ttypes.Release:
-    """Give the message of a release."""
+    """Return the message of a release."""
     return ttypes.Release(
         pool=pool,
         request_id=release.request_id,
@@ -215,7 +215,7 @@
 
 
 def signed(number: int) -> int:
-    """Fold an unsigned number of 64 bits into thrift's ``i64``.
+    """Convert an unsigned number of 64 bits to thrift's ``i64``.
 
     >>> unsigned(signed(2**64 - 1)) == 2**64 - 1
     True
@@ -224,7 +224,7 @@
 
 
 def unsigned(number: int) -> int:
-    """Undo :func:`signed`."""
+    """Convert a number of thrift's ``i64`` back; see :func:`signed`."""
     return number % _RANGE
 
 
