--- a/libs/control/geraniumweir/control/coordinator_client.py
+++ b/libs/control/geraniumweir/control/coordinator_client.py
@@ -78,7 +78,7 @@
         """Know of none yet.
 
         :param domain: this host's failure domain.
-        :param usage_for: gives what this host was granted, for a coordinator
+        :param usage_for: returns what this host was granted, for a coordinator
             that is new.
         :param server_notices: what this host knows of what servers said.
         """
@@ -103,7 +103,7 @@
         return self._changes
 
     def live(self, _domain: ids.FailureDomain) -> list[ids.HostId]:
-        """Give the coordinator; none means that this host is alone."""
+        """Return the coordinator; none means that this host is alone."""
         return [self._coordinator_id] if self._coordinator_id else []
 
     def owners(self, _domain: ids.FailureDomain) -> list[ids.HostId]:
@@ -111,23 +111,23 @@
         return []
 
     def is_alone(self) -> bool:
-        """Tell whether this host coordinates its own requests."""
+        """Return whether this host coordinates its own requests."""
         return not self._coordinator_id
 
     def awaits_election(self) -> bool:
-        """Tell whether another host is about to coordinate."""
+        """Return whether another host is about to coordinate."""
         return self._awaits_election
 
     def hosts(self) -> int:
-        """Give how many entry hosts there are, as far as is known."""
+        """Return how many entry hosts there are, as far as is known."""
         return self._host_count
 
     def share(self) -> float:
-        """Give the part of capacity and quotas that a host alone may use."""
+        """Return the part of capacity and quotas that a host alone may use."""
         return self._share or 1 / max(self._host_count, 1)
 
     def coordinator_id(self) -> ids.HostId:
-        """Give who coordinates for this host; itself where it is alone."""
+        """Return who coordinates for this host; itself where it is alone."""
         return self._coordinator_id or self._link.host_id
 
     async def run(self) -> None:
--- a/libs/control/geraniumweir/control/crash_cases.py
+++ b/libs/control/geraniumweir/control/crash_cases.py
@@ -1,7 +1,8 @@
-"""What control hosts tell each other of requests that crash servers.
+"""Exchange of crash cases between control hosts.
 
-The coordinator tells the others all cases whenever there is a new one, or one
-was cleared, so that whoever coordinates next goes on from there.
+A crash case is a request that crashed servers. The coordinator publishes all
+its cases to the other control hosts whenever there is a new one or one was
+cleared, so that the next coordinator continues with them.
 """
 
 import dataclasses
@@ -14,9 +15,9 @@
 from geraniumweir.wire import peers
 from geraniumweir.wire.gen.scheduling import ttypes
 
-# How often the cases of the pools led here are looked through, in seconds.
+# Interval for checking the cases of the pools led here.
 _POLL_SECONDS = 0.2
-# Cases told at a time; a message is some kilobytes then.
+# Cases in one message, which then has some kilobytes.
 _MAX_CASES = 64
 
 _Key = tuple[ids.Fingerprint, str, int, bool]
@@ -28,9 +29,9 @@
 
 
 class CrashCases:
-    """The cases that are known, as whoever coordinated last told them.
+    """The crash cases that the last coordinator published.
 
-    :ivar leaders: gives the pool leaders of this host.
+    :ivar leaders: returns the pool leaders of this host.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         known: hosts.ControlHosts,
         clock: timers.TimerService,
     ) -> None:
-        """Take what the others tell from now on."""
+        """Receive the cases of other control hosts from now on."""
         self.leaders: Leaders = _no_leaders
         self._link = link
         self._known = known
@@ -53,7 +54,7 @@
         link.handle(ttypes.Cases, self._on_cases)
 
     def apply_to(self, new_leader: leader.OnTimeLeader) -> None:
-        """Let a new leader know of the cases that still hold."""
+        """Pass the cases that are still valid to a new pool leader."""
         now = self._clock.now()
         aged = (
             dataclasses.replace(
@@ -67,11 +68,11 @@
         )
 
     def close(self) -> None:
-        """Tell no more."""
+        """Stop publishing."""
         self._poll.dispose()
 
     def _publish_changes(self) -> None:
-        """Tell the others when there are more cases, or fewer."""
+        """Publish the cases when there are new or fewer ones."""
         leaders = list(self.leaders())
         if not leaders:
             return
--- a/libs/control/geraniumweir/control/demand.py
+++ b/libs/control/geraniumweir/control/demand.py
@@ -1,7 +1,8 @@
-"""How much of all requests comes by each entry host.
+"""Share of all requests that arrives at each entry host.
 
-Callers are spread unevenly over entry hosts, so a quota that has to be split
-among hosts that can't reach each other is split by what came by each before.
+Callers are spread unevenly over entry hosts, so a quota that must be split
+among hosts that cannot reach each other is split by what arrived at each
+before.
 """
 
 import dataclasses
@@ -9,11 +10,11 @@
 
 from geraniumweir.common import ids
 
-# Over about so many seconds: longer than the waves in which callers come (11
-# s), so that a cut finds the usual parts.
+# Time constant of the decay: longer than the waves in which callers come (11
+# s), so that a partition finds the usual shares.
 _DECAY_SECONDS = 20.0
-# A host that asked for little may ask for more after a cut, when callers are
-# led to it; it gets at least this part of an even share.
+# A host with little demand may get more after a partition, when callers are
+# sent to it; it gets at least this fraction of an equal share.
 _MIN_EVEN_RATIO = 0.25
 
 
@@ -33,30 +34,31 @@
 class Demand:
     """Decaying counts by entry host.
 
-    All decay alike, so that their sum is a count of its own: a host's part is
-    asked for at each ping and took 253 µs with 390 hosts, 5 µs with this.
+    All counts decay alike, so their sum is kept as one more count: a host's
+    share is computed at each ping, which took 253 µs with 390 hosts, and takes
+    5 µs with the sum.
     """
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Initialize without counts."""
         self._counts: dict[ids.HostId, _Count] = {}
         self._total = _Count()
 
     def record(self, host_id: ids.HostId, amount: float, now: float) -> None:
-        """Count what a host asked for."""
+        """Add to what a host requested."""
         self._counts.setdefault(host_id, _Count()).add(amount, now)
         self._total.add(amount, now)
 
     def remove(self, host_id: ids.HostId) -> None:
-        """Drop a host that has gone."""
+        """Remove a host that has gone."""
         gone = self._counts.pop(host_id, None)
         if gone is not None:
             self._total.amount -= gone.decayed(self._total.at)
 
     def share(self, host_id: ids.HostId, hosts: int, now: float) -> float:
-        """Give a host's part of all.
+        """Return a host's share of all requests.
 
-        :param hosts: how many there are.
+        :param hosts: number of entry hosts.
 
         >>> some = Demand()
         >>> for name, amount in (('a', 30), ('b', 10)):
--- a/libs/control/geraniumweir/control/enrolments.py
+++ b/libs/control/geraniumweir/control/enrolments.py
@@ -73,7 +73,7 @@
         return self.server_id, ids.Incarnation(self.born)
 
     def to_wire(self) -> ttypes.Enrolment:
-        """Make the struct."""
+        """Return the thrift struct."""
         return ttypes.Enrolment(
             server_id=self.server_id,
             pool=self.pool,
@@ -91,7 +91,7 @@
 
 
 def from_wire(found: ttypes.Enrolment) -> Enrolment:
-    """Read the struct.
+    """Return what a thrift struct describes.
 
     :raises ValueError: when the address or the state is malformed.
     """
@@ -280,7 +280,7 @@
         self._digest = None
 
     def get(self, server_id: ids.ServerId) -> Enrolment | None:
-        """Give what is known of a server."""
+        """Return what is known of a server."""
         row = self._rows.get(server_id)
         return None if row is None else row.enrolment
 
@@ -302,7 +302,7 @@
         return [row.enrolment for row in rows if row.revision > revision]
 
     def digest(self) -> int:
-        """Give a number that is the same where the same is known."""
+        """Return a number that is the same where the same is known."""
         if self._digest is None:
             text = repr([_content(found) for found in self.known()])
             digest = xxhash.xxh3_64_intdigest(text.encode())
@@ -352,7 +352,7 @@
 
 
 def _placeholder(server_id: ids.ServerId, born: int | None) -> Enrolment:
-    """Give what is known of a server that never reported."""
+    """Return what is known of a server that never reported."""
     return Enrolment(
         server_id=server_id,
         pool=ids.PoolName(''),
@@ -365,12 +365,12 @@
 
 
 def _recency(found: Enrolment) -> tuple[int, int]:
-    """Give the greater value, the newer what is known of a server."""
+    """Return the greater value, the newer what is known of a server."""
     return found.born, found.sequence
 
 
 def _content(found: Enrolment) -> tuple[str, int, int, bool]:
-    """Give what two hosts compare.
+    """Return what two hosts compare.
 
     The sequence isn't among it: it grows with each report at one host only.
     """
--- a/libs/control/geraniumweir/control/feed.py
+++ b/libs/control/geraniumweir/control/feed.py
@@ -47,7 +47,7 @@
     ) -> None:
         """Answer from now on.
 
-        :param rollouts: gives the newest order of each pool.
+        :param rollouts: returns the newest order of each pool.
         """
         self._epoch = uuid.uuid4().hex
         self._log = log
@@ -77,14 +77,14 @@
         sender: ids.HostId,
         watch: ttypes.Watch,
     ) -> ttypes.News:
-        self._entry_hosts.record_seen(sender, self._clock.now())
+        self._entry_hosts.heard(sender, self._clock.now())
         if watch.brief:
             return self._answer(watch)
         wait_seconds = min(watch.wait_ms / _MS, _MAX_WAIT_SECONDS)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_seconds):
                 await self._wait_for_update(watch)
-        self._entry_hosts.record_seen(sender, self._clock.now())
+        self._entry_hosts.heard(sender, self._clock.now())
         return self._answer(watch)
 
     async def _wait_for_update(self, watch: ttypes.Watch) -> None:
--- a/libs/control/geraniumweir/control/host.py
+++ b/libs/control/geraniumweir/control/host.py
@@ -55,7 +55,7 @@
     """What a control host is told.
 
     :ivar seeds: peer addresses of some control hosts, by host id.
-    :ivar current_seeds: gives the seeds of now, which may have changed.
+    :ivar current_seeds: returns the seeds of now, which may have changed.
     :ivar may_create_log: whether the seeds may create a log (first start).
     :ivar bears: losses of recorders at once to bear.
     :ivar quota_seconds: length of the window over which quotas hold.
--- a/libs/control/geraniumweir/control/host_search.py
+++ b/libs/control/geraniumweir/control/host_search.py
@@ -1,8 +1,9 @@
-"""Finds a control host that is sure to have the newest document.
+"""Search for a control host that has the newest document.
 
-Control hosts are asked one after another, the next one as soon as one fails
-or isn't sure, and after a moment where one is silent; whoever is sure first
-is found. So hosts that are lost cost a moment each, not a time-out.
+Control hosts are probed one after another, the next one as soon as one fails or
+is not up to date, or after a short delay while one is silent; the first that is
+up to date is chosen. So an unreachable host costs a short delay, not a whole
+timeout.
 """
 
 import asyncio
@@ -12,17 +13,17 @@
 
 from geraniumweir.common import ids
 
-# The next control host is asked after so long without an answer, in seconds:
-# some fifty round trips between failure domains. With seven control hosts of
-# which one answers, it is asked within 0.6 s.
+# The next control host is probed after this time without an answer: some fifty
+# round trips between failure domains. If only one of seven control hosts
+# answers, it is probed within 0.6 s.
 _STAGGER_SECONDS = 0.1
-# Where some answered and none is sure, the silent ones are waited for so much
-# longer, in seconds.
+# Where some answered and none is up to date, silent hosts are waited for this
+# much longer.
 _SILENT_WAIT_SECONDS = 0.2
 
 
 class Verdict(enum.Enum):
-    """What came of asking a control host."""
+    """The result of probing a control host."""
 
     sure = 'sure'
     unsure = 'unsure'
@@ -37,19 +38,19 @@
 
 @dataclasses.dataclass(slots=True)
 class SearchResult:
-    """What a search found.
+    """The result of a search.
 
-    :ivar sure: the first host that is sure, or empty.
-    :ivar unsure: hosts that answered and aren't, the first ones first.
+    :ivar sure: the first host that is up to date, or empty.
+    :ivar unsure: hosts that answered and are not, in order of answers.
     """
 
     sure: ids.HostId = ids.HostId('')
     unsure: list[ids.HostId] = dataclasses.field(default_factory=list)
 
     def best(self, current_id: ids.HostId) -> ids.HostId:
-        """Give the host to watch, or empty where none answered.
+        """Return the host to watch, or empty where none answered.
 
-        :param current_id: is kept where none is sure and it answered.
+        :param current_id: is kept if none is up to date and it answered.
         """
         if self.sure:
             return self.sure
@@ -61,13 +62,13 @@
 class HostSearch:
     """One search.
 
-    :ivar found: what it has found so far.
+    :ivar found: the result so far.
     """
 
     def __init__(self, probe: Probe) -> None:
-        """Ask nobody yet.
+        """Initialize without a probe.
 
-        :param probe: asks one host.
+        :param probe: probes one host.
         """
         self.found = SearchResult()
         self._probe = probe
@@ -76,9 +77,9 @@
     async def run(
         self, candidates: typing.Iterable[ids.HostId]
     ) -> SearchResult:
-        """Ask until one is sure or all have answered.
+        """Probe hosts until one is up to date or all have answered.
 
-        :param candidates: whom to ask, the first one first.
+        :param candidates: the hosts, in the order of probing.
         """
         try:
             await self._probe_all(candidates)
@@ -100,7 +101,7 @@
                 return
 
     async def _wait(self, seconds: float | None) -> bool:
-        """Take the next answers; tell whether any came in time."""
+        """Process the next answers; return whether any came in time."""
         done, _ = await asyncio.wait(
             self._pending,
             timeout=seconds,
--- a/libs/control/geraniumweir/control/hosts.py
+++ b/libs/control/geraniumweir/control/hosts.py
@@ -1,7 +1,7 @@
-"""The control hosts, as any host of the system knows them.
+"""The control hosts, as any host of the system has them.
 
-Each has a fixed address; a host that isn't heard for long is forgotten,
-unless it is a seed.
+Each has a fixed address; a host that was not seen for long is evicted, unless
+it is a seed.
 """
 
 import dataclasses
@@ -10,12 +10,12 @@
 from geraniumweir.common import ids
 from geraniumweir.wire.gen.control import ttypes
 
-# A control host that isn't heard for so long is asked no more, in seconds.
-# Hosts that were replaced stay away for good; cuts of some seconds must not
-# make a host forget the way back.
+# A control host that was not seen for this long is no longer contacted.
+# Replaced hosts never return; partitions of some seconds must not make a host
+# lose the addresses that it needs afterwards.
 EVICT_SECONDS = 60.0
 
-# Gives some control hosts by id; they may change from call to call.
+# Returns some control hosts by id; they may change from call to call.
 Seeds = typing.Callable[[], typing.Mapping[ids.HostId, ids.Address]]
 
 
@@ -34,7 +34,7 @@
     failure_domain: ids.FailureDomain
 
     def to_wire(self) -> ttypes.ControlHost:
-        """Make the struct."""
+        """Return the thrift struct."""
         return ttypes.ControlHost(
             self.host_id,
             str(self.address),
@@ -44,7 +44,7 @@
 
 
 def from_wire(found: ttypes.ControlHost) -> ControlHost:
-    """Read the struct.
+    """Return what a thrift struct describes.
 
     :raises ValueError: when an address is malformed.
     """
@@ -57,22 +57,22 @@
 
 
 def seed(host_id: ids.HostId, address: ids.Address) -> ControlHost:
-    """Describe a host of which only the address is known."""
+    """Return a host of which only the address is known."""
     return ControlHost(host_id, address, address, ids.FailureDomain(''))
 
 
 class ControlHosts:
-    """The control hosts that one host knows."""
+    """The control hosts that one host has in memory."""
 
     def __init__(self) -> None:
-        """Know of none."""
+        """Initialize without any host."""
         self._known: dict[ids.HostId, ControlHost] = {}
         self._last_seen: dict[ids.HostId, float] = {}
 
     def register(self, host: ControlHost, now: float) -> bool:
-        """Take that there is such a host; tell whether it was news.
+        """Add or update a host; return whether that changed anything.
 
-        One that is known in full stays so where only its address is told.
+        A complete entry is not replaced by one that has only the address.
         """
         known = self._known.get(host.host_id)
         is_address_only = known is not None and not host.failure_domain
@@ -83,16 +83,16 @@
         return is_new
 
     def record_seen(self, host_id: ids.HostId, now: float) -> None:
-        """Note a sign of life."""
+        """Record that a message of a host arrived."""
         if host_id in self._known:
             self._last_seen[host_id] = now
 
     def seconds_unseen(self, host_id: ids.HostId, now: float) -> float:
-        """Give the seconds since the last sign of life."""
+        """Return the seconds since a host was last seen."""
         return now - self._last_seen.get(host_id, float('-inf'))
 
     def unseen_for(self, now: float, seconds: float) -> frozenset[ids.HostId]:
-        """List those that weren't heard for some seconds."""
+        """Return the hosts that were not seen for some seconds."""
         return frozenset(
             host_id
             for host_id, seen_at in self._last_seen.items()
@@ -100,24 +100,24 @@
         )
 
     def evict_old(self, now: float) -> None:
-        """Forget those that weren't heard for very long."""
+        """Evict the hosts that were not seen for :data:`EVICT_SECONDS`."""
         for host_id in self.unseen_for(now, EVICT_SECONDS):
             self._known.pop(host_id)
             self._last_seen.pop(host_id)
 
     def get(self, host_id: ids.HostId) -> ControlHost | None:
-        """Give one that is known."""
+        """Return a host by its id, None if it is unknown."""
         return self._known.get(host_id)
 
     def known(self) -> list[ControlHost]:
-        """List them by id."""
+        """Return all hosts, ordered by id."""
         return [host for _, host in sorted(self._known.items())]
 
     def nearest_first(
         self,
         domain: ids.FailureDomain,
     ) -> typing.Sequence[ControlHost]:
-        """List them, those of a failure domain first."""
+        """Return all hosts, those of a failure domain first."""
         return sorted(
             self._known.values(),
             key=lambda host: (host.failure_domain != domain, host.host_id),
--- a/libs/control/geraniumweir/control/leadership.py
+++ b/libs/control/geraniumweir/control/leadership.py
@@ -1,12 +1,12 @@
-"""Who coordinates the pools, as a control host sees it.
+"""The current coordinator of the pools, as a control host sees it.
 
-The host that leads the log coordinates. A control host that hears no leader
-stands in for it, for the entry hosts that can reach this one: a failure
-domain that is cut off goes on with one queue for each pool.
+The host that leads the log is the coordinator. A control host that cannot reach
+a leader stands in for it, for the entry hosts that can reach this host: a
+partitioned failure domain then still has one queue for each pool.
 
-A coordinator grants each customer's quota for the entry hosts that it hears.
-What the others may spend is left to whoever coordinates there, so that the
-parts add up to the whole however the hosts are cut off from each other.
+A coordinator grants each customer's quota for the entry hosts that it can
+reach. The rest is left to the coordinators on other sides of a partition, so
+that the shares add up to the whole quota whatever the partition is.
 """
 
 import dataclasses
@@ -27,31 +27,31 @@
 from geraniumweir.wire.gen.control import ttypes
 from reactivex import subject
 
-# How often it is looked who leads, in seconds: a tenth of an election.
+# Interval for checking who leads: a tenth of an election.
 _POLL_SECONDS = 0.1
-# An entry host that said nothing for so long isn't heard, in seconds: six of
-# its pings, so that one lost packet, sent again after 0.2 s, is no silence.
+# An entry host that sent nothing for this long counts as unreachable: six of
+# its pings, so that one lost packet, sent again after 0.2 s, does not count.
 REACHABLE_SECONDS = 1.2
-# Entry hosts that reach a new coordinator turn to it within so long, in
-# seconds: a missed answer (0.4 s), a search (0.4 s) and a ping (0.2 s).
+# Within this time entry hosts that can reach a new coordinator contact it: a
+# missed answer (0.4 s), a search (0.4 s) and a ping (0.2 s).
 _HANDOVER_SECONDS = 1.0
 _NO_HOST = ids.HostId('')
-# A part of the quotas that moved by so much is told in the log.
+# A change of the granted share of the quotas by this much is logged.
 _MIN_LOGGED_CHANGE = 0.1
 _SHARE_DIGITS = 2
-# One that said nothing for so long is taken for gone, in seconds: longer than
-# the cuts that are asked to be survived, so that its quota isn't given to
-# others while it spends it.
+# An entry host that sent nothing for this long is removed: longer than the
+# partitions that must be survived, so that its quota is not given to others
+# while it still uses it.
 EVICT_SECONDS = 15.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Partition:
-    """A time in which an entry host was cut off, and granted by itself.
+    """A period in which an entry host was unreachable and granted by itself.
 
-    :ivar granted_share: of all quotas, that it may have granted.
+    :ivar granted_share: share of all quotas that it may have granted.
     :ivar start: in seconds.
-    :ivar end: when it was heard again, in seconds.
+    :ivar end: when it was reachable again, in seconds.
     """
 
     host_id: ids.HostId
@@ -60,18 +60,18 @@
     end: float
 
     def used_since(self, since: float) -> float:
-        """Give the seconds' worth of all quotas that it granted since then."""
+        """Return its grants since then, in seconds of all quotas."""
         return self.granted_share * max(self.end - max(self.start, since), 0)
 
 
 class EntryHosts:
-    """The entry hosts that a control host hears of.
+    """The entry hosts that a control host can or could lately reach.
 
-    :ivar demand: what they asked of this host as the coordinator.
+    :ivar demand: what they requested from this host as the coordinator.
     """
 
     def __init__(self, quota_seconds: float) -> None:
-        """Know of none.
+        """Initialize without any entry host.
 
         :param quota_seconds: length of the window over which quotas hold.
         """
@@ -86,17 +86,17 @@
         self._reported_at = float('-inf')
 
     def start_term(self, now: float) -> None:
-        """Take that this host coordinates now and didn't before.
+        """Record that this host coordinates from now on and did not before.
 
-        A host that watched or pinged this one before then, and is silent
-        till it turns here, wasn't cut off.
+        A host that watched or pinged this one before then and is silent until
+        it contacts this one as the coordinator was not partitioned.
         """
         self._term_start = now
         self._partitions.clear()
         self._initial_shares.clear()
 
-    def record_seen(self, host_id: ids.HostId, now: float) -> None:
-        """Note a sign of life."""
+    def heard(self, host_id: ids.HostId, now: float) -> None:
+        """Record that a message of an entry host arrived."""
         before = self._last_seen.get(host_id, now)
         silent = now - before > REACHABLE_SECONDS
         if silent and before >= self._term_start:
@@ -104,29 +104,29 @@
             self._partitions.append(
                 _Partition(host_id, granted_share, before, now)
             )
-        # In the order of time, so that the silent ones come first.
+        # Ordered by time, so that unreachable hosts come first.
         self._last_seen.pop(host_id, None)
         self._last_seen[host_id] = now
 
     def set_share(self, host_id: ids.HostId, share: float) -> None:
-        """Take the part of all requests that a host was told it has."""
+        """Record the share of all requests that a host was last sent."""
         self._shares[host_id] = share
         self._initial_shares.setdefault(host_id, share)
 
     def remove_host(self, host_id: ids.HostId) -> None:
-        """Take a farewell."""
+        """Remove a host that announced its end, or is taken for gone."""
         self._last_seen.pop(host_id, None)
         self._shares.pop(host_id, None)
         self._initial_shares.pop(host_id, None)
         self.demand.remove(host_id)
 
     def set_reported_count(self, host_count: int, now: float) -> None:
-        """Take the number that the log's leader counts."""
+        """Record the number of entry hosts that the log's leader reported."""
         self._reported_count = host_count
         self._reported_at = now
 
     def count(self, now: float) -> int:
-        """Give how many there are."""
+        """Return the number of entry hosts; evict those that are gone."""
         for host_id in self._unseen_for(EVICT_SECONDS, now):
             self.remove_host(host_id)
         told_count = (
@@ -137,34 +137,34 @@
         return max(len(self._last_seen), told_count)
 
     def count_reachable(self, now: float) -> int:
-        """Give how many were heard lately."""
+        """Return the number of entry hosts that are reachable."""
         return len(self._last_seen) - len(
             self._unseen_for(REACHABLE_SECONDS, now)
         )
 
     def share_of(self, host_id: ids.HostId, now: float) -> float:
-        """Give a host's part of all requests."""
+        """Return a host's share of all requests."""
         return self.demand.share(host_id, self.count(now), now)
 
     def standalone_share_for(self, host_id: ids.HostId, now: float) -> float:
-        """Give the part that a host may grant by itself, once it is alone.
+        """Return the share that a host may grant by itself once partitioned.
 
-        Its part of what is left: of two hosts out of three that are cut off,
-        the third would else be told that all is its own, and a coordinator
-        after this one would leave nothing to the others.
+        Its share of what is left: if two of three hosts are unreachable, the
+        third would otherwise be assigned all quotas, and a coordinator after
+        this one would leave nothing to the others.
         """
         return self.share_of(host_id, now) * self.reachable_share(now)
 
     def reachable_share(self, now: float) -> float:
-        """Give the part of those that are heard, as the others' rest.
+        """Return the share of the reachable hosts: what the others leave.
 
-        What a host granted by itself before it came back counts too, for as
-        long as it is within the window of the quotas: given to all at once,
-        a customer that took all it could get from two hosts got 1.41 quotas in
-        8 s around the end of a cut of 7 s, and 1.11 with this.
+        What a host granted by itself before it was reachable again counts too,
+        as long as it is within the window of the quotas: without this, a
+        customer that took all it could get from two hosts got 1.41 quotas in 8
+        s around the end of a partition of 7 s; with it, 1.11.
 
         >>> some = EntryHosts(8)
-        >>> some.record_seen(ids.HostId('a'), 0), some.record_seen(ids.HostId('b'), 5)
+        >>> some.heard(ids.HostId('a'), 0), some.heard(ids.HostId('b'), 5)
         (None, None)
         >>> some.reachable_share(5)
         0.5
@@ -176,15 +176,15 @@
         return 1 - min(kept + self._share_used_by_returned(lost, now), 1)
 
     def _unseen_share(self, host_count: int, now: float) -> float:
-        """Give the part of hosts that another coordinator told of.
+        """Return the share of hosts that only another coordinator could reach.
 
-        They were not heard since this host coordinates: a cut took them with
-        the coordinator before it, and they grant their part by themselves:
-        what is left by the parts that the others were told before. By even
-        parts a host that has a third of all requests of six hosts would be
-        taken for one with a sixth.
+        They sent nothing since this host coordinates: a partition separated
+        them together with the previous coordinator, and they grant their share
+        by themselves. Their share is what is left by the shares that the
+        reachable hosts were sent before. By equal shares, a host that has a
+        third of all requests of six hosts would be taken for one with a sixth.
 
-        :param host_count: of all entry hosts.
+        :param host_count: number of all entry hosts.
         """
         if now - self._term_start < _HANDOVER_SECONDS:
             return 0
@@ -201,7 +201,7 @@
         lost: typing.Sequence[ids.HostId],
         now: float,
     ) -> float:
-        """Give the part that hosts granted by themselves within a window."""
+        """Return the share that hosts granted by themselves within a window."""
         since = now - self._quota_seconds
         self._partitions = [
             partition for partition in self._partitions if partition.end > since
@@ -215,16 +215,16 @@
         return used_seconds / self._quota_seconds
 
     def _standalone_share(self, host_id: ids.HostId, now: float) -> float:
-        """Give the part that a lost host grants by itself.
+        """Return the share that an unreachable host grants by itself.
 
-        It goes by the last part that it was told, while its part of what
-        comes here falls with each second of silence.
+        This is the last share that it was sent, as its share of the requests
+        that arrive here falls with each second of silence.
         """
         reported = self._shares.get(host_id)
         return self.share_of(host_id, now) if reported is None else reported
 
     def reported_share(self, now: float) -> float:
-        """Give the part of those that are heard, by their own words."""
+        """Return the share of the reachable hosts, as they report it."""
         even = 1 / max(self.count(now), 1)
         lost = self._unseen_for(REACHABLE_SECONDS, now)
         parts = [
@@ -235,7 +235,7 @@
         return min(sum(parts), 1)
 
     def _unseen_for(self, seconds: float, now: float) -> list[ids.HostId]:
-        """List those that said nothing for longer than some seconds."""
+        """Return the hosts that sent nothing for longer than some seconds."""
         reported = itertools.takewhile(
             lambda item: now - item[1] > seconds,
             self._last_seen.items(),
@@ -244,10 +244,10 @@
 
 
 class Leadership:
-    """The coordinator as this host sees it; see :class:`views.HostView`.
+    """The coordinator as a control host sees it; see :class:`views.HostView`.
 
     :ivar entry_hosts: those that watch or ping this host.
-    :ivar reported: what they told of what servers said.
+    :ivar server_notices: notices of servers that entry hosts forwarded.
     """
 
     def __init__(
@@ -257,7 +257,7 @@
         clock: timers.TimerService,
         quota_seconds: float,
     ) -> None:
-        """Look who leads from now on, and answer pings.
+        """Poll who leads from now on, and answer pings.
 
         :param quota_seconds: length of the window over which quotas hold.
         """
@@ -283,39 +283,39 @@
 
     @property
     def changes(self) -> reactivex.Observable[None]:
-        """Fires when another host coordinates."""
+        """Emits when another host becomes the coordinator."""
         return self._changes
 
     def live(self, _domain: ids.FailureDomain) -> list[ids.HostId]:
-        """Give the coordinator: the log's leader, or else this host.
+        """Return the coordinator: the log's leader, or else this host.
 
-        Nobody while this host can't know.
+        :returns: a placeholder while this host recovers from a stall.
         """
         if not self._stall_detector.is_recovered():
             return [_NO_HOST]
         return [self._leader or self._host_id]
 
     def owners(self, _domain: ids.FailureDomain) -> list[ids.HostId]:
-        """List nobody: entry hosts hand over by themselves, at once."""
+        """Return no host: entry hosts hand over by themselves, at once."""
         return []
 
     def is_coordinator(self) -> bool:
-        """Tell whether this host coordinates."""
+        """Return whether this host coordinates."""
         return self._leader in {'', self._host_id}
 
     def is_log_leader(self) -> bool:
-        """Tell whether this host coordinates as the log's leader."""
+        """Return whether this host coordinates as the log's leader."""
         return self._leader == self._host_id
 
     def share(self) -> float:
-        """Give the part of each quota that is granted here."""
+        """Return the share of each quota that is granted here."""
         now = self._clock.now()
         if self._leader:
             return self.entry_hosts.reachable_share(now)
         return self.entry_hosts.reported_share(now)
 
     def close(self) -> None:
-        """Look no more."""
+        """Stop polling."""
         self._poll.dispose()
 
     def _check_log(self) -> None:
@@ -323,7 +323,7 @@
             not self._stall_detector.is_recovered()
             and not self._log.is_leading()
         ):
-            # Its queues are as old as its sleep: let them go.
+            # Its queues are as old as its stall: drop them.
             self._changes.on_next(None)
         if self.is_coordinator():
             self._log_quota_share()
@@ -350,7 +350,7 @@
         return self.entry_hosts.share_of(host_id, now)
 
     def _log_quota_share(self) -> None:
-        """Log the part that is granted here when it has moved."""
+        """Log the share that is granted here when it has changed."""
         quota_share = self.share()
         moved = abs(quota_share - self._logged_share)
         if moved < _MIN_LOGGED_CHANGE and (quota_share < 1 or not moved):
@@ -369,13 +369,13 @@
         sender: ids.HostId,
         ping: ttypes.Ping,
     ) -> ttypes.Pong:
-        # The parts that hosts bring are taken from when this host coordinates.
+        # Initial shares of hosts count from when this host coordinates.
         self._update_leader()
         now = self._clock.now()
         if ping.leaving:
             self.entry_hosts.remove_host(sender)
         else:
-            self.entry_hosts.record_seen(sender, now)
+            self.entry_hosts.heard(sender, now)
         if ping.share is not None:
             self.entry_hosts.set_share(sender, ping.share)
         self._notice_receiver.apply(sender, ping)
--- a/libs/control/geraniumweir/control/leave_collector.py
+++ b/libs/control/geraniumweir/control/leave_collector.py
@@ -1,7 +1,7 @@
-"""What control hosts that aren't watched tell of servers that leave.
+"""Collects leaving servers from control hosts that are not watched.
 
-One that is cut off from the others may have acknowledged a leave that they
-don't know of.
+A control host that is partitioned from the others may have acknowledged a leave
+that they have not received.
 """
 
 import reactivex
@@ -13,12 +13,12 @@
 
 
 class LeaveCollector:
-    """Takes leaves from control hosts that are only looked at."""
+    """Applies the leaves of control hosts that are only probed."""
 
     def __init__(self, servers: enrolments.Enrolments) -> None:
-        """Know nothing of any.
+        """Initialize without answers of any host.
 
-        :param servers: takes what they tell.
+        :param servers: the enrolments that are updated.
         """
         self._servers = servers
         self._positions: dict[ids.HostId, tuple[str, int]] = {}
@@ -26,19 +26,19 @@
 
     @property
     def leaves(self) -> reactivex.Observable[notices.Start]:
-        """Gives servers that were thought ready."""
+        """Emits servers that were taken for ready and leave."""
         return self._leaves
 
     def position(self, host_id: ids.HostId) -> tuple[str, int]:
-        """Give the run and the revision of a host that was seen last."""
+        """Return the epoch and the revision that a host last sent."""
         return self._positions.get(host_id, ('', 0))
 
     def apply(
         self, sender: ids.HostId, update: ttypes.News, now: float
     ) -> bool:
-        """Take what a host told.
+        """Apply the answer of a host.
 
-        :returns: whether it was news.
+        :returns: whether it changed anything.
         """
         self._positions[sender] = (update.epoch, update.revision)
         changed = False
--- a/libs/control/geraniumweir/control/logaccess.py
+++ b/libs/control/geraniumweir/control/logaccess.py
@@ -40,7 +40,7 @@
         return commands.answers(answer)
 
     async def barrier(self, seconds: float) -> int:
-        """Give the index of an entry behind all that was stored before.
+        """Return the index of an entry behind all that was stored before.
 
         :raises errors.UnsureError: when no majority could be asked.
         """
@@ -51,7 +51,7 @@
             raise errors.NotUpToDateError(exc.message) from exc
 
     def has_applied(self, index: int) -> bool:
-        """Tell whether this host has applied an entry."""
+        """Return whether this host has applied an entry."""
         running = self._log.running
         return running is not None and (
             running.recorder.core.applied.height >= index
--- a/libs/control/geraniumweir/control/notice_exchange.py
+++ b/libs/control/geraniumweir/control/notice_exchange.py
@@ -1,8 +1,9 @@
-"""How hosts tell each other of what servers said in their answers.
+"""Exchange of servers' notices between entry hosts and their coordinator.
 
-An entry host tells its coordinator at once, and again with its pings until one
-was answered. The coordinator tells the others with its answers what concerns
-all hosts: only what changed since the last one, whatever the number of hosts.
+A notice is what a server said in its answer. An entry host sends it to its
+coordinator at once, and again with its pings until one was answered. With its
+answers the coordinator publishes what concerns all hosts: only what changed
+since the last answer, whatever the number of hosts.
 """
 
 import itertools
@@ -16,14 +17,14 @@
 from geraniumweir.wire.gen.control import ttypes
 
 _MS = 1000
-# Durations go as 32-bit numbers; a longer one is told as this one.
+# Durations are sent as 32-bit numbers; a longer one is cut to this.
 _MAX_MS = 2_000_000_000
 _NO_HOST = ids.HostId('')
 _NoticeStruct = ttypes.RateLimit | ttypes.Leaving | ttypes.Pause
 
 
 class NoticeSender:
-    """What an entry host tells its coordinator, and hears from it."""
+    """The entry host's end: sends notices to its coordinator."""
 
     def __init__(
         self,
@@ -31,7 +32,7 @@
         known: notices.Notices,
         clock: timers.TimerService,
     ) -> None:
-        """Tell nobody yet."""
+        """Initialize without a coordinator."""
         self._known = known
         self._link = link
         self._clock = clock
@@ -41,7 +42,7 @@
         known.changes.subscribe(self._send_notice)
 
     def set_coordinator(self, host_id: ids.HostId) -> None:
-        """Take that another host coordinates; tell it all that is known."""
+        """Set the coordinator, and send it all notices."""
         self._coordinator_id = host_id
         self._acknowledged_revision = 0
         self._received_revision = 0
@@ -50,9 +51,10 @@
             self._link.send(host_id, pack(known, self._clock.now()))
 
     def fill(self, host_id: ids.HostId, ping: ttypes.Ping) -> int:
-        """Put into a ping what is to be told.
+        """Add the notices that were not acknowledged yet to a ping.
 
-        :returns: how far the host knows all once it has answered.
+        :returns: the revision up to which the host has all notices once it has
+            answered.
         """
         if host_id == self._coordinator_id:
             ping.notices = self._unacknowledged()
@@ -65,9 +67,9 @@
         received: int,
         pong: ttypes.Pong,
     ) -> None:
-        """Take the answer to a ping.
+        """Apply the answer to a ping.
 
-        :param received: what :meth:`fill` gave.
+        :param revision: what :meth:`fill` returned.
         """
         if host_id != self._coordinator_id:
             return
@@ -77,7 +79,7 @@
         self._received_revision = pong.notices_revision or 0
 
     def _send_notice(self, notice: notices.Notice) -> None:
-        """Tell what was heard here ahead of the asks that follow."""
+        """Send a new notice ahead of the slot requests that follow."""
         if self._coordinator_id and notice.host_id != self._coordinator_id:
             now = self._clock.now()
             self._link.send(self._coordinator_id, pack([notice], now))
@@ -90,7 +92,7 @@
 
 
 class NoticeReceiver:
-    """What a coordinator hears from entry hosts, and tells them."""
+    """The coordinator's end: receives notices and answers with them."""
 
     def __init__(
         self,
@@ -98,26 +100,26 @@
         known: notices.Notices,
         clock: timers.TimerService,
     ) -> None:
-        """Take what hosts tell from now on."""
+        """Receive notices from now on."""
         self._known = known
         self._clock = clock
         link.handle(ttypes.Notices, self._on_notices)
 
     def apply(self, sender: ids.HostId, ping: ttypes.Ping) -> None:
-        """Take what came with a ping."""
+        """Apply the notices that came with a ping."""
         if ping.notices is not None:
             apply(self._known, ping.notices, sender, self._clock.now())
 
     def fill(self, ping: ttypes.Ping, pong: ttypes.Pong) -> None:
-        """Put into an answer what the asker doesn't have."""
+        """Add the notices that the sender lacks to an answer."""
         if ping.notices_revision is None:
             return
         known = ping.notices_revision
         if known > self._known.revision:
-            # It heard that from an earlier run of this host.
+            # The revision is of an earlier process of this host.
             known = 0
-        # Leaving servers are told of with the enrolments, and a pause concerns
-        # the host that was asked for it alone.
+        # Leaving servers are published with the enrolments, and a pause
+        # concerns only the host that it was sent to.
         updates = self._known.limits_since(known)
         if updates:
             pong.notices = pack(updates, self._clock.now())
@@ -135,7 +137,7 @@
     found: typing.Iterable[notices.Notice],
     now: float,
 ) -> ttypes.Notices:
-    """Make the message.
+    """Return the message for some notices.
 
     :param now: in seconds.
     """
@@ -166,7 +168,7 @@
     from_host: ids.HostId,
     now: float,
 ) -> None:
-    """Take what another host told; what can't be read is left out.
+    """Apply the notices of another host; skip those that are malformed.
 
     :param now: in seconds.
     """
--- a/libs/control/geraniumweir/control/pool_coordination.py
+++ b/libs/control/geraniumweir/control/pool_coordination.py
@@ -50,7 +50,7 @@
     :ivar shares_slots: whether the share applies to slots too.
     :ivar quota_seconds: length of the window over which quotas hold.
     :ivar tolerance: for what customers used before and isn't known.
-    :ivar hosts: gives how many entry hosts there are, also those that were
+    :ivar hosts: returns how many entry hosts there are, also those that were
         cut off along with the coordinator before.
     :ivar budget: what all hosts together may send again.
     :ivar retries: whom the retries of that are counted for.
@@ -77,7 +77,7 @@
     on_new_leader: typing.Callable[[leader.OnTimeLeader], None] | None = None
 
     def rates(self) -> dict[notices.Start, float]:
-        """Give what may be granted here of the limits of servers."""
+        """Return what may be granted here of the limits of servers."""
         named = self.server_notices.limits() if self.server_notices else {}
         share = self.share() if named else 1
         return {
@@ -93,7 +93,7 @@
         self,
         host_id: ids.HostId,
     ) -> typing.Mapping[notices.Start, float]:
-        """Give the servers that want nothing from a host for a while."""
+        """Return the servers that want nothing from a host for a while."""
         return (
             self.server_notices.pauses(host_id) if self.server_notices else {}
         )
--- a/libs/control/geraniumweir/control/pool_servers.py
+++ b/libs/control/geraniumweir/control/pool_servers.py
@@ -1,8 +1,6 @@
-"""Backend servers in the words of the pool leaders.
+"""The servers of a pool, in the form that pool leaders use.
 
-See Also
-========
-geraniumweir.membership.servers
+See Also ======== geraniumweir.membership.servers
 """
 
 import dataclasses
@@ -17,18 +15,19 @@
 
 _NO_HOST = ids.HostId('')
 _NO_DOMAIN = ids.FailureDomain('')
-# A host that has more than this part of a slot of a server uses one: all
-# together at most twice as many as there are.
+# A host with more than this fraction of a slot of a server uses one slot: all
+# hosts together use at most twice as many as there are.
 _MIN_SLOT_FRACTION = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _SlotShare:
-    """The part of a server's slots that this host may use.
+    """The share of a server's slots that this host may use.
 
-    :ivar whole_slots: slots.
-    :ivar draw: of a slot more, drawn between 0 and 1: the least goes first.
-    :ivar has_extra_slot: that slot is this host's too.
+    :ivar whole_slots: number of whole slots.
+    :ivar draw: pseudo-random number between 0 and 1 that decides about one more
+        slot; the lowest comes first.
+    :ivar has_extra_slot: whether this host may use that slot too.
     """
 
     whole_slots: int
@@ -37,12 +36,12 @@
 
     @property
     def slots(self) -> int:
-        """Give how many these are."""
+        """The number of slots."""
         return self.whole_slots + self.has_extra_slot
 
 
 class PoolServers:
-    """The servers that may get new work, by pool."""
+    """The servers that may get new requests, by pool."""
 
     def __init__(
         self,
@@ -52,10 +51,10 @@
         domain: ids.FailureDomain = _NO_DOMAIN,
         server_notices: notices.Notices | None = None,
     ) -> None:
-        """Look at what a host knows.
+        """Initialize from a host's enrolments.
 
-        :param index: gives the document in force.
-        :param host_id: of this host, where hosts share slots.
+        :param index: returns the document in force.
+        :param host_id: this host, where hosts share slots.
         :param domain: its failure domain.
         :param server_notices: what servers said in their answers.
         """
@@ -70,7 +69,7 @@
         ] = {}
 
     def is_leaving(self, start: notices.Start) -> bool:
-        """Tell whether a start of a server is known to leave or to be gone."""
+        """Return whether an incarnation of a server is leaving or gone."""
         if self._server_notices is not None and self._server_notices.is_leaving(
             start
         ):
@@ -85,9 +84,9 @@
         pool_name: ids.PoolName,
         share: float = 1,
     ) -> list[servers.Announcement]:
-        """List a pool's servers.
+        """Return a pool's servers.
 
-        :param share: part of their slots that may be used.
+        :param share: share of their slots that may be used.
         """
         index = self._index()
         pool = index and index.pool(pool_name)
@@ -112,13 +111,13 @@
         ready: typing.Sequence[enrolments.Enrolment],
         share: float,
     ) -> list[tuple[enrolments.Enrolment, int]]:
-        """Give the servers that this host may use alone, with slots.
+        """Return the servers and slots that this host may use by itself.
 
-        Of a few hosts each uses some slots of every server. Of hundreds each
-        has much less than a slot: it draws the servers of which it uses one,
-        where it reaches them most surely, in its own failure domain, so that
-        together they use as many as there are. One slot of each server for
-        each host would be twenty times that.
+        If there are few hosts, each uses some slots of every server. Of
+        hundreds of hosts each has much less than a slot: it draws the servers
+        of which it uses one, in its own failure domain, where servers are most
+        likely reachable, so that all hosts together use as many slots as there
+        are. One slot of each server for each host would be twenty times that.
         """
         if share * _slots(ready) > _MIN_SLOT_FRACTION * len(ready):
             return [
@@ -154,7 +153,7 @@
         pool: tables.Pool,
         slots: int,
     ) -> servers.Announcement:
-        """Make an announcement, the same object while nothing changed."""
+        """Return an announcement, the same object while nothing changed."""
         cached = self._announcements.get(found.server_id)
         slots = max(slots, 1)
         if cached is not None and cached[0] is found and cached[1] == slots:
--- a/libs/control/geraniumweir/control/presence.py
+++ b/libs/control/geraniumweir/control/presence.py
@@ -52,7 +52,7 @@
     ) -> None:
         """Answer the others from now on.
 
-        :param seeds: gives some control hosts to ask while none of those
+        :param seeds: returns some control hosts to ask while none of those
             that are known is heard.
         """
         self._current_seeds = seeds
--- a/libs/control/geraniumweir/control/recorder_changes.py
+++ b/libs/control/geraniumweir/control/recorder_changes.py
@@ -1,9 +1,9 @@
-"""Decides how the recorders change, without an operator.
+"""Decides how the set of recorders changes, without an operator.
 
-Recorders are added until there are as many as the losses to bear ask for, and
-a recorder that is lost is replaced as soon as there is a host to take its
-place. Decisions are free functions; :mod:`geraniumweir.control.recorders`
-carries them out.
+Recorders are added until there are enough for the number of failures to
+tolerate, and a failed recorder is replaced as soon as a host is available. The
+decisions are pure functions; :mod:`geraniumweir.control.recorders` carries them
+out.
 """
 
 import collections
@@ -13,23 +13,23 @@
 from geraniumweir.common import ids
 from geraniumweir.consensus import members
 
-# A recorder that didn't follow for so long is lost, in seconds: more than an
-# election timeout (1 s), so that a leader change isn't taken for a loss, and
-# short enough that a replacement is in place within the 4 s that a new host
-# is given to catch up.
+# A recorder that did not follow for this long is lost: more than an election
+# timeout (1 s), so that a leader change does not count as a loss, and short
+# enough that a replacement is in place within the 4 s that a new host has to
+# catch up.
 LOST_SECONDS = 1.5
-# A learner that didn't follow for so long is dropped, in seconds; it costs no
-# majority, so a host that is only restarted keeps its place.
+# A learner that did not follow for this long is removed; it does not affect the
+# majority, so a host that only restarts keeps its place.
 REMOVE_LEARNER_SECONDS = 15.0
-# A join is asked for every half second; one that is older is withdrawn.
+# A join is requested every half second; an older one is withdrawn.
 JOIN_EXPIRY_SECONDS = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Join:
-    """A host that wants to be a recorder.
+    """A host's request to become a recorder.
 
-    :ivar requested_at: when it last said so, in seconds.
+    :ivar requested_at: when it was last sent, in seconds.
     """
 
     host_id: ids.HostId
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecorderStatus:
-    """One of the present recorders.
+    """A present recorder and how long it has been silent.
 
     :ivar silence: seconds since it last followed.
     """
@@ -53,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Add:
-    """Make a host a voter; another folder of the same host goes."""
+    """Make a host a voter; replaces another folder of the same host."""
 
     host_id: ids.HostId
     address: str
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replace:
-    """Make a host a voter in the place of one that is lost."""
+    """Make a host a voter in place of a lost one."""
 
     host_id: ids.HostId
     address: str
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Learn:
-    """Let a host follow the log, ready to become a voter."""
+    """Make a host a learner, which can become a voter."""
 
     host_id: ids.HostId
     address: str
@@ -78,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Remove:
-    """Drop a learner that is lost."""
+    """Remove a lost learner."""
 
     host_id: ids.HostId
 
@@ -96,7 +96,7 @@
 
 
 def voters_for(failures: int) -> int:
-    """Give the number of voters for a number of losses at once.
+    """Return the number of voters that tolerates some failures at once.
 
     >>> voters_for(1), voters_for(2)
     (3, 5)
@@ -109,10 +109,10 @@
     joins: typing.Sequence[Join],
     voter_count: int,
 ) -> Change | None:
-    """Choose the next change of the recorders, or None.
+    """Return the next change of the recorders, or None.
 
-    :param joins: hosts that want in now.
-    :param voter_count: of voters wanted.
+    :param joins: hosts that currently request to join.
+    :param voter_count: wanted number of voters.
     """
     voters = [recorder for recorder in recorders if recorder.member.voter]
     learners = [recorder for recorder in recorders if not recorder.member.voter]
@@ -138,7 +138,7 @@
     voters: typing.Sequence[RecorderStatus],
     new_joins: typing.Sequence[Join],
 ) -> Join | None:
-    """Find a voter's host that came back with another folder."""
+    """Return the join of a voter's host that has a new, empty folder."""
     hosts = {recorder.member.host_id for recorder in voters}
     return next((join for join in new_joins if join.host_id in hosts), None)
 
@@ -167,7 +167,7 @@
     candidates: typing.Sequence[_Candidate],
     voter_count: int,
 ) -> Change | None:
-    """Add a voter that is missing, or replace one that is lost."""
+    """Return how to add a missing voter or replace a lost one."""
     domain_counts = collections.Counter(
         recorder.failure_domain
         for recorder in voters
--- a/libs/control/geraniumweir/control/recorders.py
+++ b/libs/control/geraniumweir/control/recorders.py
@@ -81,7 +81,7 @@
         return self._rollouts
 
     def leader(self) -> ids.HostId:
-        """Give the host that leads the log and is heard, or empty."""
+        """Return the host that leads the log and is heard, or empty."""
         if self.running is not None and self.running.recorder.leader():
             return self.running.recorder.leader()
         if self._clock.now() - self._reported_at > _LEADER_REPORT_SECONDS:
@@ -98,11 +98,11 @@
         self._reported_at = self._clock.now()
 
     def is_leading(self) -> bool:
-        """Tell whether this host leads the log."""
+        """Return whether this host leads the log."""
         return self.running is not None and self.running.recorder.is_leading()
 
     def leads_since(self, since: float) -> bool:
-        """Tell whether a majority followed this host's lead since a time.
+        """Return whether a majority followed this host's lead since a time.
 
         :param since: in seconds.
         """
@@ -111,7 +111,7 @@
         return serving.leads_since(self.running.recorder.core, since)
 
     def is_current(self) -> bool:
-        """Tell whether all that was committed a moment ago is applied here."""
+        """Return whether all that was committed a moment ago is applied here."""
         return self.running is not None and self.running.is_sure()
 
     async def run(self) -> None:
@@ -271,7 +271,7 @@
 def newest_of(
     recorders: Recorders,
 ) -> published.PublishedDocument | None:
-    """Give the newest document that this host has applied."""
+    """Return the newest document that this host has applied."""
     if recorders.running is None:
         return None
     return recorders.running.state.published.newest()
--- a/libs/control/geraniumweir/control/rollouts.py
+++ b/libs/control/geraniumweir/control/rollouts.py
@@ -72,7 +72,7 @@
         return [one.rollout for one in self._known.values()]
 
     def of_pool(self, pool: ids.PoolName) -> orders.Rollout | None:
-        """Give a pool's newest order that was applied here."""
+        """Return a pool's newest order that was applied here."""
         found = self._known.get(pool)
         return None if found is None else found.rollout
 
@@ -208,7 +208,7 @@
 
 
 def _progress_key(rollout: orders.Rollout) -> tuple[int, ...]:
-    """Give what grows with each change of a pool's rollouts."""
+    """Return what grows with each change of a pool's rollouts."""
     return (
         rollout.number,
         rollout.state,
@@ -219,7 +219,7 @@
 
 
 def _seconds_since_order(rollout: orders.Rollout) -> float:
-    """Give the seconds since an order, as far as wall clocks tell."""
+    """Return the seconds since an order, as far as wall clocks tell."""
     elapsed_seconds = time.time() - rollout.ordered_ms / _MS
     return (
         min(elapsed_seconds, rollout.seconds)
--- a/libs/control/geraniumweir/control/server_store.py
+++ b/libs/control/geraniumweir/control/server_store.py
@@ -1,9 +1,9 @@
-"""Keeps the enrolled backend servers over a restart of a control host.
+"""Stores the enrolled backend servers over restarts of a control host.
 
-Servers report every second or two; without what was known before, hosts that
-all lost their memory at once could place nothing until then. What is kept
-may be old: a server is only sent what is meant for its run, and one that
-doesn't report falls silent.
+Servers report every second or two; without stored servers, hosts that all
+restart at once could place no request until then. What is stored may be stale:
+a server accepts only requests that are meant for its incarnation, and one that
+does not report is marked silent.
 """
 
 import asyncio
@@ -19,8 +19,8 @@
 from geraniumweir.wire.gen.control import ttypes
 
 _FILE = 'servers'
-# Changes are kept this often at most, in seconds: a sync takes 5 ms on the
-# users' disks and releases bring several changes a second.
+# Shortest interval between writes: a sync takes 5 ms on the users' disks, and
+# releases bring several changes a second.
 _SAVE_SECONDS = 0.5
 
 
@@ -32,13 +32,13 @@
         folder: pathlib.Path,
         table: enrolments.Enrolments,
     ) -> None:
-        """Keep a table in a folder, which is made when missing."""
+        """Open a folder, which is created if it does not exist."""
         self._medium: typing.Final[disk.Disk] = disk.RealDisk(folder)
         self._table = table
         self._saved_digest = table.digest()
 
     def load(self) -> list[enrolments.Enrolment]:
-        """Read what was kept; a file that can't be read counts for nothing."""
+        """Return the stored servers; none if the file is unreadable."""
         try:
             content = wholefiles.load(self._medium, _FILE)
             if content is None:
@@ -50,7 +50,7 @@
         return enrolments.parse_readable(stored.servers or (), _FILE)
 
     async def run(self) -> None:
-        """Keep changes until cancelled."""
+        """Save changes until cancelled."""
         while True:
             await asyncio.sleep(_SAVE_SECONDS)
             digest = self._table.digest()
@@ -58,7 +58,7 @@
                 await self._save(digest)
 
     def close(self) -> None:
-        """Let go of the folder."""
+        """Close the folder."""
         self._medium.close()
 
     async def _save(self, digest: int) -> None:
--- a/libs/control/geraniumweir/control/stall_detector.py
+++ b/libs/control/geraniumweir/control/stall_detector.py
@@ -1,9 +1,9 @@
-"""Notices that this host did nothing for a while, as a frozen one does.
+"""Detects that this host did not run for a while, as after a freeze.
 
-Meanwhile another host may have been elected, and all that is known here of
-entry hosts and their requests is old. A clock that ran on tells it. Until a
-majority of the recorders has followed this host again, or another one leads,
-it coordinates nothing.
+Meanwhile another host may have been elected, and what is stored here about
+entry hosts and their requests is stale. A stall shows in the clock, which
+advanced meanwhile. Until a majority of the recorders has followed this host
+again, or another host leads, this host coordinates nothing.
 """
 
 import typing
@@ -11,30 +11,30 @@
 from geraniumweir.common import eventlog, ids, timers
 from geraniumweir.control import logevents
 
-# A leader that is silent for so long may be replaced, in seconds: the
-# shortest election timeout.
+# A leader that is silent for this long may be replaced: the shortest election
+# timeout.
 _MIN_STALL_SECONDS = 0.5
-# A host that hears no leader for so long after it woke stands in, in seconds:
-# the longest election timeout.
+# A host that finds no leader for this long after a stall stands in: the longest
+# election timeout.
 _RECOVERY_SECONDS = 1.0
 _SECONDS_DIGITS = 2
 
 
 class Log(typing.Protocol):
-    """What is asked of the replicated log."""
+    """What the detector needs of the replicated log."""
 
     def leader(self) -> ids.HostId:
-        """Give the host that leads and is heard, or empty."""
+        """Return the host that leads and is reachable, or empty."""
 
     def is_leading(self) -> bool:
-        """Tell whether this host leads, as far as it knows."""
+        """Return whether this host leads, by what is stored here."""
 
     def leads_since(self, since: float) -> bool:
-        """Tell whether a majority followed this host since a time."""
+        """Return whether a majority followed this host since a time."""
 
 
 class StallDetector:
-    """Whether this host may trust what it knows."""
+    """Decides whether this host may rely on its state."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         log: Log,
         clock: timers.TimerService,
     ) -> None:
-        """Be awake."""
+        """Initialize as a host that has not stalled."""
         self._host_id = host_id
         self._log = log
         self._clock = clock
@@ -50,7 +50,7 @@
         self._stall_ended_at: float | None = None
 
     def is_recovered(self) -> bool:
-        """Tell whether this host is awake; it is asked often."""
+        """Return whether no stall is unconfirmed; must be called often."""
         now = self._clock.now()
         stall_seconds = now - self._checked_at
         self._checked_at = now
--- a/libs/control/geraniumweir/control/tests/bed.py
+++ b/libs/control/geraniumweir/control/tests/bed.py
@@ -100,7 +100,7 @@
         self.feed.notify()
 
     def leads(self) -> bool:
-        """Tell whether it leads the log."""
+        """Return whether it leads the log."""
         return self.log.is_leading()
 
 
@@ -240,7 +240,7 @@
 
 
 def address(name: str) -> ids.Address:
-    """Give the address of a host."""
+    """Return the address of a host."""
     return ids.Address('10.0.0.1', sum(name.encode()))
 
 
--- a/libs/control/geraniumweir/control/tests/test_leadership.py
+++ b/libs/control/geraniumweir/control/tests/test_leadership.py
@@ -10,10 +10,10 @@
 
 
 def _at_cut() -> tuple[leadership.EntryHosts, float]:
-    """Give two hosts with half of all requests each, and what one was told."""
+    """Return two hosts with half of all requests each, and what one was told."""
     hosts = leadership.EntryHosts(quota_seconds=8)
     for name in (_LOST, _NEAR):
-        hosts.record_seen(name, 0)
+        hosts.heard(name, 0)
         hosts.demand.record(name, 100, 0)
     share = hosts.share_of(_LOST, 0)
     hosts.set_share(_LOST, share)
@@ -25,7 +25,7 @@
     """However much comes by the others meanwhile."""
     hosts, share = _at_cut()
     for now in range(1, seconds + 1):
-        hosts.record_seen(_NEAR, now)
+        hosts.heard(_NEAR, now)
         hosts.demand.record(_NEAR, 50, now)
     assert hosts.reachable_share(seconds) + share == pytest.approx(1)
 
@@ -37,7 +37,7 @@
     hosts.start_term(10)
     for now, part in ((10.2, 0.2), (11.2, 1 / 3)):
         for name in (_NEAR, ids.HostId('second'), ids.HostId('third')):
-            hosts.record_seen(name, now)
+            hosts.heard(name, now)
             hosts.set_share(name, part)
     assert hosts.reachable_share(10.2) == 1
     assert hosts.reachable_share(11.2) == pytest.approx(0.6)
@@ -48,7 +48,7 @@
     hosts = leadership.EntryHosts(quota_seconds=8)
     first, second, third = map(ids.HostId, ('first', 'second', 'third'))
     for now, name in ((0, first), (0.5, second), (1, third), (2, first)):
-        hosts.record_seen(name, now)
+        hosts.heard(name, now)
     assert hosts.count_reachable(2) == 2
     assert hosts.count_reachable(2.5) == 1
     assert hosts.count(15.9) == 2
--- a/libs/control/geraniumweir/control/tests/test_quota_over_changes.py
+++ b/libs/control/geraniumweir/control/tests/test_quota_over_changes.py
@@ -155,7 +155,7 @@
                     self._grant(entry)
 
     def _meet(self, found: _Control, entry: _Entry) -> None:
-        found.hosts.record_seen(entry.host_id, self.now)
+        found.hosts.heard(entry.host_id, self.now)
         found.hosts.set_share(entry.host_id, entry.told)
         if entry.turned_to != self.leader:
             entry.turned_to = self.leader
--- a/libs/control/geraniumweir/control/tests/test_quota_over_partitions.py
+++ b/libs/control/geraniumweir/control/tests/test_quota_over_partitions.py
@@ -56,7 +56,7 @@
             self._step()
 
     def most_in_a_window(self) -> float:
-        """Give the most that was granted in any window."""
+        """Return the most that was granted in any window."""
         most: float = 0
         within: float = 0
         oldest = 0
@@ -69,7 +69,7 @@
         return most
 
     def _step(self) -> None:
-        self.hosts.record_seen(_NEAR, self.now)
+        self.hosts.heard(_NEAR, self.now)
         if self.cut_at is None:
             self._meet()
             self._take_all(self.central, (_NEAR, _CUT_OFF))
@@ -79,7 +79,7 @@
             self._take_all(self.alone, ())
 
     def _meet(self) -> None:
-        self.hosts.record_seen(_CUT_OFF, self.now)
+        self.hosts.heard(_CUT_OFF, self.now)
         self.told = self.hosts.share_of(_CUT_OFF, self.now)
         self.hosts.set_share(_CUT_OFF, self.told)
 
@@ -132,7 +132,7 @@
 def test_new_coordinator_takes_no_host_for_returned() -> None:
     """What it heard of hosts before it coordinated says nothing of cuts."""
     hosts = leadership.EntryHosts(_SECONDS)
-    hosts.record_seen(_NEAR, 0)
+    hosts.heard(_NEAR, 0)
     hosts.start_term(5)
-    hosts.record_seen(_NEAR, 5.1)
+    hosts.heard(_NEAR, 5.1)
     assert hosts.reachable_share(5.1) == 1
--- a/libs/control/geraniumweir/control/tests/test_quota_shares.py
+++ b/libs/control/geraniumweir/control/tests/test_quota_shares.py
@@ -21,11 +21,11 @@
         self.told = leader
 
     def leader(self) -> ids.HostId:
-        """Give who leads."""
+        """Return who leads."""
         return self.told
 
     def is_leading(self) -> bool:
-        """Tell whether it is this host."""
+        """Return whether it is this host."""
         return self.told == _HERE
 
     def leads_since(self, _at: float) -> bool:
--- a/libs/control/geraniumweir/control/tests/test_retries_over_changes.py
+++ b/libs/control/geraniumweir/control/tests/test_retries_over_changes.py
@@ -222,7 +222,7 @@
                 self._offer(entry, entry.alone)
 
     def _meet(self, found: _Control, entry: _Entry) -> None:
-        found.hosts.record_seen(entry.host_id, self.now)
+        found.hosts.heard(entry.host_id, self.now)
         if entry.turned_to is not found:
             entry.turned_to = found
             counts = entry.counting.told_to(found.host_id, self.now)
@@ -245,7 +245,7 @@
             self.over = max(self.over, self._over())
 
     def _over(self) -> float:
-        """Give by how many the window that ends now has too many retries."""
+        """Return by how many the window that ends now has too many retries."""
         window = _BUDGET.window
         asked = max(
             sum(end - window < at <= end for at in self.asked)
--- a/libs/control/geraniumweir/control/tests/test_stall_detector.py
+++ b/libs/control/geraniumweir/control/tests/test_stall_detector.py
@@ -25,15 +25,15 @@
         self.contact = float('inf')
 
     def leader(self) -> ids.HostId:
-        """Give who leads."""
+        """Return who leads."""
         return self.told
 
     def is_leading(self) -> bool:
-        """Tell whether it is this host, as far as it knows."""
+        """Return whether it is this host, as far as it knows."""
         return self.told == _HERE
 
     def leads_since(self, at: float) -> bool:
-        """Tell whether a majority followed since then."""
+        """Return whether a majority followed since then."""
         return self.is_leading() and self.contact >= at
 
 
@@ -64,7 +64,7 @@
         return await self._entry.call(_HERE, ping, 1)
 
     def coordinator(self) -> ids.HostId:
-        """Give whom the control host takes for the coordinator."""
+        """Return whom the control host takes for the coordinator."""
         return self.leadership.live(pool_coordination.ALL_DOMAINS)[0]
 
 
--- a/libs/control/geraniumweir/control/tests/test_watching.py
+++ b/libs/control/geraniumweir/control/tests/test_watching.py
@@ -103,7 +103,7 @@
     """A link on which one seed never answers."""
 
     async def introduce(self, address: ids.Address) -> ids.HostId:
-        """Give the host at an address, or wait without end."""
+        """Return the host at an address, or wait without end."""
         if address.port == 1:
             await asyncio.sleep(3600)
         return _CONTROL
--- a/libs/control/geraniumweir/control/usage_codec.py
+++ b/libs/control/geraniumweir/control/usage_codec.py
@@ -1,4 +1,4 @@
-"""How entry hosts tell a new coordinator what they were granted."""
+"""Encoding of the usage that entry hosts report to a new coordinator."""
 
 from geraniumweir.common import ids
 from geraniumweir.scheduling import retrycounts, spending
@@ -6,7 +6,7 @@
 
 
 def pack(spent: spending.Spent) -> ttypes.Spent:
-    """Write it for the wire; amounts are tokens or requests, so whole."""
+    """Return the message; amounts are whole tokens or requests."""
     return ttypes.Spent(
         spent.known_seconds,
         [
@@ -30,7 +30,7 @@
 
 
 def unpack(message: ttypes.Spent) -> spending.Spent:
-    """Read it."""
+    """Return the usage that a message holds."""
     return spending.Spent(
         message.known_seconds,
         {
--- a/libs/control/geraniumweir/control/watch_target.py
+++ b/libs/control/geraniumweir/control/watch_target.py
@@ -35,7 +35,7 @@
             self._failed_at[host_id] = now
 
     def is_avoided(self, host_id: ids.HostId, now: float) -> bool:
-        """Tell whether a host comes after the others for now."""
+        """Return whether a host comes after the others for now."""
         failed_at = self._failed_at.get(host_id, float('-inf'))
         return now - failed_at < _AVOID_SECONDS
 
@@ -55,7 +55,7 @@
         current_id: ids.HostId,
         now: float,
     ) -> ids.HostId | None:
-        """Give a host of this failure domain to look at beside another."""
+        """Return a host of this failure domain to look at beside another."""
         near = [
             host.host_id
             for host in known.nearest_first(self._domain)
--- a/libs/control/geraniumweir/control/watching.py
+++ b/libs/control/geraniumweir/control/watching.py
@@ -117,7 +117,7 @@
         return self._document.version
 
     def rollout(self, pool: ids.PoolName) -> guiding.Sighted | None:
-        """Give a pool's newest order to roll out."""
+        """Return a pool's newest order to roll out."""
         return self._rollouts.get(pool)
 
     async def run(self) -> None:
