--- a/libs/control/geraniumweir/control/active_document.py
+++ b/libs/control/geraniumweir/control/active_document.py
@@ -8,8 +8,8 @@
 from geraniumweir.routing import finding, tables
 from geraniumweir.wire.gen.control import ttypes
 
-# A host that has just started waits so long for a control host that is sure,
-# in seconds: longer than an election after a loss of all control hosts, whose
+# A host that has just started waits this long for a control host that is up to
+# date: longer than an election after a loss of all control hosts, whose
 # snapshots may be old.
 _PENDING_SECONDS = 3.0
 
@@ -17,13 +17,13 @@
 
 
 class ActiveDocument:
-    """Puts newer documents in force, never an older one.
+    """Activates newer documents, never an older one.
 
     :ivar index: the document, or None before the first.
     """
 
     def __init__(self, read: Read) -> None:
-        """Start without any.
+        """Initialize without a document.
 
         :param read: reads a document that was checked when it was published.
         """
@@ -39,10 +39,10 @@
         return ids.Version(-1) if self.index is None else self.index.version
 
     def offer(self, update: ttypes.News) -> bool:
-        """Put a newer document in force; tell whether there was one.
+        """Activate a newer document; return whether there was one.
 
-        The first one must be from a control host that is sure; one of another
-        is kept for :meth:`activate_pending`.
+        The first one must come from an up-to-date control host; one of another
+        host is kept for :meth:`activate_pending`.
         """
         if update.document is None or update.version <= self.version:
             return False
@@ -53,9 +53,9 @@
         return False
 
     def activate_pending(self) -> bool:
-        """Begin with a document that may not be the newest.
+        """Activate a document that may not be the newest.
 
-        :returns: whether there was one, and nobody was sure for long.
+        :returns: whether there was one, and no host was up to date for long.
         """
         uptime_seconds = self._clock.now() - self._started_at
         if self._pending is None or uptime_seconds < _PENDING_SECONDS:
--- a/libs/control/geraniumweir/control/coordinator_client.py
+++ b/libs/control/geraniumweir/control/coordinator_client.py
@@ -1,15 +1,16 @@
-"""Who coordinates the pools, as an entry host sees it.
-
-The host that leads the log does, as long as it answers. When it is silent,
-the control hosts that can be reached are asked: one that leads comes first,
-then the stand-in with the lowest id, so that hosts that reach the same ones
-choose the same. When none answers, this host coordinates its own requests.
-
-An answer is missed after 0.4 s, a request that waits at a lost coordinator
-moves to the next one then. Where control hosts answer and none of them would
-coordinate, they are about to elect a leader. Till then this host grants what
-its part of slots and quotas allows, and refuses nothing for want of them: of
-hundreds of hosts each has less than one request of most customers.
+"""The current coordinator of the pools, as an entry host sees it.
+
+The host that leads the log is the coordinator, as long as it answers. When it
+is silent, the reachable control hosts are pinged: one that leads comes first,
+then the stand-in with the lowest id, so that hosts that reach the same control
+hosts choose the same. When none answers, this host coordinates its own
+requests.
+
+An answer counts as missed after 0.4 s; a request that waits at a lost
+coordinator then moves to the next one. Where control hosts answer and none of
+them coordinates, they are about to elect a leader. Until then this host grants
+what its share of slots and quotas allows, and denies nothing for lack of them:
+with hundreds of hosts, each has less than one request of most customers.
 """
 
 import asyncio
@@ -24,19 +25,19 @@
 from geraniumweir.wire.gen.control import ttypes
 from reactivex import subject
 
-# How often the coordinator is asked for a sign of life, in seconds. Two
-# messages of about 150 bytes each, so 1.5 KB a second.
+# Interval between pings of the coordinator. Two messages of about 150 bytes
+# each, so 1.5 KB a second.
 _PING_SECONDS = 0.2
-# Longest wait for it, in seconds: twice a lost packet's first repeat (0.2 s).
+# Longest wait for the answer: twice the first retransmission of a lost packet
+# (0.2 s).
 _PING_TIMEOUT_SECONDS = 0.4
-# Who leads answers as soon as who stands in, or is silent, in seconds: some
-# ten round trips. To wait for those that are silent takes as long as a missed
-# answer, each time that a coordinator is lost.
+# A leader that runs answers within this time after a stand-in: some ten round
+# trips. Waiting for silent hosts would take as long as a missed answer, each
+# time that a coordinator is lost.
 _LEADER_WAIT_SECONDS = 0.05
-# While an election is awaited, control hosts are asked this often, in seconds.
+# Interval between pings of control hosts while an election is awaited.
 _ELECTION_PING_SECONDS = 0.1
-# The longest silence before an election, another one that came to nothing,
-# and the votes, in seconds.
+# The longest silence before an election, a failed election, and the votes.
 _ELECTION_SECONDS = 2.0
 _NO_HOST = ids.HostId('')
 
@@ -45,7 +46,7 @@
 class _Answers:
     """Control hosts that answered.
 
-    :ivar number: of all that did.
+    :ivar number: of all that answered.
     """
 
     leaders: list[ids.HostId]
@@ -65,7 +66,7 @@
 
 
 class CoordinatorClient:
-    """The coordinator as this host sees it; see :class:`views.HostView`."""
+    """The coordinator as an entry host sees it; see :class:`views.HostView`."""
 
     def __init__(
         self,
@@ -75,12 +76,12 @@
         usage_for: typing.Callable[[ids.HostId], spending.Spent],
         server_notices: notices.Notices,
     ) -> None:
-        """Know of none yet.
+        """Initialize without a coordinator.
 
         :param domain: this host's failure domain.
-        :param usage_for: returns what this host was granted, for a coordinator
-            that is new.
-        :param server_notices: what this host knows of what servers said.
+        :param usage_for: returns what this host was granted, for a new
+            coordinator.
+        :param server_notices: notices of servers that this host has.
         """
         self._usage_for = usage_for
         self._link = link
@@ -99,15 +100,15 @@
 
     @property
     def changes(self) -> reactivex.Observable[None]:
-        """Fires when another host coordinates."""
+        """Emits when another host becomes the coordinator."""
         return self._changes
 
     def live(self, _domain: ids.FailureDomain) -> list[ids.HostId]:
-        """Return the coordinator; none means that this host is alone."""
+        """Return the coordinator; an empty list if this host is alone."""
         return [self._coordinator_id] if self._coordinator_id else []
 
     def owners(self, _domain: ids.FailureDomain) -> list[ids.HostId]:
-        """List nobody else: this host leads for itself only."""
+        """Return no other host: this host leads only for itself."""
         return []
 
     def is_alone(self) -> bool:
@@ -119,19 +120,19 @@
         return self._awaits_election
 
     def hosts(self) -> int:
-        """Return how many entry hosts there are, as far as is known."""
+        """Return the last reported number of entry hosts."""
         return self._host_count
 
     def share(self) -> float:
-        """Return the part of capacity and quotas that a host alone may use."""
+        """Return the share of slots and quotas that this host may use alone."""
         return self._share or 1 / max(self._host_count, 1)
 
     def coordinator_id(self) -> ids.HostId:
-        """Return who coordinates for this host; itself where it is alone."""
+        """Return this host's coordinator: itself where it is alone."""
         return self._coordinator_id or self._link.host_id
 
     async def run(self) -> None:
-        """Look after the coordinator until cancelled."""
+        """Ping and replace the coordinator until cancelled."""
         while True:
             started = self._clock.now()
             pong = (
@@ -150,13 +151,13 @@
             await asyncio.sleep(max(period - took, 0))
 
     async def leave(self) -> None:
-        """Say farewell, so that the quota of this host goes to the others."""
+        """Announce the end of this host, so that others get its quota."""
         if self._coordinator_id:
             ping = ttypes.Ping(self._domain, leaving=True)
             self._link.send(self._coordinator_id, ping)
 
     async def _search(self) -> None:
-        """Ask all control hosts at once, until one says that it leads."""
+        """Ping all control hosts at once, until one answers that it leads."""
         pending_hosts = {
             asyncio.create_task(self._ping(host.host_id)): host.host_id
             for host in self._known.known()
@@ -179,8 +180,8 @@
                 break
             candidates += found.stand_ins
             answered += found.number
-            # A leader that is busy is waited for once, one that is lost isn't
-            # waited for each time.
+            # A busy leader is waited for once; a lost leader is not waited
+            # for each time.
             if candidates or (answered and self._awaits_election):
                 deadline = min(
                     deadline, self._clock.now() + _LEADER_WAIT_SECONDS
@@ -195,9 +196,9 @@
         self._set_coordinator(min(candidates, default=_NO_HOST))
 
     def _record_no_coordinator(self, answered: int) -> None:
-        """Take that nobody coordinates.
+        """Record that no host coordinates.
 
-        :param answered: number of control hosts that can be reached.
+        :param answered: number of control hosts that are reachable.
         """
         now = self._clock.now()
         if self._lost_at is None:
@@ -239,7 +240,7 @@
         )
         self._coordinator_id = host_id
         if host_id:
-            # Ahead of the requests, so that it knows when they are counted.
+            # Ahead of the requests, so that it has the usage when it counts.
             self._link.send(host_id, usage_codec.pack(self._usage_for(host_id)))
         self._notice_sender.set_coordinator(host_id)
         self._changes.on_next(None)
--- a/libs/control/geraniumweir/control/documents.py
+++ b/libs/control/geraniumweir/control/documents.py
@@ -1,4 +1,4 @@
-"""Publishing and reading the newest document from any control host."""
+"""Publishes and reads the newest document from any control host."""
 
 import time
 
@@ -16,15 +16,15 @@
 from geraniumweir.wire.gen.control import ttypes
 
 _MS = 1000
-# Callers of control turn to another host after a second without an answer;
-# an answer within it, whatever it says, saves them the wait. In seconds.
+# Clients of the control address switch to another host after a second without
+# an answer; any answer within it saves them the wait.
 _PUBLISH_SECONDS = 0.9
-# A read within the same second; a tenth is left to answer it.
+# A read must end within the same second; a tenth is left to answer it.
 _READ_SECONDS = 0.8
 
 
 class Documents:
-    """The published document, over the log."""
+    """The published document, in the replicated log."""
 
     def __init__(
         self,
@@ -41,10 +41,10 @@
         link.handle(ttypes.ReadNewest, self._on_read)
 
     async def publish(self, version: ids.Version, document: bytes) -> None:
-        """Store a document; done once a majority of recorders synced it.
+        """Store a document; returns once a majority of recorders synced it.
 
         :param document: has been checked.
-        :raises errors.NotStoredError: when it isn't sure that it was.
+        :raises errors.NotStoredError: when it may not have been stored.
         """
         at_ms = int(time.time() * _MS)
         command = commands.publish(version, document, at_ms)
@@ -65,10 +65,10 @@
         )
 
     async def newest(self) -> published.PublishedDocument | None:
-        """Read the newest document, all that was stored before included.
+        """Return the newest document, all that was stored before included.
 
         :returns: None before the first.
-        :raises errors.UnsureError: when no majority could be asked.
+        :raises errors.NotUpToDateError: when no majority could be reached.
         """
         try:
             index = await self._access.barrier(_READ_SECONDS)
@@ -83,7 +83,7 @@
         self,
         index: int,
     ) -> published.PublishedDocument | None:
-        """Read at a host that leads the log; this one lags behind it."""
+        """Read from another host, the leader first; this one lags behind."""
         leader = self._log.leader()
         others = [
             host.host_id
@@ -102,7 +102,7 @@
                 continue
             if found.known:
                 return _unpacked(found)
-        reason = 'no recorder has applied the newest entry'
+        reason = 'no reachable recorder has applied the newest log entry'
         eventlog.emit(logevents.READ_NOT_CURRENT, reason=reason)
         raise errors.NotUpToDateError(reason)
 
--- a/libs/control/geraniumweir/control/enrolments.py
+++ b/libs/control/geraniumweir/control/enrolments.py
@@ -1,13 +1,13 @@
-"""Backend servers by their own reports, as a control host knows them.
+"""Backend servers by their own reports, as stored on a control host.
 
-A server may start again under its id, and tells its starts apart by when they
-were. The later start replaces all that was believed of the one before; a
-report of an earlier one that was held up changes nothing. Within a start the
-sequence decides which report is newer; leaving and gone are never taken back.
-A server that reports no more is kept, marked silent: it may be cut off from
-control hosts alone and still do its work.
+A server may start again under its id; its incarnations are told apart by their
+start times. A later incarnation replaces all that was stored of the one before;
+a delayed report of an earlier one changes nothing. Within an incarnation the
+sequence decides which report is newer; the states leaving and gone are final. A
+server that stops reporting is kept and marked silent: it may be partitioned
+from control hosts alone and still work.
 
-Every change gets a revision, so that a reader is told only what is new.
+Every change gets a revision, so that a reader receives only what is new.
 """
 
 import dataclasses
@@ -20,23 +20,22 @@
 from geraniumweir.scheduling import notices
 from geraniumweir.wire.gen.control import ttypes
 
-# A silent server that nobody heard of for so long is forgotten, in seconds.
-# Longer than any cut that was asked to be survived (7 s).
+# A silent server that no host has seen for this long is removed: longer than
+# any partition that must be survived (7 s).
 EVICT_SILENT_SECONDS = 30.0
-# A server that has gone is remembered, so that a report of its that was held
-# up doesn't bring it back, in seconds.
+# A server that has gone is kept this long, so that a delayed report does not
+# bring it back.
 EVICT_GONE_SECONDS = 120.0
-# Digests travel as signed numbers of 64 bits.
+# Digests are sent as signed 64-bit numbers.
 _DIGEST_SHIFT = 1
 _NO_HOSTS: typing.Final[frozenset[ids.HostId]] = frozenset()
-# What a server that doesn't say when it was started counts as: earlier than
-# any that does.
+# Start time of a server that does not report one: earlier than any other.
 UNKNOWN_START_MS = 0
 _NO_ADDRESS: typing.Final = ids.Address('0.0.0.0', 0)
 
 
 class State(enum.IntEnum):
-    """What a server last said of itself; grows within its start."""
+    """The last reported state of a server; only grows in an incarnation."""
 
     ready = 1
     leaving = 2
@@ -45,12 +44,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Enrolment:
-    """One start of a backend server.
+    """One incarnation of a backend server.
 
-    :ivar sequence: grows with each report of the start.
-    :ivar silent: no report came for longer than a lease.
+    :ivar sequence: grows with each report of the incarnation.
+    :ivar silent: no report arrived for longer than a lease.
     :ivar born: when it was started, in Unix milliseconds.
-    :ivar version: of its software, empty where it doesn't say.
+    :ivar version: of its software, empty if it does not report one.
     :ivar cold: it is still slow after its start.
     """
 
@@ -69,7 +68,7 @@
 
     @property
     def start(self) -> notices.Start:
-        """Which start of the server this is."""
+        """The server's id and incarnation."""
         return self.server_id, ids.Incarnation(self.born)
 
     def to_wire(self) -> ttypes.Enrolment:
@@ -115,9 +114,9 @@
     received: typing.Iterable[ttypes.Enrolment],
     sender: str,
 ) -> list[Enrolment]:
-    """Read structs; one that can't be read is told in the log and left out.
+    """Return what structs describe; log and skip malformed ones.
 
-    :param sender: where they come from, for the log.
+    :param sender: the host or file that they come from, for the log.
     """
     found = []
     for one in received:
@@ -134,11 +133,11 @@
 
 @dataclasses.dataclass(slots=True)
 class _Row:
-    """An enrolment and what this host knows about it.
+    """An enrolment and what this host stores about it.
 
     :ivar revision: of its last change.
-    :ivar last_seen_at: when it was last told of, in seconds.
-    :ivar sender: the control host that hears the server itself.
+    :ivar last_seen_at: when it last arrived, in seconds.
+    :ivar sender: the control host to which the server reports.
     """
 
     enrolment: Enrolment
@@ -148,16 +147,16 @@
 
 
 class Enrolments:
-    """All backend servers that one control host knows.
+    """All backend servers that one control host has in memory.
 
     :ivar revision: of the last change.
     """
 
     def __init__(self, host_id: ids.HostId, lease_seconds: float) -> None:
-        """Know of none.
+        """Initialize without servers.
 
         :param host_id: this host's.
-        :param lease_seconds: longest pause between reports, in seconds.
+        :param lease_seconds: longest pause between reports.
         """
         self.revision = 0
         self._me = host_id
@@ -167,10 +166,10 @@
         self._digest: int | None = None
 
     def report(self, reported: Enrolment, now: float) -> bool:
-        """Take a server's own report.
+        """Apply a server's own report.
 
-        :returns: whether other control hosts must be told: of the change, or
-            that the server reports here now.
+        :returns: whether other control hosts must be notified: of the change,
+            or that the server reports here now.
         """
         known = self._rows.get(reported.server_id)
         if known is not None and _recency(known.enrolment) > _recency(reported):
@@ -184,13 +183,10 @@
         now: float,
         born: int | None = None,
     ) -> Enrolment | None:
-        """Take that a server says it is going.
+        """Record that a server said that it is going.
 
-        One that nobody knows is remembered all the same: its first report may
-        have been held up by a cut, and come after this.
-
-        :param born: the start that goes; None where it wasn't said.
-        :returns: what others must be told, or None when there is nothing.
+        An unknown server is recorded all the same: a partition may have delayed
+        its first report until after this.
         """
         known = self._rows.get(server_id)
         before = (
@@ -210,9 +206,9 @@
         born: int,
         now: float,
     ) -> Enrolment | None:
-        """Take that a start of a server told an entry host that it leaves.
+        """Record that an incarnation told an entry host that it leaves.
 
-        :returns: what others must be told, or None when there is nothing.
+        :returns: the change to publish, or None if there is none.
         """
         known = self._rows.get(server_id)
         if known is None or known.enrolment.born < born:
@@ -228,12 +224,12 @@
     def merge(
         self, received: Enrolment, now: float, sender: ids.HostId
     ) -> bool:
-        """Take what another control host knows.
+        """Apply an enrolment of another control host.
 
-        Within a start the higher sequence says whether the server is silent;
-        at the same one silence is the later news.
+        Within an incarnation the higher sequence decides whether the server is
+        silent; at equal sequences silence is the newer state.
 
-        :returns: whether it was news.
+        :returns: whether it changed anything.
         """
         known = self._rows.get(received.server_id)
         if known is None or _recency(received) > _recency(known.enrolment):
@@ -257,11 +253,11 @@
         now: float,
         absent: frozenset[ids.HostId] = _NO_HOSTS,
     ) -> list[Enrolment]:
-        """Mark silent servers and forget old ones.
+        """Mark silent servers and remove old ones.
 
-        :param absent: control hosts that aren't heard; servers that reported
-            there have had a lease's time to report elsewhere.
-        :returns: those that fell silent.
+        :param absent: unreachable control hosts; servers that reported there
+            have had a lease's time to report elsewhere.
+        :returns: those that became silent.
         """
         newly_silent = []
         for server_id, row in list(self._rows.items()):
@@ -274,22 +270,22 @@
         return newly_silent
 
     def remove(self, server_id: ids.ServerId) -> None:
-        """Drop what is known of a server."""
+        """Remove a server."""
         self._rows.pop(server_id, None)
         self._departing.discard(server_id)
         self._digest = None
 
     def get(self, server_id: ids.ServerId) -> Enrolment | None:
-        """Return what is known of a server."""
+        """Return a server's enrolment, None if it is unknown."""
         row = self._rows.get(server_id)
         return None if row is None else row.enrolment
 
     def known(self) -> list[Enrolment]:
-        """List all, also those that have gone, by id."""
+        """Return all enrolments, also of gone servers, ordered by id."""
         return [row.enrolment for _, row in sorted(self._rows.items())]
 
     def changed_since(self, revision: int) -> list[Enrolment]:
-        """List those that changed after a revision."""
+        """Return those that changed after a revision."""
         return [
             row.enrolment
             for row in self._rows.values()
@@ -297,12 +293,12 @@
         ]
 
     def departing_since(self, revision: int) -> list[Enrolment]:
-        """List those that leave or are gone and changed after a revision."""
+        """Return those that leave or are gone and changed after a revision."""
         rows = (self._rows[server_id] for server_id in self._departing)
         return [row.enrolment for row in rows if row.revision > revision]
 
     def digest(self) -> int:
-        """Return a number that is the same where the same is known."""
+        """Return a number that is equal on hosts with equal enrolments."""
         if self._digest is None:
             text = repr([_content(found) for found in self.known()])
             digest = xxhash.xxh3_64_intdigest(text.encode())
@@ -335,7 +331,7 @@
         if dataclasses.replace(merged, sequence=before.sequence) != before:
             self._store(merged, now, sender)
             return True
-        # Only the sequence is newer: readers need not hear of it.
+        # Only the sequence is newer: readers need no update.
         known.enrolment = merged
         known.last_seen_at = now
         known.sender = sender
@@ -352,7 +348,7 @@
 
 
 def _placeholder(server_id: ids.ServerId, born: int | None) -> Enrolment:
-    """Return what is known of a server that never reported."""
+    """Return the enrolment of a server that never reported."""
     return Enrolment(
         server_id=server_id,
         pool=ids.PoolName(''),
@@ -365,14 +361,14 @@
 
 
 def _recency(found: Enrolment) -> tuple[int, int]:
-    """Return the greater value, the newer what is known of a server."""
+    """Return a key that grows with newer enrolments of a server."""
     return found.born, found.sequence
 
 
 def _content(found: Enrolment) -> tuple[str, int, int, bool]:
     """Return what two hosts compare.
 
-    The sequence isn't among it: it grows with each report at one host only.
+    The sequence is left out: it grows with each report at one host only.
     """
     return (found.server_id, found.born, int(found.state), found.silent)
 
--- a/libs/control/geraniumweir/control/errors.py
+++ b/libs/control/geraniumweir/control/errors.py
@@ -4,30 +4,30 @@
 
 
 class ControlError(errors.GeraniumweirError):
-    """Something a control host was asked for can't be done."""
+    """A request to a control host that cannot be carried out."""
 
     code = 'GW-7300'
 
 
 class NotUpToDateError(ControlError):
-    """This host can't be sure which document or order is the newest."""
+    """This host may not have the newest document or order."""
 
     code = 'GW-7301'
 
 
 class NotStoredError(ControlError):
-    """Something wasn't stored, or it isn't known whether it was."""
+    """Something was not stored, or may not have been."""
 
     code = 'GW-7302'
 
 
 class RolloutInProgressError(ControlError):
-    """Another rollout of the pool is under way."""
+    """Another rollout of the pool is in progress."""
 
     code = 'GW-7303'
 
 
 class NothingToRollOutError(ControlError):
-    """A pool to roll out to isn't known, or has moved already."""
+    """The pool of a rollout is unknown, or has moved already."""
 
     code = 'GW-7304'
--- a/libs/control/geraniumweir/control/feed.py
+++ b/libs/control/geraniumweir/control/feed.py
@@ -1,8 +1,8 @@
-"""What control hosts tell those that watch them.
+"""Updates from control hosts to the hosts that watch them.
 
-A watch is answered when there is something newer than the watcher has, or
-when its wait is over. The document goes compressed, and only when its version
-is newer.
+A watch is answered when there is something newer than the watcher has, or when
+its wait is over. The document is sent compressed, and only when its version is
+newer.
 """
 
 import asyncio
@@ -24,12 +24,12 @@
 from geraniumweir.wire.gen.control import ttypes
 
 _MS = 1000
-# A watch is answered by then, whatever its reader asked for, in seconds: the
-# reader takes silence for a lost host.
+# A watch is answered by then, whatever wait the reader requested: the reader
+# takes silence for a lost host.
 _MAX_WAIT_SECONDS = 2.0
-# Enrolments come one by one; readers are told of those that come within this
-# time together, in seconds. It counts for nothing beside the 2 s in which a
-# leaving server must be known everywhere.
+# Enrolments arrive one by one; those that arrive within this time are sent
+# together. It is negligible compared with the 2 s in which a leaving server
+# must be known everywhere.
 _GATHER_SECONDS = 0.001
 
 
@@ -62,12 +62,12 @@
         link.handle(ttypes.Watch, self._on_watch)
 
     def notify(self) -> None:
-        """Wake the watchers: an enrolment changed."""
+        """Answer waiting watches: an enrolment changed."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     def _set_newest(self, document: published.PublishedDocument) -> None:
-        # A recorder that was opened again replays what is older.
+        # A recorder that was reopened replays older documents.
         if self._newest is None or document.version > self._newest.version:
             self._newest = document
             self.notify()
@@ -104,8 +104,8 @@
         return self._log.is_current()
 
     def _is_newer(self, watch: ttypes.Watch) -> bool:
-        # What is applied here is committed, so that it is newer wherever its
-        # version is higher, whether or not there is something newer still.
+        # What is applied here is committed, so a higher version is newer,
+        # whether or not there is a still newer one elsewhere.
         if self._newest is None:
             return False
         return self._newest.version > watch.version
--- a/libs/control/geraniumweir/control/host.py
+++ b/libs/control/geraniumweir/control/host.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a control host together."""
+"""Assembles a control host."""
 
 import asyncio
 import contextlib
@@ -42,26 +42,25 @@
 
 # Reports that a server may miss before it counts as silent.
 _MAX_MISSED_REPORTS = 3
-# A host that started so long ago has heard of all servers, in seconds: before,
-# those that it knows may be only the new ones.
+# A host that started this long ago has received all servers; before, it may
+# have only the new ones.
 _MIN_UPTIME_SECONDS = 10.0
-# Operators send an order again for so long where its answer was lost, if
-# nothing else is said, in seconds.
+# Default time in which operators send an order again where its answer was lost.
 _RESEND_SECONDS = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """What a control host is told.
+    """Settings of a control host.
 
     :ivar seeds: peer addresses of some control hosts, by host id.
-    :ivar current_seeds: returns the seeds of now, which may have changed.
+    :ivar current_seeds: returns the present seeds, which may have changed.
     :ivar may_create_log: whether the seeds may create a log (first start).
-    :ivar bears: losses of recorders at once to bear.
+    :ivar bears: number of simultaneous losses of recorders to tolerate.
     :ivar quota_seconds: length of the window over which quotas hold.
-    :ivar tolerance: for what customers used before and isn't known.
+    :ivar tolerance: for unknown usage of customers in the past.
     :ivar report_seconds: the usual pause between a server's reports.
-    :ivar exposure: what a bad version of servers may get.
+    :ivar exposure: limits of what a bad version of servers may receive.
     :ivar again_seconds: how long operators may send an order again.
     """
 
@@ -85,7 +84,7 @@
     :ivar servers: the enrolled backend servers.
     :ivar documents: publishes and reads the document.
     :ivar rollouts: orders to move pools to new versions of their servers.
-    :ivar hosts: the control hosts known.
+    :ivar hosts: the known control hosts.
     """
 
     def __init__(
@@ -94,7 +93,7 @@
         layer: tcp.TcpPeers,
         read: active_document.Read,
     ) -> None:
-        """Put them together; :meth:`run` starts them."""
+        """Assemble the parts; :meth:`run` starts them."""
         self._cfg = cfg
         self._read = read
         self._clock = timers.TimerService()
@@ -187,7 +186,7 @@
 
     @property
     def changes(self) -> reactivex.Observable[None]:
-        """Fires when servers or the document changed."""
+        """Emits when servers or the document changed."""
         return self._changes
 
     async def run(self, stack: contextlib.AsyncExitStack) -> None:
@@ -208,7 +207,7 @@
             stack.push_async_callback(_cancel, task)
 
     def report(self, report_read: enrolments.Enrolment) -> hosts.ControlHost:
-        """Take a backend server's report.
+        """Apply a backend server's report.
 
         :returns: where it should report next: in its own failure domain.
         """
@@ -221,9 +220,9 @@
         return self._nearest_host(report_read.failure_domain)
 
     def leave(self, server_id: ids.ServerId, born: int | None) -> None:
-        """Take that a backend server is going.
+        """Record that a backend server is going.
 
-        :param born: the start that goes; None where it wasn't said.
+        :param born: the incarnation that ends; None if it was not given.
         """
         marked = self.servers.mark_gone(server_id, self._clock.now(), born)
         if marked is not None:
@@ -238,11 +237,12 @@
     ) -> None:
         """Order that a pool's traffic moves to a version of its servers.
 
-        :param seconds: in which all of it should have moved.
-        :raises errors.UnsureError: when this host may not know the pool yet.
-        :raises errors.NothingToMoveError: when there is nothing to do.
-        :raises errors.NotStoredError: when it isn't sure that it was stored.
-        :raises errors.RolloutRunsError: when another one is under way.
+        :param seconds: time in which all of it should have moved.
+        :raises errors.NotUpToDateError: when this host may not have the pool
+            yet.
+        :raises errors.NothingToRollOutError: when there is nothing to do.
+        :raises errors.NotStoredError: when it may not have been stored.
+        :raises errors.RolloutInProgressError: when another one is in progress.
         """
         before = self.rollouts.of_pool(pool)
         if before is None or before.to != to:
@@ -255,9 +255,11 @@
         to: ids.SoftwareVersion,
     ) -> None:
         if not self.log.is_current():
-            raise errors.NotUpToDateError('this host is behind the log')
+            raise errors.NotUpToDateError(
+                'this host has not applied all committed log entries'
+            )
         if self.index is None or self.index.pool(pool) is None:
-            raise errors.NothingToRollOutError(f'there is no pool {pool}')
+            raise errors.NothingToRollOutError(f'unknown pool {pool}')
         versions = {
             one.version
             for one in self.servers.known()
@@ -265,16 +267,18 @@
         }
         up_for = self._clock.now() - self._started
         if versions == {to} and up_for > _MIN_UPTIME_SECONDS:
-            raise errors.NothingToRollOutError(f'{to} serves all of {pool}')
+            raise errors.NothingToRollOutError(
+                f'{to} is already the version of all servers of {pool}'
+            )
 
     def _remove_old_versions(self, rollout: orders.Rollout) -> None:
-        """Take that the servers of old versions stop now, without a word."""
+        """Record that the servers of old versions stop now, unannounced."""
         for one in self.servers.known():
             if one.pool == rollout.pool and one.version != rollout.to:
                 self.leave(one.server_id, one.born)
 
     def _load_servers(self) -> server_store.ServerStore:
-        """Take the servers of before the start."""
+        """Merge the servers that were stored before the start."""
         store = server_store.ServerStore(
             self._cfg.folder.with_name('servers'),
             self.servers,
@@ -298,7 +302,7 @@
         return near[0] if near else self._cfg.me
 
     def _leaders(self) -> list[leader.OnTimeLeader]:
-        """List the leaders of the pools that are coordinated here."""
+        """Return the leaders of the pools that are coordinated here."""
         found = map(self._service.leader, self._service.pools())
         return [one for one in found if isinstance(one, leader.OnTimeLeader)]
 
--- a/libs/control/geraniumweir/control/logaccess.py
+++ b/libs/control/geraniumweir/control/logaccess.py
@@ -1,4 +1,4 @@
-"""Proposing to the replicated log and reading from it, at a control host."""
+"""Access of a control host to the replicated log."""
 
 from geraniumweir.configuration import commands
 from geraniumweir.consensus import client
@@ -9,7 +9,7 @@
 
 
 class LogAccess:
-    """The log as any control host reaches it, whoever leads."""
+    """The log as any control host reaches it, whichever host leads."""
 
     def __init__(
         self,
@@ -17,7 +17,7 @@
         log: recorders.Recorders,
         known: hosts.ControlHosts,
     ) -> None:
-        """Ask the control hosts that are known."""
+        """Initialize from the known control hosts."""
         self._log = log
         self._known = known
         self._client = client.LogClient(link, [])
@@ -27,10 +27,10 @@
         command: bytes,
         seconds: float,
     ) -> list[ttypes.StepAnswer]:
-        """Have a command stored; done once a majority synced it.
+        """Have a command stored; returns once a majority synced it.
 
         :returns: the answers of its steps.
-        :raises errors.NotStoredError: when it isn't sure that it was.
+        :raises errors.NotStoredError: when it may not have been stored.
         """
         self._learn()
         try:
@@ -40,9 +40,9 @@
         return commands.answers(answer)
 
     async def barrier(self, seconds: float) -> int:
-        """Return the index of an entry behind all that was stored before.
+        """Return the index of an entry after all that was stored before.
 
-        :raises errors.UnsureError: when no majority could be asked.
+        :raises errors.NotUpToDateError: when no majority could be reached.
         """
         self._learn()
         try:
--- a/libs/control/geraniumweir/control/logevents.py
+++ b/libs/control/geraniumweir/control/logevents.py
@@ -10,91 +10,101 @@
 SERVER_CHANGED: typing.Final = _Event(
     750,
     _Level.notice,
-    'server {server} of {pool} at {address}, started {born}, is {state},'
-    ' sequence {sequence}, silent {silent}',
+    'server {server} of pool {pool} at {address}, started at {born}, is'
+    ' {state}; sequence {sequence}, silent: {silent}',
 )
 RECORDER_OPENED: typing.Final = _Event(
-    751, _Level.notice, 'recorder {identity} runs'
+    751, _Level.notice, 'recorder {identity} is running'
 )
 RECORDER_REOPENED: typing.Final = _Event(
-    752, _Level.warning, 'the recorder stopped and is opened again: {reason}'
+    752, _Level.warning, 'recorder stopped and will be reopened: {reason}'
 )
 RECORDERS_CHANGE: typing.Final = _Event(
-    753, _Level.notice, 'recorders change: {change}'
+    753, _Level.notice, 'changing the recorders: {change}'
 )
 RECORDERS_UNCHANGED: typing.Final = _Event(
-    754, _Level.warning, 'recorders could not change: {change}: {reason}'
+    754, _Level.warning, 'change of the recorders failed: {change}: {reason}'
 )
 COORDINATION_STARTED: typing.Final = _Event(
-    755, _Level.notice, 'this host coordinates; leads the log: {leads}'
+    755,
+    _Level.notice,
+    'this host became the coordinator; leads the log: {leads}',
 )
 COORDINATION_ENDED: typing.Final = _Event(
-    756, _Level.notice, 'this host coordinates no more'
+    756, _Level.notice, 'this host is no longer the coordinator'
 )
 DOCUMENT_PUBLISHED: typing.Final = _Event(
-    757, _Level.notice, 'version {version} published, taken: {taken}'
+    757,
+    _Level.notice,
+    'document version {version} published; accepted: {taken}',
 )
 DOCUMENT_REFUSED: typing.Final = _Event(
-    758, _Level.notice, 'document refused: {reason}'
+    758, _Level.notice, 'document rejected: {reason}'
 )
 DOCUMENT_NOT_STORED: typing.Final = _Event(
-    759, _Level.warning, 'version {version} not surely stored: {reason}'
+    759,
+    _Level.warning,
+    'document version {version} may not have been stored: {reason}',
 )
 WATCHES: typing.Final = _Event(
-    760, _Level.notice, 'watches control host {host}'
+    760, _Level.notice, 'watching control host {host}'
 )
 WATCH_LOST: typing.Final = _Event(
-    761, _Level.warning, 'lost control host {host}: {reason}'
+    761, _Level.warning, 'watch of control host {host} failed: {reason}'
 )
 COORDINATOR: typing.Final = _Event(
-    762, _Level.notice, 'coordinator is {host}, was {before}'
+    762, _Level.notice, 'coordinator changed to {host} from {before}'
 )
 DOCUMENT_IN_FORCE: typing.Final = _Event(
-    763, _Level.notice, 'version {version} in force, was {before}'
+    763,
+    _Level.notice,
+    'document version {version} in force; previously {before}',
 )
 DOCUMENT_UNREADABLE: typing.Final = _Event(
-    764, _Level.error, 'version {version} can not be read: {reason}'
+    764, _Level.error, 'document version {version} is unreadable: {reason}'
 )
 READ_NOT_CURRENT: typing.Final = _Event(
-    765, _Level.warning, 'the newest document is not sure: {reason}'
+    765, _Level.warning, 'read of the newest document failed: {reason}'
 )
 CONTROL_HOST_UNREACHABLE: typing.Final = _Event(
-    766, _Level.warning, 'control host {host} is not heard: {reason}'
+    766, _Level.warning, 'control host {host} is unreachable: {reason}'
 )
 CONTROL_HOST_REACHABLE: typing.Final = _Event(
-    767, _Level.notice, 'control host {host} is heard'
+    767, _Level.notice, 'control host {host} is reachable again'
 )
 ELECTION_AWAITED: typing.Final = _Event(
     775,
     _Level.notice,
-    'an election is under way: {answered} control hosts answer, none leads',
+    'awaiting an election: {answered} control hosts answer, none leads',
 )
 HOST_STALLED: typing.Final = _Event(
     776,
     _Level.warning,
-    'this host did nothing for {seconds} s; it coordinates once it is sure',
+    'this host stalled for {seconds} s; it coordinates only once confirmed',
 )
 SERVERS_NOT_SAVED: typing.Final = _Event(
-    768, _Level.warning, 'the servers could not be kept or read: {reason}'
+    768, _Level.warning, 'enrolled servers could not be saved or read: {reason}'
 )
 QUOTA_SHARE: typing.Final = _Event(
     769,
     _Level.notice,
-    'grants {part} of each quota, hears {heard} of {hosts} entry hosts',
+    'granting {part} of each quota; {heard} of {hosts} entry hosts reachable',
 )
 SERVER_UNREADABLE: typing.Final = _Event(
-    770, _Level.warning, 'a server told by {teller} is left out: {reason}'
+    770, _Level.warning, 'malformed enrolment from {teller} ignored: {reason}'
 )
 REPORT_REFUSED: typing.Final = _Event(
-    771, _Level.warning, 'report of server {server} refused: {reason}'
+    771, _Level.warning, 'report of server {server} rejected: {reason}'
 )
 RECORDER_BEHIND: typing.Final = _Event(
     772,
     _Level.warning,
-    'this control host is behind: {applied} of {committed} applied',
+    'this control host lags: {applied} of {committed} log entries applied',
 )
 RECORDER_CAUGHT_UP: typing.Final = _Event(
-    773, _Level.notice, 'this control host has caught up'
+    773,
+    _Level.notice,
+    'this control host has applied all committed log entries',
 )
 ROLLOUT_ORDERED: typing.Final = _Event(
     777, _Level.notice, 'rollout of {pool} to {to} ordered: {result}'
@@ -105,7 +115,9 @@
     'rollout of {pool} to {to}: {step} at {exposure} of {requests} requests',
 )
 ROLLOUT_NOT_RECORDED: typing.Final = _Event(
-    779, _Level.warning, 'rollout of {pool} could not be noted: {reason}'
+    779,
+    _Level.warning,
+    'rollout step of {pool} could not be recorded: {reason}',
 )
 ROLLOUT_ENDED: typing.Final = _Event(
     780, _Level.notice, 'rollout of {pool} to {to} {state}: {reason}'
@@ -113,15 +125,15 @@
 WATCH_NOT_CURRENT: typing.Final = _Event(
     774,
     _Level.notice,
-    'control host {host} is not sure of the newest document; {version} here',
+    'control host {host} may not have the newest document; {version} here',
 )
 CONFIRMED_AGAIN: typing.Final = _Event(
     781,
     _Level.warning,
-    'no control host was sure for {seconds} s; version {version} in force',
+    'no control host was current for {seconds} s; version {version} in force',
 )
 NOTICE_DISCARDED: typing.Final = _Event(
     782,
     _Level.warning,
-    'what server {server} said, told by {teller}, is left out',
+    'malformed notice of server {server} from {teller} ignored',
 )
--- a/libs/control/geraniumweir/control/pool_coordination.py
+++ b/libs/control/geraniumweir/control/pool_coordination.py
@@ -1,4 +1,4 @@
-"""Makes the pool leaders of a host that coordinates, alone or for others."""
+"""Creates the pool leaders of a coordinator, for itself or for other hosts."""
 
 import dataclasses
 import typing
@@ -27,15 +27,15 @@
 from geraniumweir.wire.gen.control import ttypes
 from reactivex import abc
 
-# All pools of the hosts that reach each other are led from one place, so that
-# unlike servers of several failure domains are one capacity.
+# All pools of hosts that reach each other are led in one place, so that
+# different servers of several failure domains form one capacity.
 ALL_DOMAINS = ids.FailureDomain('all')
-# A new leader grants nothing for so long, in seconds, while entry hosts hand
-# over what they have; they do so as soon as they see it, a few milliseconds.
-# What comes later is taken over all the same.
+# A new pool leader grants nothing for this time, while entry hosts hand over
+# their grants; they do so within a few milliseconds after they find it. Later
+# ones are taken over all the same.
 _TAKEOVER_SECONDS = 0.1
-# Entry hosts that turn here before this host knows that it coordinates do so
-# within a look at the log (0.1 s) and a ping (0.2 s), in seconds.
+# Entry hosts that contact this host before it detects that it coordinates do so
+# within a check of the log (0.1 s) and a ping (0.2 s).
 _EARLY_REPORT_SECONDS = 1.0
 
 Index = typing.Callable[[], finding.Index | None]
@@ -44,20 +44,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dependencies:
-    """What coordinating needs.
+    """What pool leaders on this host depend on.
 
-    :ivar share: part of quotas, and of slots, that may be granted here.
+    :ivar share: share of quotas, and of slots, that may be granted here.
     :ivar shares_slots: whether the share applies to slots too.
     :ivar quota_seconds: length of the window over which quotas hold.
-    :ivar tolerance: for what customers used before and isn't known.
-    :ivar hosts: returns how many entry hosts there are, also those that were
-        cut off along with the coordinator before.
-    :ivar budget: what all hosts together may send again.
-    :ivar retries: whom the retries of that are counted for.
-    :ivar on_slot_request: told of each ask that comes.
-    :ivar guide: makes what decides about versions of a pool's servers.
-    :ivar server_notices: what is known of what servers said.
-    :ivar on_new_leader: told of each new leader of a pool.
+    :ivar tolerance: for unknown usage of customers in the past.
+    :ivar hosts: returns the number of entry hosts, also of those that were
+        partitioned along with the previous coordinator.
+    :ivar budget: the retries that all hosts together may send.
+    :ivar retries: the hosts whose retries are counted here.
+    :ivar on_slot_request: called with each slot request that arrives.
+    :ivar guide: creates what decides about versions of a pool's servers.
+    :ivar server_notices: notices of servers.
+    :ivar on_new_leader: called with each new leader of a pool.
     """
 
     link: channel.Channel
@@ -77,7 +77,7 @@
     on_new_leader: typing.Callable[[leader.OnTimeLeader], None] | None = None
 
     def rates(self) -> dict[notices.Start, float]:
-        """Return what may be granted here of the limits of servers."""
+        """Return the share of servers' rate limits that may be granted here."""
         named = self.server_notices.limits() if self.server_notices else {}
         share = self.share() if named else 1
         return {
@@ -93,21 +93,21 @@
         self,
         host_id: ids.HostId,
     ) -> typing.Mapping[notices.Start, float]:
-        """Return the servers that want nothing from a host for a while."""
+        """Return the servers that asked a host to pause, with end times."""
         return (
             self.server_notices.pauses(host_id) if self.server_notices else {}
         )
 
 
 class UsageAccounting:
-    """Counts quotas and retries here, anew whenever others coordinated.
+    """Counts quotas and retries, afresh whenever others coordinated before.
 
     :ivar quotas: of customers.
     :ivar retries: of pools.
     """
 
     def __init__(self, deps: Dependencies, clock: timers.TimerService) -> None:
-        """Follow who coordinates."""
+        """Initialize from the present coordinator, and follow its changes."""
         self.quotas = quotas.Quotas(
             lambda customer: _allowance(deps.index(), customer),
             deps.share,
@@ -130,9 +130,10 @@
         deps.link.handle(ttypes.Spent, self._on_spent)
 
     def _restart_windows(self) -> None:
-        """Count from now on, with what entry hosts have told already.
+        """Restart counting when this host becomes the coordinator.
 
-        They may see that this host coordinates before it does itself.
+        Reports that arrived shortly before count too, as entry hosts may detect
+        that this host coordinates before it does itself.
         """
         was_coordinator, was_log_leader = (
             self._is_coordinator,
@@ -185,7 +186,7 @@
     deps: Dependencies,
     clock: timers.TimerService,
 ) -> remote.LeaderService:
-    """Lead pools whenever this host coordinates."""
+    """Return the service that leads pools whenever this host coordinates."""
     counting = UsageAccounting(deps, clock)
     return remote.LeaderService(
         deps.link,
@@ -208,9 +209,9 @@
     clock: timers.TimerService,
     awaits_election: typing.Callable[[], bool],
 ) -> broker.Broker:
-    """Ask whoever coordinates, on behalf of this host.
+    """Return the broker that requests slots from the current coordinator.
 
-    :param awaits_election: tells whether another one is about to.
+    :param awaits_election: returns whether another one is about to.
     """
     return broker.Broker(
         link,
@@ -226,7 +227,7 @@
     service: remote.LeaderService,
     changes: reactivex.Observable[typing.Any],
 ) -> abc.DisposableBase:
-    """Let leaders look again whenever servers or the document change."""
+    """Let pool leaders grant again when servers or the document change."""
     return changes.subscribe(lambda _: _grant_all(service))
 
 
@@ -275,7 +276,7 @@
 
 
 class _NoRemotePools:
-    """There are no pools elsewhere; see :class:`views.PoolDirectory`."""
+    """A directory without pools elsewhere; see :class:`views.PoolDirectory`."""
 
     def others(
         self,
--- a/libs/control/geraniumweir/control/presence.py
+++ b/libs/control/geraniumweir/control/presence.py
@@ -1,9 +1,8 @@
-"""What control hosts tell each other: that they are there, and enrolments.
+"""Exchange of reachability and enrolments between control hosts.
 
-A change is told to all at once. Twice a second each asks each other for a
-sign of life; where the digests of their enrolments differ, they exchange all
-they know. There are seven control hosts at most, whatever the number of
-entry hosts.
+A change is sent to all others at once. Twice a second each pings each other;
+where the digests of their enrolments differ, they exchange all enrolments.
+There are at most seven control hosts, whatever the number of entry hosts.
 """
 
 import asyncio
@@ -22,22 +21,22 @@
 from geraniumweir.wire import errors, peers
 from geraniumweir.wire.gen.control import ttypes
 
-# Control hosts compare what they know this often, in seconds: an enrolment
-# that got lost between them is made good within a second.
+# Interval of the comparison: an enrolment that was lost between control hosts
+# is repaired within a second.
 _EXCHANGE_SECONDS = 0.5
-# Answers between domains take a few milliseconds, in seconds.
+# Answers between failure domains take a few milliseconds.
 _TIMEOUT_SECONDS = 0.5
-# A control host that isn't heard for so long is absent, in seconds: the
-# servers that report there have turned to another one by then (they report
-# about once a second and give up after one more).
+# A control host that was not seen for this long is absent: the servers that
+# report there have moved to another one by then (they report about once a
+# second and give up after one more).
 _ABSENT_SECONDS = 5.0
 
 
 class Presence:
     """The exchange between control hosts.
 
-    :ivar on_change: told when enrolments changed.
-    :ivar crash_cases: what they tell of requests that crash servers.
+    :ivar on_change: called when enrolments changed.
+    :ivar crash_cases: exchange of requests that crash servers.
     """
 
     def __init__(
@@ -52,8 +51,8 @@
     ) -> None:
         """Answer the others from now on.
 
-        :param seeds: returns some control hosts to ask while none of those
-            that are known is heard.
+        :param seeds: returns some control hosts to contact while none of the
+            known ones is reachable.
         """
         self._current_seeds = seeds
         self._link = link
@@ -90,7 +89,7 @@
             await asyncio.sleep(_EXCHANGE_SECONDS)
 
     def handle_notice(self, notice: notices.Notice) -> None:
-        """Take that a server told an entry host that it leaves."""
+        """Apply a notice that a server leaves."""
         if not isinstance(notice.content, notices.Leaving):
             return
         now = self._clock.now()
@@ -102,7 +101,7 @@
     def publish_changes(
         self, changed: typing.Sequence[enrolments.Enrolment]
     ) -> None:
-        """Tell the other control hosts of changed enrolments."""
+        """Send changed enrolments to the other control hosts."""
         if not changed:
             return
         for enrolment in changed:
@@ -131,7 +130,7 @@
             await self._fetch_enrolments(host_id)
 
     def _add_seeds(self, now: float) -> None:
-        """Ask the seeds of now from the next exchange on."""
+        """Include the present seeds from the next exchange on."""
         for host_id, address in self._current_seeds().items():
             if self._known.register(hosts.seed(host_id, address), now):
                 self._link.learn(host_id, address)
@@ -212,11 +211,11 @@
 
 
 def _ignore() -> None:
-    """Do nothing when nobody wants to know of changes."""
+    """Do nothing where no callback is set."""
 
 
 def log_server(found: enrolments.Enrolment) -> None:
-    """Log what is believed of a server."""
+    """Log the stored state of a server."""
     eventlog.emit(
         logevents.SERVER_CHANGED,
         server=found.server_id,
--- a/libs/control/geraniumweir/control/recorders.py
+++ b/libs/control/geraniumweir/control/recorders.py
@@ -1,8 +1,8 @@
-"""Keeps the recorder of a control host running and the recorders complete.
+"""Keeps a control host's recorder running and the set of recorders complete.
 
-A recorder whose disk failed stops for good; the folder is opened again after
-a pause, as after a restart of the process. A recorder that isn't a member of
-the log asks the leader to take it in; the leader decides.
+A recorder whose disk failed stops; its folder is opened again after a pause, as
+after a restart of the process. A recorder that is not a member of the log
+requests to join from the leader, which decides.
 """
 
 import asyncio
@@ -20,25 +20,25 @@
 from geraniumweir.wire.gen.control import ttypes
 from reactivex import abc, disposable, subject
 
-# Looks at the recorder this often, in seconds: half of the shortest election
-# timeout, so that a change is seen before anyone could act on the old state.
+# Interval for checking the recorder: half of the shortest election timeout, so
+# that a change is detected before another host could act on the old state.
 _POLL_SECONDS = 0.25
-# A disk that was full or failing is tried again this often, in seconds.
+# A disk that was full or failed is tried again at this interval.
 _REOPEN_SECONDS = 0.5
-# A change of the recorders takes two rounds of the log; it is tried again
-# later when it isn't over by then, in seconds.
+# A change of the recorders takes two rounds of the log; it is tried again later
+# when it is not complete by then.
 _CHANGE_SECONDS = 3.0
-# A host's word that it leads counts for so long, in seconds: three of the
-# exchanges in which it says so.
+# A host's report that it leads is valid for this long: three of the exchanges
+# that contain it.
 _LEADER_REPORT_SECONDS = 1.5
-# Answers between domains take a few milliseconds, in seconds.
+# Answers between failure domains take a few milliseconds.
 _JOIN_TIMEOUT_SECONDS = 0.5
 
 
 class Recorders:
-    """The log as one control host takes part in it.
+    """The replicated log as one control host takes part in it.
 
-    :ivar running: the recorder, or None while it can't run.
+    :ivar running: the recorder, or None while it cannot run.
     """
 
     def __init__(
@@ -49,9 +49,9 @@
         me: hosts.ControlHost,
         voter_count: int,
     ) -> None:
-        """Start nothing yet.
+        """Initialize without a running recorder.
 
-        :param voter_count: of recorders wanted.
+        :param voter_count: wanted number of recorders.
         """
         self.running: recordings.Recording | None = None
         self._link = link
@@ -72,16 +72,16 @@
 
     @property
     def documents(self) -> reactivex.Observable[published.PublishedDocument]:
-        """Tell of each newer document."""
+        """Emits each newer document."""
         return self._documents
 
     @property
     def rollouts(self) -> reactivex.Observable[orders.Rollout]:
-        """Tell of each order to roll out, and how far it is."""
+        """Emits each rollout order and its progress."""
         return self._rollouts
 
     def leader(self) -> ids.HostId:
-        """Return the host that leads the log and is heard, or empty."""
+        """Return the host that leads the log and is reachable, or empty."""
         if self.running is not None and self.running.recorder.leader():
             return self.running.recorder.leader()
         if self._clock.now() - self._reported_at > _LEADER_REPORT_SECONDS:
@@ -89,10 +89,10 @@
         return self._reported_leader
 
     def record_leader(self, host_id: ids.HostId) -> None:
-        """Take a host's word that it leads.
+        """Record a host's report that it leads.
 
-        It counts where the recorder here hears no leader: it may be a new
-        one that isn't in the log yet.
+        It is used where the recorder here has no leader: this recorder may be
+        new and not in the log yet.
         """
         self._reported_leader = host_id
         self._reported_at = self._clock.now()
@@ -102,7 +102,7 @@
         return self.running is not None and self.running.recorder.is_leading()
 
     def leads_since(self, since: float) -> bool:
-        """Return whether a majority followed this host's lead since a time.
+        """Return whether a majority followed this host since a time.
 
         :param since: in seconds.
         """
@@ -111,7 +111,7 @@
         return serving.leads_since(self.running.recorder.core, since)
 
     def is_current(self) -> bool:
-        """Return whether all that was committed a moment ago is applied here."""
+        """Return whether all recently committed entries are applied here."""
         return self.running is not None and self.running.is_sure()
 
     async def run(self) -> None:
@@ -144,7 +144,7 @@
             )
 
     def _forward_changes(self, found: state.SystemState) -> abc.DisposableBase:
-        """Tell of what is stored, and of what is from now on."""
+        """Emit what is stored, and subscribe to later changes."""
         subscription = disposable.CompositeDisposable(
             found.published.changes.subscribe(self._documents.on_next),
             found.rollouts.changes.subscribe(self._rollouts.on_next),
@@ -214,7 +214,7 @@
         return recorder_changes.RecorderStatus(row.member, domain, row.silence)
 
     async def _request_join(self, running: recordings.Recording) -> None:
-        """Ask for a place in the log, whoever leads it."""
+        """Request to join the log from all other hosts."""
         join = ttypes.JoinLog(
             self._me.host_id,
             str(self._me.address),
--- a/libs/control/geraniumweir/control/rollouts.py
+++ b/libs/control/geraniumweir/control/rollouts.py
@@ -1,8 +1,8 @@
-"""Orders to move pools to new versions of their servers, over the log.
+"""Orders to move pools to new versions of their servers, in the log.
 
-Any control host takes an order and tells how far it is. The one that leads
-the log, and so coordinates the pools, moves the traffic, and notes in the log
-what a successor must know.
+Any control host accepts an order and reports its progress. The one that leads
+the log, and so coordinates the pools, moves the traffic, and records in the log
+what a successor needs.
 """
 
 import asyncio
@@ -17,16 +17,16 @@
 from geraniumweir.wire.gen.configuration import ttypes
 
 _MS = 1000
-# Operators turn to another host after a second without an answer.
+# Operators switch to another host after a second without an answer.
 _ORDER_SECONDS = 0.9
 _READ_SECONDS = 0.8
-# A read waits for this host to apply what it must contain, looking again
-# after so many seconds.
+# A read waits for this host to apply the required entries, and checks at this
+# interval.
 _POLL_SECONDS = 0.02
-# A rollout is looked at this often, in seconds.
+# Interval of the steps of a rollout.
 _STEP_SECONDS = 0.1
-# Wall clocks of hosts differ by less; an order seen for the first time that is
-# older was given before this host started, in seconds.
+# Wall clocks of hosts differ by less; an older order that arrives for the first
+# time was given before this host started.
 _MAX_CLOCK_SKEW_SECONDS = 1.0
 
 
@@ -34,7 +34,7 @@
     """A pool's leader, as far as a rollout needs it."""
 
     def rollout_load(self) -> guiding.Load:
-        """Tell how the pool does."""
+        """Return the load and slots of the pool."""
 
 
 LeaderOf = typing.Callable[[ids.PoolName], RolloutLeader | None]
@@ -42,7 +42,7 @@
 
 
 class Rollouts:
-    """The rollouts as one control host knows and, if it leads, moves them."""
+    """The rollouts as one control host has them; its leader advances them."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
     ) -> None:
         """Follow the log.
 
-        :param bounds: what a bad version may get.
+        :param bounds: limits of what a bad version may receive.
         :param resend_seconds: how long operators may send an order again.
         """
         self.on_completed: OnCompleted = _ignore
@@ -68,7 +68,7 @@
         log.rollouts.subscribe(self._apply)
 
     def known(self) -> list[orders.Rollout]:
-        """List the newest order of each pool that was applied here."""
+        """Return the newest order of each pool that was applied here."""
         return [one.rollout for one in self._known.values()]
 
     def of_pool(self, pool: ids.PoolName) -> orders.Rollout | None:
@@ -82,11 +82,11 @@
         to: ids.SoftwareVersion,
         seconds: float,
     ) -> None:
-        """Store an order; done once a majority of recorders synced it.
+        """Store an order; returns once a majority of recorders synced it.
 
-        :param seconds: in which all traffic should have moved.
-        :raises errors.NotStoredError: when it isn't sure that it was.
-        :raises errors.RolloutRunsError: when another one is under way.
+        :param seconds: time in which all traffic should have moved.
+        :raises errors.NotStoredError: when it may not have been stored.
+        :raises errors.RolloutInProgressError: when another one is in progress.
         """
         now_ms = int(time.time() * _MS)
         command = commands.order_rollout(
@@ -103,24 +103,26 @@
         )
         if result is stored.Result.another_runs:
             raise errors.RolloutInProgressError(
-                f'pool {pool} is being moved to another version',
+                f'a rollout of pool {pool} to another version is in progress',
             )
 
     async def find(self, pool: ids.PoolName) -> orders.Rollout | None:
-        """Read a pool's newest order, all that was stored before included.
+        """Return a pool's newest order, all that was stored before included.
 
-        :raises errors.UnsureError: when this host can't be sure.
+        :raises errors.NotUpToDateError: when this host may not have it.
         """
         deadline = self._clock.now() + _READ_SECONDS
         index = await self._access.barrier(_READ_SECONDS)
         while not self._access.has_applied(index):
             if self._clock.now() > deadline:
-                raise errors.NotUpToDateError(f'entry {index} is not here yet')
+                raise errors.NotUpToDateError(
+                    f'log entry {index} has not been applied here yet'
+                )
             await asyncio.sleep(_POLL_SECONDS)
         return self.of_pool(pool)
 
     def guide(self, pool: ids.PoolName) -> guiding.Guide:
-        """Make the guide of a pool that is led here from now on."""
+        """Create the guide of a pool that is led here from now on."""
         made = guiding.Guide(
             lambda: self._known.get(pool),
             self._clock.now,
@@ -131,7 +133,7 @@
         return made
 
     async def run(self, leader_of: LeaderOf) -> None:
-        """Move traffic while this host leads the log, until cancelled."""
+        """Advance rollouts while this host leads the log, until cancelled."""
         while True:
             await asyncio.sleep(_STEP_SECONDS)
             if self._log.is_leading():
@@ -185,7 +187,7 @@
         if before is not None and _progress_key(before.rollout) > _progress_key(
             rollout
         ):
-            # A recorder that was opened again replays what is older.
+            # A recorder that was reopened replays older orders.
             return
         if before is not None and before.rollout.number == rollout.number:
             started = before.started
@@ -208,7 +210,7 @@
 
 
 def _progress_key(rollout: orders.Rollout) -> tuple[int, ...]:
-    """Return what grows with each change of a pool's rollouts."""
+    """Return a key that grows with each change of a pool's rollouts."""
     return (
         rollout.number,
         rollout.state,
@@ -219,7 +221,7 @@
 
 
 def _seconds_since_order(rollout: orders.Rollout) -> float:
-    """Return the seconds since an order, as far as wall clocks tell."""
+    """Return the seconds since an order, by the wall clocks of hosts."""
     elapsed_seconds = time.time() - rollout.ordered_ms / _MS
     return (
         min(elapsed_seconds, rollout.seconds)
@@ -258,4 +260,4 @@
 
 
 def _ignore(_rollout: orders.Rollout) -> None:
-    """Do nothing where nobody waits for rollouts to complete."""
+    """Do nothing where no callback is set."""
--- a/libs/control/geraniumweir/control/tests/test_leadership.py
+++ b/libs/control/geraniumweir/control/tests/test_leadership.py
@@ -10,7 +10,7 @@
 
 
 def _at_cut() -> tuple[leadership.EntryHosts, float]:
-    """Return two hosts with half of all requests each, and what one was told."""
+    """Return two hosts with half of all requests each, and one's share."""
     hosts = leadership.EntryHosts(quota_seconds=8)
     for name in (_LOST, _NEAR):
         hosts.heard(name, 0)
--- a/libs/control/geraniumweir/control/watch_target.py
+++ b/libs/control/geraniumweir/control/watch_target.py
@@ -1,4 +1,4 @@
-"""Which control host an entry host watches."""
+"""Choice of the control host that an entry host watches."""
 
 import asyncio
 
@@ -6,20 +6,20 @@
 from geraniumweir.control import hosts, logevents, host_search
 from geraniumweir.wire.gen.control import ttypes
 
-# A control host that failed or wasn't sure is asked after the others for so
-# long, in seconds.
+# A control host that failed or was not up to date is probed after the others
+# for this time.
 _AVOID_SECONDS = 2.0
-# One of the own failure domain is looked at this often all the same, in
-# seconds: it may know of servers that leave and not reach the others.
+# Interval at which a host of the own failure domain is probed all the same: it
+# may have leaving servers while the others cannot reach it.
 _PROBE_SECONDS = 1.0
 _NO_HOST = ids.HostId('')
 
 
 class Ranking:
-    """In which order control hosts are asked."""
+    """The order in which control hosts are probed."""
 
     def __init__(self, domain: ids.FailureDomain) -> None:
-        """Avoid nobody yet.
+        """Initialize without failed hosts.
 
         :param domain: whose control hosts come first.
         """
@@ -29,13 +29,13 @@
     def record(
         self, host_id: ids.HostId, verdict: host_search.Verdict, now: float
     ) -> None:
-        """Take what came of asking a host."""
+        """Record the result of probing a host."""
         self._failed_at.pop(host_id, None)
         if verdict is not host_search.Verdict.sure:
             self._failed_at[host_id] = now
 
     def is_avoided(self, host_id: ids.HostId, now: float) -> bool:
-        """Return whether a host comes after the others for now."""
+        """Return whether a host is probed after the others for now."""
         failed_at = self._failed_at.get(host_id, float('-inf'))
         return now - failed_at < _AVOID_SECONDS
 
@@ -44,7 +44,7 @@
         known: hosts.ControlHosts,
         now: float,
     ) -> list[ids.HostId]:
-        """List the hosts that are known, those to ask first first."""
+        """Return the known hosts in the order of probing."""
         near = [host.host_id for host in known.nearest_first(self._domain)]
         self._evict(frozenset(near))
         return sorted(near, key=lambda host_id: self._rank(host_id, now))
@@ -55,7 +55,7 @@
         current_id: ids.HostId,
         now: float,
     ) -> ids.HostId | None:
-        """Return a host of this failure domain to look at beside another."""
+        """Return a host of this failure domain to probe beside another."""
         near = [
             host.host_id
             for host in known.nearest_first(self._domain)
@@ -82,7 +82,7 @@
 class WatchTarget:
     """The control host that is watched, and the search for another one.
 
-    :ivar host_id: the one that is watched, or empty.
+    :ivar host_id: the watched host, or empty.
     """
 
     def __init__(
@@ -91,10 +91,10 @@
         known: hosts.ControlHosts,
         probe: host_search.Probe,
     ) -> None:
-        """Watch nobody yet.
+        """Initialize without a host.
 
         :param domain: whose control hosts come first.
-        :param probe: asks a host whether it is sure.
+        :param probe: probes whether a host is up to date.
         """
         self.host_id = _NO_HOST
         self._ranking = Ranking(domain)
@@ -104,7 +104,7 @@
         self._probe_task: asyncio.Task[None] | None = None
 
     def close(self) -> None:
-        """Ask nobody any more."""
+        """Stop probing."""
         if self._probe_task is not None:
             self._probe_task.cancel()
 
@@ -114,9 +114,9 @@
         update: ttypes.News | None,
         version: ids.Version,
     ) -> host_search.Verdict:
-        """Take a host's answer, or that there was none.
+        """Record a host's answer, or that there was none.
 
-        :param version: that is in force here.
+        :param version: of the document in force here.
         """
         verdict = host_search.Verdict.silent
         if update is not None:
@@ -133,7 +133,7 @@
         return verdict
 
     async def search(self) -> bool:
-        """Choose a host that is sure, or else one that answers.
+        """Choose a host that is up to date, or else one that answers.
 
         :returns: whether any answered.
         """
@@ -143,7 +143,7 @@
         return bool(self.host_id)
 
     def probe_nearer(self) -> None:
-        """Ask a host of the own failure domain beside the one watched."""
+        """Probe a host of the own failure domain beside the watched one."""
         if self._probe_task is not None and not self._probe_task.done():
             return
         host_id = self._ranking.nearer(
--- a/libs/control/geraniumweir/control/watching.py
+++ b/libs/control/geraniumweir/control/watching.py
@@ -1,11 +1,11 @@
 """How a host follows the document and the backend servers.
 
-It watches one control host, of its own failure domain if it can. When that is
-silent or may be behind the log it searches for another one, and it leaves one
-that is sure only for one that has shown that it is sure too. What it learnt
-stays: versions only grow, a server that is leaving stays so, and one that the
-next control host doesn't list yet is kept for a while, as that one may only
-just have started.
+It watches one control host, in its own failure domain if possible. When that is
+silent or may be behind the log, it searches for another one, and it leaves an
+up-to-date host only for one that was found to be up to date too. What it
+received stays valid: versions only grow, a leaving server stays so, and a
+server that the next control host does not list yet is kept for a while, as that
+host may only just have started.
 """
 
 import asyncio
@@ -28,38 +28,38 @@
 from geraniumweir.wire.gen.control import ttypes
 from reactivex import subject
 
-# A watch is held this long, in seconds. With the answer's way there and back
-# it bounds how long a dead control host goes unnoticed; a change must be in
-# force 2 s after it was acknowledged.
+# A watch is held this long. Together with the round trip this bounds how long a
+# dead control host goes undetected; a change must be in force 2 s after it was
+# acknowledged.
 _WAIT_SECONDS = 0.5
-# While no control host is sure they are all asked this often, in seconds.
+# Interval of watches while no control host is up to date.
 _RETRY_SECONDS = 0.25
-# The answer may take so much longer, in seconds: a lost packet is sent again
-# after 0.2 s. A host that is only late still answers the search that follows.
+# Extra time for the answer: a lost packet is sent again after 0.2 s. A host
+# that is only late still answers the search that follows.
 _GRACE_SECONDS = 0.25
-# Longest wait for an answer that is due at once, in seconds.
+# Longest wait for an answer that is due at once.
 _ANSWER_SECONDS = 0.9
 _MS = 1000
-# Between two searches while no control host answers, in seconds.
+# Pause between two searches while no control host answers.
 _SEARCH_PAUSE_SECONDS = 0.05
-# A time without a sure answer is told from so long on, in seconds: twice a
-# watch that has nothing to tell.
+# A gap of this length without an up-to-date answer is logged: twice the
+# duration of a watch without news.
 _MIN_LOGGED_GAP_SECONDS = 1.0
 _SECONDS_DIGITS = 3
-# A server that the control host doesn't list is kept for so long, in seconds:
-# servers report every 1 to 2 s, so one that is there is listed by then.
+# A server that the control host does not list is kept this long: servers report
+# every 1 to 2 s, so one that runs is listed by then.
 _UNLISTED_SECONDS = 8.0
-# Servers hear nothing of a host's lease here; only control hosts hold one.
+# Only control hosts hold leases of servers.
 _NO_LEASE_SECONDS = float('inf')
 
 
 class Watcher:
-    """What a host knows from the control hosts.
+    """Client that follows the control hosts.
 
     :ivar hosts: the control hosts.
     :ivar servers: the backend servers.
-    :ivar confirmed_at: when a control host that has all that is committed last
-        told what there is, in seconds.
+    :ivar confirmed_at: when a control host that has all committed entries last
+        answered, in seconds.
     """
 
     def __init__(
@@ -69,9 +69,9 @@
         seeds: hosts.Seeds,
         read: active_document.Read,
     ) -> None:
-        """Know nothing yet.
+        """Initialize without answers.
 
-        :param seeds: asked while no control host that is known answers.
+        :param seeds: contacted while no known control host answers.
         :param read: reads a document that was checked when it was published.
         """
         self.hosts = hosts.ControlHosts()
@@ -95,15 +95,15 @@
 
     @property
     def leaves(self) -> reactivex.Observable[notices.Start]:
-        """Gives servers that leave by the word of a host that isn't watched.
+        """Emits servers that leave according to a host that is not watched.
 
-        It may be cut off from the others, which don't know of it then.
+        That host may be partitioned from the others, which then lack it.
         """
         return self._leave_collector.leaves
 
     @property
     def changes(self) -> reactivex.Observable[None]:
-        """Fires when servers or the document changed."""
+        """Emits when servers or the document changed."""
         return self._changes
 
     @property
@@ -117,7 +117,7 @@
         return self._document.version
 
     def rollout(self, pool: ids.PoolName) -> guiding.Sighted | None:
-        """Return a pool's newest order to roll out."""
+        """Return a pool's newest rollout order."""
         return self._rollouts.get(pool)
 
     async def run(self) -> None:
@@ -130,7 +130,7 @@
             self._target.close()
 
     def apply(self, sender: ids.HostId, update: ttypes.News) -> None:
-        """Take what a control host told."""
+        """Apply an update of the watched control host."""
         now = self._clock.now()
         changed = self._apply_servers(sender, update, now)
         changed = self._evict_unlisted(now) or changed
@@ -143,9 +143,9 @@
         now: float,
         changed: bool,
     ) -> None:
-        """Take all but the servers.
+        """Apply all but the servers.
 
-        :param changed: something did already.
+        :param changed: whether the servers changed.
         """
         self._add_hosts(sender, update, now)
         changed = self._document.offer(update) or changed
@@ -166,7 +166,7 @@
         self.confirmed_at = now
 
     async def _watch(self) -> bool:
-        """Watch the chosen host once; tell whether it is sure."""
+        """Watch the chosen host once; return whether it is up to date."""
         host_id = self._target.host_id
         if not host_id:
             return False
@@ -195,7 +195,7 @@
             await asyncio.sleep(_SEARCH_PAUSE_SECONDS)
 
     async def _probe(self, host_id: ids.HostId) -> host_search.Verdict:
-        """Ask a host for the document, and for servers that leave."""
+        """Ask a host for the document and for leaving servers."""
         epoch, revision = self._leave_collector.position(host_id)
         watch = ttypes.Watch(
             self.version,
@@ -233,10 +233,10 @@
         return update
 
     async def _query_seeds(self) -> None:
-        """Ask all seeds who they are; the first answer is enough.
+        """Ask all seeds for their ids; the first answer is enough.
 
-        One after another, a seed that is down would keep a host that starts
-        from those that are up.
+        All at once, as a seed that is down would otherwise keep a starting host
+        from the seeds that are up.
         """
         asked = [
             asyncio.create_task(self._query_seed(address))
@@ -255,7 +255,7 @@
             host_id = await self._link.introduce(address)
         except errors.PeerError:
             return False
-        # Its full card comes with its first answer.
+        # The first answer contains the host's complete entry.
         self.hosts.register(hosts.seed(host_id, address), self._clock.now())
         return True
 
@@ -315,7 +315,7 @@
 
 
 def _rollout(struct: ttypes.Rollout) -> orders.Rollout:
-    """Read what a host needs that doesn't move the traffic itself."""
+    """Return the fields for a host that does not move the traffic itself."""
     return orders.Rollout(
         ids.PoolName(struct.pool),
         struct.number,
