--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/play.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/play.py
@@ -1,4 +1,4 @@
-"""Plays a load on a pool in virtual time and counts what callers get."""
+"""Simulation of a load on a pool in virtual time."""
 
 import asyncio
 import dataclasses
@@ -15,7 +15,7 @@
 
 
 def server(name: str, slots: int = 4) -> servers.Announcement:
-    """Make a backend server."""
+    """Return a backend server."""
     return servers.Announcement(
         ids.ServerId(name),
         ids.Incarnation(1),
@@ -27,9 +27,9 @@
     )
 
 
-def slot_request(name: str, now: float, **changes: typing.Any) -> requests.Ask:
-    """Make an ask whose first token is due within 0.4 s."""
-    made = requests.Ask(
+def make_request(name: str, now: float, **changes: typing.Any) -> requests.Ask:
+    """Return a slot request whose first token is due within 0.4 s."""
+    slot_request = requests.Ask(
         ids.RequestId(name),
         ids.HostId('entry'),
         POOL,
@@ -44,16 +44,16 @@
         target=now + 0.4,
         patience=now + 2.4,
     )
-    return dataclasses.replace(made, **changes)
+    return dataclasses.replace(slot_request, **changes)
 
 
-def make(
-    *known: servers.Announcement,
+def make_leader(
+    *announced_servers: servers.Announcement,
     now: typing.Callable[[], float],
 ) -> leader.OnTimePoolLeader:
-    """Make a leader of some servers."""
+    """Return a leader of some servers."""
     return leader.OnTimePoolLeader(
-        settings.LeaderSettings(POOL), now, lambda: known
+        settings.LeaderSettings(POOL), now, lambda: announced_servers
     )
 
 
@@ -61,53 +61,63 @@
 class Load:
     """A load on a pool of servers that hold a slot for a fixed time.
 
-    :ivar rate: requests a second, by second of the play.
-    :ivar held: seconds that a request keeps a slot.
+    :ivar rate: requests a second, by second of the simulation.
+    :ivar hold_seconds: time for which a request holds a slot.
+    :ivar slots: slots of the only server of :func:`run`.
     :ivar target: seconds within which a first token is due.
-    :ivar patience: seconds after which a caller without one leaves.
+    :ivar patience: seconds after which a caller without a first token leaves.
     :ivar rank: importance, 0 is the highest.
-    :ivar tokens: of an output.
-    :ivar given_up: part of the grants that their owners give up, as their
-        callers have left meanwhile.
+    :ivar tokens: output tokens of a request.
+    :ivar given_up_ratio: fraction of the grants that their owners give up, as
+        their callers have left meanwhile.
     """
 
     rate: typing.Sequence[float]
-    held: float = 0.5
+    hold_seconds: float = 0.5
     slots: int = 20
     target: float = 0.4
     patience: float = 2.4
     rank: int = 0
     tokens: int = 100
-    given_up: float = 0
+    given_up_ratio: float = 0
 
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """What callers got, by second of their first request."""
+    """Responses that callers got, by second of their first request.
+
+    :ivar on_time: first tokens before their targets.
+    :ivar first_requests: all callers.
+    """
 
     on_time: dict[int, int] = dataclasses.field(default_factory=dict)
-    asked: dict[int, int] = dataclasses.field(default_factory=dict)
+    first_requests: dict[int, int] = dataclasses.field(default_factory=dict)
 
     def share(self, first: int, last: int) -> float:
-        """Give the percent on time over some seconds, the last one included."""
+        """Return the percentage on time over a range of seconds.
+
+        :param last: included.
+        """
         seconds = range(first, last + 1)
-        asked = sum(self.asked.get(second, 0) for second in seconds)
+        first_requests = sum(
+            self.first_requests.get(second, 0) for second in seconds
+        )
         on_time = sum(self.on_time.get(one, 0) for one in seconds)
-        return _PERCENT * on_time / asked
+        return _PERCENT * on_time / first_requests
 
 
 def run(load: Load) -> Result:
-    """Play a load; refused callers come back once."""
-    return run_together({'': load}, [load.slots])['']
+    """Simulate a load on one server; refused callers retry once."""
+    return run_loads({'': load}, [load.slots])['']
 
 
-def run_together(
+def run_loads(
     loads: typing.Mapping[str, Load],
     slots: typing.Sequence[int],
 ) -> dict[str, Result]:
-    """Play several loads on one pool.
+    """Simulate several loads on one pool.
 
-    :param slots: of each server; those of the loads don't count.
+    :param slots: number of slots of each server, instead of those of the loads.
     """
     return virtual.run(_run(loads, slots))
 
@@ -117,16 +127,18 @@
     slots: typing.Sequence[int],
 ) -> dict[str, Result]:
     loop = asyncio.get_running_loop()
-    known = [server(f'a{place}', one) for place, one in enumerate(slots)]
-    pool = make(*known, now=loop.time)
+    announced_servers = [
+        server(f'a{place}', one) for place, one in enumerate(slots)
+    ]
+    pool = make_leader(*announced_servers, now=loop.time)
     results = {name: Result() for name in loads}
-    chance = random.Random(1)
+    rng = random.Random(1)
     callers = []
     start = loop.time()
     for kind, load in loads.items():
         for second, rate in enumerate(load.rate):
             for number in range(int(rate)):
-                due = start + second + chance.random()
+                due = start + second + rng.random()
                 name = f'{kind}{second}-{number}'
                 work = _caller(pool, load, results[kind], name, due)
                 callers.append(asyncio.create_task(work))
@@ -144,13 +156,13 @@
     loop = asyncio.get_running_loop()
     await asyncio.sleep(due - loop.time())
     second = int(due)
-    result.asked[second] = result.asked.get(second, 0) + 1
+    result.first_requests[second] = result.first_requests.get(second, 0) + 1
     for attempt in range(2):
         now = loop.time()
-        made = slot_request(f'{name}.{attempt}', now)
+        slot_request = make_request(f'{name}.{attempt}', now)
         content = ids.Fingerprint(hash(name))
-        made = dataclasses.replace(
-            made,
+        slot_request = dataclasses.replace(
+            slot_request,
             fingerprint=content,
             target=now + load.target,
             patience=now + load.patience,
@@ -158,14 +170,14 @@
             max_tokens=load.tokens,
             likely_tokens=load.tokens,
         )
-        answer = await _patient(pool, made)
+        answer = await _request_slot(pool, slot_request)
         if isinstance(answer, requests.Grant):
             if _is_given_up(load, name):
                 given_up = requests.Outcome.given_up
                 pool.release(requests.Release(answer.request_id, given_up))
                 return
             await _serve(pool, load, answer)
-            if loop.time() - load.held + 0.06 <= due + load.target:
+            if loop.time() - load.hold_seconds + 0.06 <= due + load.target:
                 result.on_time[second] = result.on_time.get(second, 0) + 1
             return
         if answer is None:
@@ -174,16 +186,16 @@
 
 
 def _is_given_up(load: Load, name: str) -> bool:
-    return random.Random(name).random() < load.given_up
+    return random.Random(name).random() < load.given_up_ratio
 
 
-async def _patient(
+async def _request_slot(
     pool: leader.OnTimePoolLeader,
-    made: requests.Ask,
+    slot_request: requests.Ask,
 ) -> requests.Grant | requests.Denial | None:
     try:
-        async with asyncio.timeout_at(made.patience):
-            return await pool.ask(made)
+        async with asyncio.timeout_at(slot_request.patience):
+            return await pool.ask(slot_request)
     except TimeoutError:
         return None
 
@@ -195,8 +207,10 @@
 ) -> None:
     await asyncio.sleep(0.06)
     pool.progress(requests.Progress(grant.request_id, 0.06, 1))
-    await asyncio.sleep(load.held - 0.06)
+    await asyncio.sleep(load.hold_seconds - 0.06)
     done = requests.Outcome.done
     pool.release(
-        requests.Release(grant.request_id, done, 0.06, load.tokens, load.held),
+        requests.Release(
+            grant.request_id, done, 0.06, load.tokens, load.hold_seconds
+        ),
     )
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_classes.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_classes.py
@@ -1,4 +1,4 @@
-"""A pool that lost servers while callers of several classes press."""
+"""A pool that lost servers, with callers of several classes in overload."""
 
 import itertools
 import typing
@@ -7,22 +7,22 @@
 from geraniumweir.scheduling.ontime import classes
 from geraniumweir.scheduling.ontime.tests import play
 
-# Of each class in lasting overload callers ask for so much, in percent.
-_ASKED_FOR = 30
-# A class may be served more often than one of more importance by so much, in
-# percent.
-_AHEAD = 5
+# Required percentage of each class's callers served in time in lasting
+# overload.
+_MIN_IN_TIME_PERCENT = 30
+# A class may be served more often than a more important one by so much.
+_MAX_AHEAD_PERCENT = 5
 _SECONDS = 40
-# What is most important has a third of the slots whatever else comes, in
-# percent of its callers where they could take all of them.
-_THIRD = 33
-# From here on counts have seen the overload.
-_FROM = 10
+# The most important class gets a third of the slots, whatever else arrives, as
+# a percentage of its callers where they could take all slots.
+_MIN_MOST_IMPORTANT_PERCENT = 33
+# From this second on the counts cover the overload.
+_FIRST_MEASURED_SECOND = 10
 _SLOTS = (13, 13, 13)
 
 
 def _loads(long: float, middle: float, short: float) -> dict[str, play.Load]:
-    """Make three classes; rates are callers a second."""
+    """Return loads of three classes; rates are callers a second."""
     return {
         'long': _load(long, 1.3, target=0.6, rank=0, tokens=380),
         'middle': _load(middle, 1.0, target=0.3, rank=1, tokens=290),
@@ -30,26 +30,28 @@
     }
 
 
-def _load(rate: float, held: float, **changes: typing.Any) -> play.Load:
-    return play.Load(tuple(itertools.repeat(rate, _SECONDS)), held, **changes)
+def _load(rate: float, hold_seconds: float, **changes: typing.Any) -> play.Load:
+    return play.Load(
+        tuple(itertools.repeat(rate, _SECONDS)), hold_seconds, **changes
+    )
 
 
 def test_no_class_starves_in_lasting_overload() -> None:
-    """Each has the part that is asked for, and none overtakes another."""
+    """Each class gets its share, and none overtakes a more important one."""
     for long in (10, 15, 20, 30):
-        found = play.run_together(_loads(long, 40, 40), _SLOTS)
+        results = play.run_loads(_loads(long, 40, 40), _SLOTS)
         shares = {
-            name: result.share(_FROM, _SECONDS - 1)
-            for name, result in found.items()
+            name: result.share(_FIRST_MEASURED_SECOND, _SECONDS - 1)
+            for name, result in results.items()
         }
-        assert min(shares.values()) >= _ASKED_FOR, shares
-        most = shares['long'] + _AHEAD
+        assert min(shares.values()) >= _MIN_IN_TIME_PERCENT, shares
+        most = shares['long'] + _MAX_AHEAD_PERCENT
         assert max(shares.values()) <= most, shares
-        assert shares['long'] >= _THIRD, shares
+        assert shares['long'] >= _MIN_MOST_IMPORTANT_PERCENT, shares
 
 
 def test_tiers_stay_strict() -> None:
-    """A class of a lower tier is owed nothing, however little it gets."""
+    """A class of a lower tier has no deficit against a higher tier."""
     shares = classes.Shares()
     high = classes.Class(ids.Tier.high, 0)
     low = classes.Class(ids.Tier.normal, 0)
@@ -64,8 +66,8 @@
     assert list(shares.deficits(0)) == [lowest]
 
 
-def test_class_that_needs_few_slots_is_not_kept_from_them() -> None:
-    """The part of the slots that is owed is used up by another class."""
+def test_class_that_needs_few_slots_is_not_starved_by_another() -> None:
+    """Another class uses up the slot time for deficits."""
     shares = classes.Shares()
     first, large, small = (
         classes.Class(ids.Tier.normal, rank) for rank in range(3)
@@ -79,8 +81,8 @@
     assert list(shares.deficits(0)) == [small]
 
 
-def test_late_grants_are_no_service() -> None:
-    """A class that is served late only is owed slots all the same."""
+def test_late_grants_do_not_count_as_served() -> None:
+    """A class that is only served late has a deficit all the same."""
     shares = classes.Shares()
     first = classes.Class(ids.Tier.normal, 0)
     second = classes.Class(ids.Tier.normal, 1)
@@ -92,8 +94,8 @@
     assert list(shares.deficits(0)) == [second]
 
 
-def test_class_that_got_nothing_is_forgotten_as_overload_ends() -> None:
-    """Counts are of the last seconds, whenever the clock began."""
+def test_deficit_ends_after_overload() -> None:
+    """Counts cover the last seconds, whatever the clock's origin."""
     shares = classes.Shares()
     first = classes.Class(ids.Tier.normal, 0)
     second = classes.Class(ids.Tier.normal, 1)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_crashes.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash the servers that run them are found in time."""
+"""Requests that crash the servers that run them are quarantined in time."""
 
 import asyncio
 import typing
@@ -13,7 +13,7 @@
 
 
 class _Pool:
-    """A pool whose servers vanish when told."""
+    """A pool whose servers stop reporting on demand."""
 
     def __init__(self, *names: str) -> None:
         self._live = {name: play.server(name) for name in names}
@@ -31,12 +31,12 @@
         outcome: requests.Outcome,
         content: ids.Fingerprint = _CONTENT,
     ) -> str | None:
-        """Send a request that ends so.
+        """Send a request that ends with the given outcome.
 
-        :returns: the server that got it, None where it was refused.
+        :returns: the server that got it, None if it was refused.
         """
         self._number += 1
-        slot_request = play.slot_request(
+        slot_request = play.make_request(
             str(self._number), self._now(), fingerprint=content
         )
         answer = await self.leader.ask(slot_request)
@@ -46,8 +46,8 @@
         self.leader.release(requests.Release(slot_request.request_id, outcome))
         return answer.server_id
 
-    async def vanish(self, name: str) -> None:
-        """Let a server be silent until its lease has ended."""
+    async def expire(self, name: str) -> None:
+        """Keep a server silent until its lease has ended."""
         await asyncio.sleep(_LEASE_SECONDS)
         self._live.pop(name)
         self.leader.grant_waiting()
@@ -60,15 +60,15 @@
     virtual.run(on_loop())
 
 
-def test_request_under_which_two_servers_vanished_is_refused() -> None:
-    """Its owners saw that its answers broke off before."""
+def test_request_under_which_two_servers_ended_is_refused() -> None:
+    """Its owners got incomplete responses before."""
 
     async def work() -> None:
         pool = _Pool('a', 'b', 'c')
         for _ in range(2):
             server = await pool.send(requests.Outcome.failed)
             assert server is not None
-            await pool.vanish(server)
+            await pool.expire(server)
         assert await pool.send(requests.Outcome.failed) is None
         other = ids.Fingerprint(8)
         assert await pool.send(requests.Outcome.done, other) is not None
@@ -76,8 +76,8 @@
     _run(work)
 
 
-def test_server_that_gave_good_answers_since_vanished_under_nothing() -> None:
-    """An answer that broke off before is explained by something else."""
+def test_good_answers_since_clear_an_incomplete_one() -> None:
+    """The incomplete response before them had another cause."""
 
     async def work() -> None:
         pool = _Pool('a', 'b', 'c')
@@ -90,14 +90,14 @@
                 content = ids.Fingerprint(100 + number)
                 good = await pool.send(requests.Outcome.done, content)
                 await asyncio.sleep(0.1)
-            await pool.vanish(server)
+            await pool.expire(server)
         assert await pool.send(requests.Outcome.done) is not None
 
     _run(work)
 
 
-def test_content_that_ended_well_since_is_not_blamed() -> None:
-    """Many callers ask for the same."""
+def test_content_that_ended_well_since_is_not_suspected() -> None:
+    """Many callers send the same content."""
 
     async def work() -> None:
         pool = _Pool('a', 'b', 'c')
@@ -105,27 +105,27 @@
             server = await pool.send(requests.Outcome.failed)
             assert server is not None
             assert await pool.send(requests.Outcome.done) is not None
-            await pool.vanish(server)
+            await pool.expire(server)
         assert await pool.send(requests.Outcome.done) is not None
 
     _run(work)
 
 
-def test_servers_that_leave_blame_nothing() -> None:
-    """No answer of theirs broke off."""
+def test_servers_that_leave_cause_no_suspicion() -> None:
+    """None of their responses was incomplete."""
 
     async def work() -> None:
         pool = _Pool('a', 'b', 'c')
         for name in ('a', 'b'):
             await pool.send(requests.Outcome.done)
-            await pool.vanish(name)
+            await pool.expire(name)
         assert await pool.send(requests.Outcome.done) == 'c'
 
     _run(work)
 
 
-def test_server_that_leaves_long_after_a_broken_answer_blames_nothing() -> None:
-    """It didn't end under that."""
+def test_server_that_ends_long_after_an_incomplete_answer() -> None:
+    """It didn't end because of that request, which must not be suspected."""
 
     async def work() -> None:
         pool = _Pool('a', 'b', 'c')
@@ -133,14 +133,14 @@
             server = await pool.send(requests.Outcome.failed)
             assert server is not None
             await asyncio.sleep(20)
-            await pool.vanish(server)
+            await pool.expire(server)
         assert await pool.send(requests.Outcome.done) is not None
 
     _run(work)
 
 
-def test_request_that_is_tried_again_at_once_is_found_among_others() -> None:
-    """What ran beside it broke off on two servers at the same moment."""
+def test_request_repeated_at_once_is_found_among_others() -> None:
+    """Other requests on both servers were incomplete at the same moment."""
 
     async def work() -> None:
         pool = _Pool('a', 'b', 'c', 'd')
@@ -150,7 +150,7 @@
             await pool.send(requests.Outcome.failed, ids.Fingerprint(beside))
         for server in ended:
             assert server is not None
-            await pool.vanish(server)
+            await pool.expire(server)
         assert await pool.send(requests.Outcome.failed) is None
         for beside in range(10, 12):
             content = ids.Fingerprint(beside)
@@ -160,7 +160,7 @@
 
 
 def test_request_is_found_though_what_ran_beside_it_breaks_off_first() -> None:
-    """On the second server, too, so that it passes for a cut."""
+    """So on the second server, too; it looks like a network partition."""
 
     async def work() -> None:
         pool = _Pool('a', 'b', 'c', 'd')
@@ -171,7 +171,7 @@
             await asyncio.sleep(0.5)
         for server in ended:
             assert server is not None
-            await pool.vanish(server)
+            await pool.expire(server)
         assert await pool.send(requests.Outcome.failed) is None
 
     _run(work)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_leader.py
@@ -1,4 +1,4 @@
-"""Single decisions of the leader, each with what it guards against."""
+"""Single decisions of the leader, each with the fault it guards against."""
 
 import asyncio
 import dataclasses
@@ -10,14 +10,14 @@
 from geraniumweir.scheduling.ontime.tests import play
 
 
-def _waiting(
+def _make_waiting(
     sequence: int,
     target: float,
     **changes: object,
 ) -> records.Waiting:
-    made = play.slot_request(str(sequence), 0, target=target, **changes)
+    slot_request = play.make_request(str(sequence), 0, target=target, **changes)
     return records.Waiting(
-        made,
+        slot_request,
         sequence,
         0,
         0,
@@ -26,7 +26,7 @@
     )
 
 
-def _plan(
+def _make_plan(
     *waiting: records.Waiting,
     interval: float,
     arrivals: float = 0,
@@ -40,71 +40,75 @@
 
 
 def test_tightest_target_goes_first_while_all_can_be_met() -> None:
-    """The order of latest starts serves all of them."""
+    """The order of latest starts serves all of them in time."""
 
     async def work() -> None:
-        found = _plan(_waiting(1, 0.8), _waiting(2, 0.3), interval=0.1)
-        assert _names(found.turns) == [2, 1]
+        planned = _make_plan(
+            _make_waiting(1, 0.8), _make_waiting(2, 0.3), interval=0.1
+        )
+        assert _names(planned.turns) == [2, 1]
 
     virtual.run(work())
 
 
-def test_least_important_gives_way() -> None:
-    """One of two can be on time: not the one of the lower rank."""
+def test_least_important_request_is_late() -> None:
+    """If one of two can be on time, it must be the one of the higher rank."""
 
     async def work() -> None:
-        low = _waiting(1, 0.3, rank=2)
-        high = _waiting(2, 0.35)
-        found = _plan(low, high, interval=0.4)
-        assert _names(found.turns) == [2, 1]
-        assert found.turns[1].late
+        low = _make_waiting(1, 0.3, rank=2)
+        high = _make_waiting(2, 0.35)
+        planned = _make_plan(low, high, interval=0.4)
+        assert _names(planned.turns) == [2, 1]
+        assert planned.turns[1].late
 
     virtual.run(work())
 
 
-def test_lower_tier_gives_way_before_a_lower_rank() -> None:
+def test_lower_tier_is_late_before_lower_rank() -> None:
     """Tiers are strict."""
 
     async def work() -> None:
-        low = _waiting(1, 0.3, tier=ids.Tier.low)
-        high = _waiting(2, 0.35, rank=2)
-        assert _names(_plan(low, high, interval=0.4).turns) == [2, 1]
+        low = _make_waiting(1, 0.3, tier=ids.Tier.low)
+        high = _make_waiting(2, 0.35, rank=2)
+        assert _names(_make_plan(low, high, interval=0.4).turns) == [2, 1]
 
     virtual.run(work())
 
 
-def test_late_is_refused_at_once_when_newcomers_take_all_slots() -> None:
-    """It would wait until its caller leaves."""
+def test_late_request_is_refused_at_once_when_new_ones_take_all_slots() -> None:
+    """Otherwise it would wait until its caller leaves."""
 
     async def work() -> None:
-        late = _waiting(1, -0.1)
-        assert _names(_plan(late, interval=0.1, arrivals=10).hopeless) == [1]
-        assert _names(_plan(late, interval=0.1, arrivals=1).turns) == [1]
+        late = _make_waiting(1, -0.1)
+        assert _names(_make_plan(late, interval=0.1, arrivals=10).hopeless) == [
+            1
+        ]
+        assert _names(_make_plan(late, interval=0.1, arrivals=1).turns) == [1]
 
     virtual.run(work())
 
 
-async def _granted(
+async def _request_grant(
     pool: play.leader.OnTimePoolLeader,
     name: str,
     **changes: object,
 ) -> requests.Grant:
     now = asyncio.get_running_loop().time()
-    answer = await pool.ask(play.slot_request(name, now, **changes))
+    answer = await pool.ask(play.make_request(name, now, **changes))
     assert isinstance(answer, requests.Grant)
     return answer
 
 
-def test_lost_owner_does_not_shut_a_server() -> None:
-    """Its request never gets a first token here; others on the server do."""
+def test_grant_of_lost_owner_does_not_block_a_server() -> None:
+    """Its first token is never reported; those of others on the server are."""
 
     async def work() -> None:
         now = asyncio.get_running_loop().time
-        pool = play.make(play.server('a', 8), now=now)
-        await _granted(pool, 'phantom')
+        pool = play.make_leader(play.server('a', 8), now=now)
+        await _request_grant(pool, 'phantom')
         for number in range(5):
             await asyncio.sleep(1)
-            grant = await _granted(pool, str(number))
+            grant = await _request_grant(pool, str(number))
             pool.progress(requests.Progress(grant.request_id, 0.06, 1))
             done = requests.Outcome.done
             pool.release(requests.Release(grant.request_id, done, 0.06, 100, 1))
@@ -113,16 +117,16 @@
 
 
 def test_server_that_hangs_gets_one_request_at_a_time() -> None:
-    """What it is sent is lost, so it is tried and not relied on."""
+    """Requests sent to it are lost, so it must get only probes."""
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        pool = play.make(
+        pool = play.make_leader(
             play.server('hangs', 2), play.server('works', 1), now=loop.time
         )
         sent: list[ids.ServerId] = []
         for number in range(30):
-            grant = await _granted(pool, str(number))
+            grant = await _request_grant(pool, str(number))
             sent.append(grant.server_id)
             if grant.server_id == 'works':
                 pool.progress(requests.Progress(grant.request_id, 0.06, 1))
@@ -135,42 +139,45 @@
     virtual.run(work())
 
 
-def test_server_replaced_by_another_run_gets_nothing_more() -> None:
-    """Its old id would be answered 'wrong server' again and again."""
+def test_server_whose_address_was_taken_gets_no_more_requests() -> None:
+    """Requests for its old id would get 'wrong server' again and again."""
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        pool = play.make(play.server('a'), play.server('b'), now=loop.time)
-        grant = await _granted(pool, 'first')
+        pool = play.make_leader(
+            play.server('a'), play.server('b'), now=loop.time
+        )
+        grant = await _request_grant(pool, 'first')
         wrong = requests.Outcome.wrong_server
         pool.release(requests.Release(grant.request_id, wrong))
         others = {
-            (await _granted(pool, str(number))).server_id for number in range(4)
+            (await _request_grant(pool, str(number))).server_id
+            for number in range(4)
         }
         assert grant.server_id not in others
 
     virtual.run(work())
 
 
-def test_repeat_has_the_target_of_its_first_request() -> None:
-    """A newcomer that can be on time goes before it."""
+def test_repeat_keeps_the_target_of_its_first_request() -> None:
+    """A new request that can be on time goes before it."""
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        pool = play.make(play.server('a', 1), now=loop.time)
-        await _granted(pool, 'running')
+        pool = play.make_leader(play.server('a', 1), now=loop.time)
+        await _request_grant(pool, 'running')
         first = await pool.ask(
-            play.slot_request(
+            play.make_request(
                 'x.1', 0, fingerprint=ids.Fingerprint(7), patience=0.1
             ),
         )
         assert isinstance(first, requests.Denial)
         await asyncio.sleep(0.35)
         now = loop.time()
-        again = play.slot_request('x.2', now, fingerprint=ids.Fingerprint(7))
+        again = play.make_request('x.2', now, fingerprint=ids.Fingerprint(7))
         repeat = asyncio.create_task(pool.ask(again))
         await asyncio.sleep(0)
-        newcomer = asyncio.create_task(pool.ask(play.slot_request('y', now)))
+        newcomer = asyncio.create_task(pool.ask(play.make_request('y', now)))
         await asyncio.sleep(0)
         done = requests.Outcome.done
         pool.release(
@@ -187,15 +194,15 @@
 def test_long_prompt_stays_off_a_slow_engine_with_streams(
     reading: int,
 ) -> None:
-    """Its chunks would make every pause there too long."""
+    """Reading it would make the pauses of running streams too long."""
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        pool = play.make(play.server('a', 4), now=loop.time)
+        pool = play.make_leader(play.server('a', 4), now=loop.time)
         for number in range(6):
             tokens = 1000 + number * 1000
             seconds = tokens / 10000
-            grant = await _granted(
+            grant = await _request_grant(
                 pool, str(number), prompt_tokens=tokens, target=9
             )
             pool.progress(requests.Progress(grant.request_id, seconds, 1))
@@ -209,86 +216,97 @@
                 longest_gap=0.3,
             )
             pool.release(ended)
-        await _granted(pool, 'stream', gap=0.25)
-        made = play.slot_request('long', loop.time(), prompt_tokens=reading)
-        made = dataclasses.replace(made, target=loop.time() + 30)
-        long = asyncio.create_task(pool.ask(made))
+        await _request_grant(pool, 'stream', gap=0.25)
+        slot_request = play.make_request(
+            'long', loop.time(), prompt_tokens=reading
+        )
+        slot_request = dataclasses.replace(
+            slot_request, target=loop.time() + 30
+        )
+        long_request = asyncio.create_task(pool.ask(slot_request))
         await asyncio.sleep(0.01)
-        assert not long.done()
-        long.cancel()
+        assert not long_request.done()
+        long_request.cancel()
 
     virtual.run(work())
 
 
-# Shorter than any look at the queue, in seconds.
-_AT_ONCE = 0.01
+# Shorter than the time between two cycles.
+_IMMEDIATE_SECONDS = 0.01
 
 
-async def _taught(pool: play.leader.OnTimePoolLeader, seconds: float) -> None:
-    """Let a pool learn that a thousand tokens are read in some seconds."""
+async def _train_estimates(
+    pool: play.leader.OnTimePoolLeader, seconds: float
+) -> None:
+    """Add samples of an engine that reads a thousand tokens in some seconds."""
     for number in range(20):
         tokens = 1000 + 500 * (number % 4)
-        took = seconds * tokens / 1000
+        seconds_taken = seconds * tokens / 1000
         name = f'lesson {number}'
-        await _granted(pool, name, prompt_tokens=tokens, target=1e9)
+        await _request_grant(pool, name, prompt_tokens=tokens, target=1e9)
         done = requests.Outcome.done
-        ended = requests.Release(ids.RequestId(name), done, took, 100, took + 1)
+        ended = requests.Release(
+            ids.RequestId(name), done, seconds_taken, 100, seconds_taken + 1
+        )
         pool.release(ended)
         await asyncio.sleep(0.5)
 
 
-def test_long_prompt_starts_at_once_where_waiting_is_no_use() -> None:
-    """All servers are free, and it may just be on time.
+def test_long_prompt_starts_at_once_when_all_servers_are_free() -> None:
+    """It may just be on time.
 
-    It waited for a better server until it was late for certain.
+    The fault: it waited for a better server until it was certainly late.
     """
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        pool = play.make(play.server('a'), now=loop.time)
-        await _taught(pool, 0.1)
+        pool = play.make_leader(play.server('a'), now=loop.time)
+        await _train_estimates(pool, 0.1)
         now = loop.time()
-        await _granted(pool, 'long', prompt_tokens=14000, target=now + 1)
-        assert loop.time() < now + _AT_ONCE
+        await _request_grant(pool, 'long', prompt_tokens=14000, target=now + 1)
+        assert loop.time() < now + _IMMEDIATE_SECONDS
 
     virtual.run(work())
 
 
-def test_long_output_is_tried_where_slots_are_free() -> None:
-    """Half of all outputs are shorter than said.
+def test_long_output_starts_while_slots_are_free() -> None:
+    """Half of all outputs are shorter than expected.
 
-    It waited, beside free slots, until its caller left.
+    The fault: it waited, with slots free, until its caller left.
     """
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        pool = play.make(play.server('a'), now=loop.time)
-        await _taught(pool, 0.1)
+        pool = play.make_leader(play.server('a'), now=loop.time)
+        await _train_estimates(pool, 0.1)
         now = loop.time()
         # A token takes 10 ms.
-        await _granted(pool, 'long', likely_tokens=800, max_tokens=900)
-        assert loop.time() < now + _AT_ONCE
+        await _request_grant(pool, 'long', likely_tokens=800, max_tokens=900)
+        assert loop.time() < now + _IMMEDIATE_SECONDS
 
     virtual.run(work())
 
 
-def test_refused_caller_is_told_to_return_within_its_time() -> None:
-    """One with 3 s left was told to come back after 3 to 6 s."""
+def test_retry_time_of_a_denial_is_within_the_deadline() -> None:
+    """The fault: a caller with 3 s left got a retry time of 3 to 6 s."""
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        pool = play.make(play.server('a', 1), now=loop.time)
+        pool = play.make_leader(play.server('a', 1), now=loop.time)
         now = loop.time()
-        asks = [
-            play.slot_request(
+        slot_requests = [
+            play.make_request(
                 str(number), now, deadline=now + 3, target=now + 0.1
             )
             for number in range(200)
         ]
-        waiting = [asyncio.create_task(pool.ask(made)) for made in asks]
+        waiting = [
+            asyncio.create_task(pool.ask(slot_request))
+            for slot_request in slot_requests
+        ]
         await asyncio.sleep(1)
-        told = [task.result() for task in waiting if task.done()]
-        denials = [one for one in told if isinstance(one, requests.Denial)]
+        answers = [task.result() for task in waiting if task.done()]
+        denials = [one for one in answers if isinstance(one, requests.Denial)]
         assert len(denials) > 100
         assert all(0 < one.retry_after_ms <= 1500 for one in denials)
         for task in waiting:
@@ -297,19 +315,19 @@
     virtual.run(work())
 
 
-def test_endless_output_is_refused_at_once() -> None:
-    """No server ends twenty times of what the time left allows."""
+def test_output_too_long_for_all_servers_is_refused_at_once() -> None:
+    """No server ends twenty times the output that the remaining time allows."""
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        pool = play.make(play.server('a'), now=loop.time)
-        await _taught(pool, 0.1)
+        pool = play.make_leader(play.server('a'), now=loop.time)
+        await _train_estimates(pool, 0.1)
         now = loop.time()
-        made = play.slot_request(
+        slot_request = play.make_request(
             'endless', now, likely_tokens=20000, max_tokens=20000
         )
-        found = await pool.ask(made)
-        assert isinstance(found, requests.Denial)
-        assert loop.time() < now + _AT_ONCE
+        denial = await pool.ask(slot_request)
+        assert isinstance(denial, requests.Denial)
+        assert loop.time() < now + _IMMEDIATE_SECONDS
 
     virtual.run(work())
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_look_cost.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_look_cost.py
@@ -1,9 +1,9 @@
-"""What one look at a long queue costs, counted in calls of functions.
+"""Cost of one scheduling cycle over a long queue, in function calls.
 
-In a burst on 39 engines the coordinator's processor was full: each look
-compared up to 128 requests with up to 16 servers, though none of them could be
-on time there, and half of a processor went into looks. Answers to all hosts
-came late, and with them all callers.
+The fault: in a burst on 39 engines each cycle compared up to 128 requests with
+up to 16 servers, though none of them could be on time there. The coordinator's
+processor was full, half of it with cycles, so its answers to all hosts came
+late, and with them all responses.
 """
 
 import asyncio
@@ -18,57 +18,59 @@
 
 _SERVERS = 39
 _WAITING = 400
-# For each that waits, and for each server, whatever one has to do with the
-# other: enough to sort the queue and to look at each server once.
-_CALLS_EACH = 60
+# For each waiting request and each server, not for each pair of them: enough to
+# sort the queue and to check each server once.
+_MAX_CALLS_EACH = 60
 
 
 class _Calls:
-    """Counts calls of functions written in Python."""
+    """Counter of calls of functions written in Python."""
 
     def __init__(self) -> None:
-        self.number = 0
+        self.call_count = 0
 
     def __enter__(self) -> '_Calls':
-        sys.setprofile(self._note)
+        sys.setprofile(self._count)
         return self
 
     def __exit__(self, *_: object) -> None:
         sys.setprofile(None)
 
-    def _note(
+    def _count(
         self,
         _frame: types.FrameType,
         event: str,
         _arg: typing.Any,
     ) -> None:
-        self.number += event == 'call'
+        self.call_count += event == 'call'
 
 
-async def _slow_servers(pool: leader.OnTimePoolLeader) -> list[requests.Grant]:
+async def _fill_servers(pool: leader.OnTimePoolLeader) -> list[requests.Grant]:
     """Fill all slots but one of each server, with slow first tokens."""
     now = asyncio.get_running_loop().time
     grants = []
     for number in range(_SERVERS * 3):
-        made = play.slot_request(f'running {number}', now(), target=now() + 1e6)
-        found = await pool.ask(made)
+        slot_request = play.make_request(
+            f'running {number}', now(), target=now() + 1e6
+        )
+        found = await pool.ask(slot_request)
         assert isinstance(found, requests.Grant)
         pool.progress(requests.Progress(found.request_id, 0.5, 1))
         grants.append(found)
     return grants
 
 
-def test_look_at_many_that_no_open_server_will_do_for() -> None:
-    """It costs about as much as sorting them and looking at each server."""
+def test_cycle_cost_when_no_open_server_is_suitable() -> None:
+    """It costs about as much as sorting the queue and checking each server."""
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
         servers = [play.server(f's{number}') for number in range(_SERVERS)]
-        pool = play.make(*servers, now=loop.time)
-        await _slow_servers(pool)
+        pool = play.make_leader(*servers, now=loop.time)
+        await _fill_servers(pool)
         tasks = [
             asyncio.create_task(
-                pool.ask(play.slot_request(str(number), loop.time()))
+                pool.ask(play.make_request(str(number), loop.time()))
             )
             for number in range(_WAITING)
         ]
@@ -78,6 +80,6 @@
             await asyncio.sleep(0.02)
         for task in tasks:
             task.cancel()
-        assert calls.number < _CALLS_EACH * (_WAITING + _SERVERS)
+        assert calls.call_count < _MAX_CALLS_EACH * (_WAITING + _SERVERS)
 
     virtual.run(work())
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rate_limits.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""What servers get of a pool's requests that name a limit."""
+"""Requests granted to servers that set a rate limit."""
 
 import asyncio
 import dataclasses
@@ -11,28 +11,31 @@
 from geraniumweir.scheduling.ontime.tests import play
 
 _WINDOW_SECONDS = 4
-_HELD_SECONDS = 0.05
-_NEEDY = play.server('needy')
-_SOUND = play.server('sound')
+_HOLD_SECONDS = 0.05
+_LIMITED = play.server('needy')
+_UNLIMITED = play.server('sound')
 _START = (ids.ServerId('needy'), ids.Incarnation(1))
 
 
 @dataclasses.dataclass(slots=True)
 class _Pool:
-    """A pool of which one server may name a limit.
+    """A pool of which one server may set a rate limit.
 
     :ivar per_second: that limit.
-    :ivar granted: when each server got a request.
+    :ivar grant_times: times of the grants, by server.
+    :ivar denied: reasons of all denials.
     """
 
     servers: typing.Sequence[typing.Any]
     per_second: float | None = None
-    granted: dict[str, list[float]] = dataclasses.field(default_factory=dict)
+    grant_times: dict[str, list[float]] = dataclasses.field(
+        default_factory=dict
+    )
     denied: list[requests.DenialReason] = dataclasses.field(
         default_factory=list,
     )
 
-    def lead(self) -> leader.OnTimePoolLeader:
+    def make_leader(self) -> leader.OnTimePoolLeader:
         return leader.OnTimePoolLeader(
             settings.LeaderSettings(play.POOL),
             asyncio.get_running_loop().time,
@@ -43,40 +46,48 @@
     def _rates(self) -> dict[notices.Start, float]:
         return {} if self.per_second is None else {_START: self.per_second}
 
-    async def offer(
+    async def send_evenly(
         self,
-        led: leader.OnTimePoolLeader,
+        pool_leader: leader.OnTimePoolLeader,
         rate: float,
         seconds: float,
     ) -> None:
-        """Let requests come evenly and wait for their end."""
+        """Send requests evenly and wait for their end."""
         name = f'{asyncio.get_running_loop().time()}'
         async with asyncio.TaskGroup() as group:
             for number in range(int(rate * seconds)):
-                group.create_task(self._one(led, f'{name}-{number}'))
+                group.create_task(
+                    self._send_request(pool_leader, f'{name}-{number}')
+                )
                 await asyncio.sleep(1 / rate)
 
-    async def _one(self, led: leader.OnTimePoolLeader, name: str) -> None:
+    async def _send_request(
+        self, pool_leader: leader.OnTimePoolLeader, name: str
+    ) -> None:
         loop = asyncio.get_running_loop()
-        answer = await led.ask(play.slot_request(name, loop.time()))
+        answer = await pool_leader.ask(play.make_request(name, loop.time()))
         if isinstance(answer, requests.Denial):
             self.denied.append(answer.reason)
             return
-        self.granted.setdefault(answer.server_id, []).append(loop.time())
-        await asyncio.sleep(_HELD_SECONDS)
-        led.release(
+        self.grant_times.setdefault(answer.server_id, []).append(loop.time())
+        await asyncio.sleep(_HOLD_SECONDS)
+        pool_leader.release(
             requests.Release(
                 ids.RequestId(name),
                 requests.Outcome.done,
-                _HELD_SECONDS,
+                _HOLD_SECONDS,
                 100,
-                _HELD_SECONDS,
+                _HOLD_SECONDS,
             ),
         )
 
-    def most(self, name: str, since: float = 0) -> int:
-        """Give the most that a server got within a window."""
-        times = [at for at in self.granted.get(name, []) if at >= since]
+    def max_in_window(self, name: str, limit_changed_at: float = 0) -> int:
+        """Return the highest number of grants of a server within a window."""
+        times = [
+            at
+            for at in self.grant_times.get(name, [])
+            if at >= limit_changed_at
+        ]
         return max(
             (
                 sum(start <= at <= start + _WINDOW_SECONDS for at in times)
@@ -87,76 +98,81 @@
 
 
 @pytest.mark.parametrize('limit', [0, 0.4, 1.9, 10])
-def test_server_gets_its_limit_and_others_the_rest(limit: float) -> None:
-    """The aim is the limit itself, not what it may be overstepped by."""
+def test_server_gets_its_rate_limit_and_others_the_remainder(
+    limit: float,
+) -> None:
+    """The aim is the limit itself, not the tolerance above it."""
 
     async def work() -> None:
-        pool = _Pool((_NEEDY, _SOUND))
-        led = pool.lead()
-        await pool.offer(led, 30, 3)
+        pool = _Pool((_LIMITED, _UNLIMITED))
+        pool_leader = pool.make_leader()
+        await pool.send_evenly(pool_leader, 30, 3)
         pool.per_second = max(limit, 0.1)
-        led.grant_waiting()
-        since = asyncio.get_running_loop().time()
-        await pool.offer(led, 30, 12)
-        assert pool.most('needy', since) <= limit * _WINDOW_SECONDS * 1.25 + 1
+        pool_leader.grant_waiting()
+        limit_changed_at = asyncio.get_running_loop().time()
+        await pool.send_evenly(pool_leader, 30, 12)
+        assert (
+            pool.max_in_window('needy', limit_changed_at)
+            <= limit * _WINDOW_SECONDS * 1.25 + 1
+        )
         assert not pool.denied
 
     virtual.run(work())
 
 
-def test_new_coordinator_grants_nothing_that_was_saved_up() -> None:
-    """What the one before it granted isn't known."""
+def test_new_leader_starts_without_saved_rate_tokens() -> None:
+    """It doesn't know what the leader before it granted."""
 
     async def work() -> None:
-        pool = _Pool((_NEEDY,), per_second=2)
+        pool = _Pool((_LIMITED,), per_second=2)
         for _ in range(4):
-            await pool.offer(pool.lead(), 20, 1)
-        assert 4 <= pool.most('needy') <= 2 * _WINDOW_SECONDS + 2
+            await pool.send_evenly(pool.make_leader(), 20, 1)
+        assert 4 <= pool.max_in_window('needy') <= 2 * _WINDOW_SECONDS + 2
 
     virtual.run(work())
 
 
-def test_lifted_limit_holds_nothing_back() -> None:
-    """From the next look on."""
+def test_lifted_limit_restricts_nothing() -> None:
+    """It applies from the next cycle on."""
 
     async def work() -> None:
-        pool = _Pool((_NEEDY,), per_second=1)
-        led = pool.lead()
-        await pool.offer(led, 20, 4)
+        pool = _Pool((_LIMITED,), per_second=1)
+        pool_leader = pool.make_leader()
+        await pool.send_evenly(pool_leader, 20, 4)
         pool.per_second = None
-        led.grant_waiting()
-        since = asyncio.get_running_loop().time()
+        pool_leader.grant_waiting()
+        limit_changed_at = asyncio.get_running_loop().time()
         pool.denied.clear()
-        await pool.offer(led, 20, 4)
-        assert pool.most('needy', since) >= 75
+        await pool.send_evenly(pool_leader, 20, 4)
+        assert pool.max_in_window('needy', limit_changed_at) >= 75
         assert not pool.denied
 
     virtual.run(work())
 
 
-def test_callers_of_a_pool_in_need_are_refused_early() -> None:
-    """Most can't be served: they hear so before they have waited for long."""
+def test_callers_of_a_limited_pool_are_refused_early() -> None:
+    """Most can't be served, so they must not wait for long before."""
 
     async def work() -> None:
-        pool = _Pool((_NEEDY,), per_second=1)
-        led = pool.lead()
-        await pool.offer(led, 20, 3)
+        pool = _Pool((_LIMITED,), per_second=1)
+        pool_leader = pool.make_leader()
+        await pool.send_evenly(pool_leader, 20, 3)
         loop = asyncio.get_running_loop()
-        asked = loop.time()
-        answer = await led.ask(play.slot_request('late', asked))
+        requested_at = loop.time()
+        answer = await pool_leader.ask(play.make_request('late', requested_at))
         assert isinstance(answer, requests.Denial)
-        assert loop.time() - asked < 1
+        assert loop.time() - requested_at < 1
 
     virtual.run(work())
 
 
-def test_host_without_any_part_of_a_limit_refuses_early() -> None:
-    """As one of hundreds that are alone, on which no lot fell."""
+def test_host_without_share_of_a_limit_refuses_early() -> None:
+    """As one of hundreds of partitioned hosts that didn't draw a share."""
 
     async def work() -> None:
-        pool = _Pool((_NEEDY,), per_second=0)
-        await pool.offer(pool.lead(), 20, 3)
-        assert not pool.granted
+        pool = _Pool((_LIMITED,), per_second=0)
+        await pool.send_evenly(pool.make_leader(), 20, 3)
+        assert not pool.grant_times
         assert pool.denied.count(requests.DenialReason.shed) == 60
 
     virtual.run(work())
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rests.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rests.py
@@ -1,4 +1,4 @@
-"""Which signs shut a backend server, and which are acts of its callers."""
+"""Signs that start a server's cooldown, and callers' actions that must not."""
 
 import asyncio
 
@@ -8,16 +8,16 @@
 from geraniumweir.scheduling.ontime.tests import play
 
 _SLOTS = 4
-# Shorter than any rest, in seconds.
-_AT_ONCE = 0.05
+# Shorter than any cooldown.
+_IMMEDIATE_SECONDS = 0.05
 
 
-class _Bed:
-    """A pool of one server, asked by one owner."""
+class _Fixture:
+    """A pool of one server and one owner that requests its slots."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
-        self.leader: leader.OnTimePoolLeader = play.make(
+        self.leader: leader.OnTimePoolLeader = play.make_leader(
             play.server('a', _SLOTS),
             now=loop.time,
         )
@@ -30,14 +30,14 @@
         self._attempt = 0
 
     async def granted(self, number: int) -> list[ids.RequestId]:
-        """Ask for so many slots; give the asks that got one at once."""
+        """Request a number of slots and return the ids granted at once."""
         now = asyncio.get_running_loop().time()
         entries = []
         for _ in range(number):
             self._attempt += 1
-            slot_request = play.slot_request(str(self._attempt), now)
+            slot_request = play.make_request(str(self._attempt), now)
             entries.append(self.led.join(slot_request, self._attempt))
-        await asyncio.sleep(_AT_ONCE)
+        await asyncio.sleep(_IMMEDIATE_SECONDS)
         return [
             entry.ask.request_id
             for entry in entries
@@ -45,94 +45,94 @@
         ]
 
     def end(self, request_id: ids.RequestId, outcome: requests.Outcome) -> None:
-        """Have the owner give a grant back."""
+        """Release a grant as its owner."""
         release = requests.Release(request_id, outcome, 0.06, 100, 0.5)
         self.led.release(release, self._attempt)
 
 
-def test_owner_that_withdraws_grants_shuts_no_server() -> None:
-    """The caller left between the grant and its arrival."""
+def test_withdrawn_grants_start_no_cooldown() -> None:
+    """The caller left between the grant and its arrival at the owner."""
 
     async def work() -> None:
-        bed = _Bed()
+        fixture = _Fixture()
         for _ in range(3):
-            granted = await bed.granted(_SLOTS)
+            granted = await fixture.granted(_SLOTS)
             assert len(granted) == _SLOTS
             for request_id in granted:
-                bed.led.withdraw(request_id, 1000)
+                fixture.led.withdraw(request_id, 1000)
 
     virtual.run(work())
 
 
-def test_grant_replaced_by_a_later_attempt_shuts_no_server() -> None:
-    """An owner that moved and came back asks under a new number."""
+def test_grant_replaced_by_a_later_attempt_starts_no_cooldown() -> None:
+    """An owner that changed leaders and came back uses a new number."""
 
     async def work() -> None:
-        bed = _Bed()
-        granted = await bed.granted(_SLOTS)
+        fixture = _Fixture()
+        granted = await fixture.granted(_SLOTS)
         now = asyncio.get_running_loop().time()
-        again = [
-            bed.led.join(play.slot_request(request_id, now), 1000)
+        repeated_entries = [
+            fixture.led.join(play.make_request(request_id, now), 1000)
             for request_id in granted
         ]
-        await asyncio.sleep(_AT_ONCE)
+        await asyncio.sleep(_IMMEDIATE_SECONDS)
         assert all(
             entry and isinstance(entry.answer, requests.Grant)
-            for entry in again
+            for entry in repeated_entries
         )
 
     virtual.run(work())
 
 
-def test_one_connection_that_fails_shuts_no_server() -> None:
-    """The path may be at fault; a second one in a row begins a rest."""
+def test_one_failed_connection_starts_no_cooldown() -> None:
+    """The path may be at fault; a second one in a row starts a cooldown."""
 
     async def work() -> None:
-        bed = _Bed()
-        first, second, *_ = await bed.granted(_SLOTS)
-        bed.end(first, requests.Outcome.not_sent)
-        assert len(await bed.granted(1)) == 1
-        bed.end(second, requests.Outcome.not_sent)
-        assert not await bed.granted(1)
+        fixture = _Fixture()
+        first, second, *_ = await fixture.granted(_SLOTS)
+        fixture.end(first, requests.Outcome.not_sent)
+        assert len(await fixture.granted(1)) == 1
+        fixture.end(second, requests.Outcome.not_sent)
+        assert not await fixture.granted(1)
 
     virtual.run(work())
 
 
-def test_full_server_gets_fewer_and_then_more() -> None:
-    """It is shared by what this coordinator doesn't know of."""
+def test_full_server_gets_fewer_requests_until_it_answers() -> None:
+    """Its slots may be used by requests that this leader doesn't know."""
 
     async def work() -> None:
-        bed = _Bed()
-        granted = await bed.granted(_SLOTS)
-        bed.end(granted.pop(), requests.Outcome.turned_away)
-        assert not await bed.granted(1)
+        fixture = _Fixture()
+        granted = await fixture.granted(_SLOTS)
+        fixture.end(granted.pop(), requests.Outcome.turned_away)
+        assert not await fixture.granted(1)
         for request_id in granted:
-            bed.end(request_id, requests.Outcome.done)
-        # One of them waited already.
-        assert len(await bed.granted(_SLOTS)) >= 2
+            fixture.end(request_id, requests.Outcome.done)
+        # One of them was waiting already.
+        assert len(await fixture.granted(_SLOTS)) >= 2
 
     virtual.run(work())
 
 
-def test_server_that_turns_everything_away_is_left_alone() -> None:
-    """It says that it is full and runs nothing."""
+def test_server_that_rejects_everything_gets_a_cooldown() -> None:
+    """It reports that it is full and runs nothing."""
 
     async def work() -> None:
-        bed = _Bed()
+        fixture = _Fixture()
         for _ in range(_SLOTS):
-            for request_id in await bed.granted(_SLOTS):
-                bed.end(request_id, requests.Outcome.turned_away)
-        assert not await bed.granted(1)
+            for request_id in await fixture.granted(_SLOTS):
+                fixture.end(request_id, requests.Outcome.turned_away)
+        assert not await fixture.granted(1)
 
     virtual.run(work())
 
 
-def test_limit_grows_back_with_the_answers() -> None:
-    """A server that was full for a moment has all its slots again soon."""
+def test_concurrency_limit_grows_with_answers() -> None:
+    """A server that was full for a moment gets all its slots back soon."""
     condition = conditions.Condition()
     condition.record_rejection(6, 0, 1)
     assert condition.max_requests(6, 1) == 4
-    # All were sent before it was known.
+    # This one was sent before the first rejection was known.
     condition.record_rejection(5, 0.5, 1)
     assert condition.max_requests(6, 1) == 4
     for _ in range(10):
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_starts.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""A backend server that starts again under its id holds and knows nothing."""
+"""A backend server that restarts under its id has lost all its requests."""
 
 import asyncio
 import dataclasses
@@ -12,7 +12,7 @@
 
 
 class _Pool:
-    """A pool of one server of two slots, which starts again when told."""
+    """A pool of one server of two slots that restarts on demand."""
 
     def __init__(self) -> None:
         self._live = [play.server('a', 2)]
@@ -20,11 +20,11 @@
         cfg = leader.settings.LeaderSettings(play.POOL)
         self.leader = leader.OnTimePoolLeader(cfg, now, self._servers)
 
-    def start_again(self) -> None:
-        """Let the server be known by its next start."""
+    def restart(self) -> None:
+        """Announce the next incarnation of the server."""
         before = self._live[0]
-        born = ids.Incarnation(before.incarnation + 1)
-        self._live = [dataclasses.replace(before, incarnation=born)]
+        next_incarnation = ids.Incarnation(before.incarnation + 1)
+        self._live = [dataclasses.replace(before, incarnation=next_incarnation)]
         self.leader.grant_waiting()
 
     async def granted(
@@ -32,45 +32,45 @@
         name: str,
         **changes: typing.Any,
     ) -> requests.Grant:
-        """Ask and be granted at once."""
+        """Request a slot and return the immediate grant."""
         now = asyncio.get_running_loop().time()
         async with asyncio.timeout(0.01):
             found = await self.leader.ask(
-                play.slot_request(name, now, **changes)
+                play.make_request(name, now, **changes)
             )
         assert isinstance(found, requests.Grant)
         return found
 
-    def end(self, name: str, how: requests.Outcome) -> None:
-        """Give a grant back."""
-        self.leader.release(requests.Release(ids.RequestId(name), how))
+    def end(self, name: str, outcome: requests.Outcome) -> None:
+        """Release a grant."""
+        self.leader.release(requests.Release(ids.RequestId(name), outcome))
 
     def _servers(self) -> list[servers.Announcement]:
         return self._live
 
 
-def test_new_start_has_all_its_slots() -> None:
-    """What ran on the one before is lost and keeps none."""
+def test_new_incarnation_has_all_its_slots() -> None:
+    """Requests of the old one are lost and hold no slots."""
 
     async def work() -> None:
         pool = _Pool()
         await pool.granted('1')
         await pool.granted('2')
-        pool.start_again()
+        pool.restart()
         grants = [await pool.granted('3'), await pool.granted('4')]
         assert {found.incarnation for found in grants} == {2}
 
     virtual.run(work())
 
 
-def test_ends_of_the_start_before_count_for_nothing() -> None:
-    """Two broken answers of it would let the new one rest."""
+def test_failures_of_the_old_incarnation_start_no_cooldown() -> None:
+    """Two of them would start a cooldown of the new one."""
 
     async def work() -> None:
         pool = _Pool()
         await pool.granted('1')
         await pool.granted('2')
-        pool.start_again()
+        pool.restart()
         await pool.granted('3')
         pool.end('1', requests.Outcome.failed)
         pool.end('2', requests.Outcome.failed)
@@ -79,31 +79,31 @@
     virtual.run(work())
 
 
-def test_start_whose_address_was_taken_is_not_the_next_one() -> None:
-    """The server answered as another one, and then came back."""
+def test_server_whose_address_was_taken_can_return() -> None:
+    """Another server answered at its address before it restarted."""
 
     async def work() -> None:
         pool = _Pool()
         await pool.granted('1')
         pool.end('1', requests.Outcome.wrong_server)
-        pool.start_again()
+        pool.restart()
         await pool.granted('2')
 
     virtual.run(work())
 
 
-def test_request_that_crashes_each_start_is_quarantined() -> None:
-    """Two starts were lost under it alone, without a broken answer."""
+def test_request_that_crashes_each_incarnation_is_quarantined() -> None:
+    """Two incarnations ended under it alone, without an incomplete response."""
 
     async def work() -> None:
         pool = _Pool()
-        mark = ids.Fingerprint(5)
+        content = ids.Fingerprint(5)
         for number in range(2):
-            await pool.granted(str(number), fingerprint=mark)
-            pool.start_again()
+            await pool.granted(str(number), fingerprint=content)
+            pool.restart()
             await asyncio.sleep(1)
         now = asyncio.get_running_loop().time()
-        again = play.slot_request('again', now, fingerprint=mark)
+        again = play.make_request('again', now, fingerprint=content)
         found = await pool.leader.ask(again)
         assert isinstance(found, requests.Denial)
         assert found.reason is requests.DenialReason.quarantined
