--- a/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/fleet.py
@@ -16,8 +16,8 @@
 # A server whose address another one took is remembered for this time: by then
 # its reports have stopped for longer than any lease.
 _REPLACED_KEPT_SECONDS = 60.0
-# An incomplete response may be reported so long after a later good response of
-# the server.
+# Reports of entry hosts may be out of order by this time: an incomplete
+# response recorded so long before the last good one may have come after it.
 _REPORT_DELAY_SECONDS = 0.5
 # The end of a server is detected within this time; some of its reports are
 # missed first.
@@ -60,8 +60,11 @@
     if now - leader.synced_at < _SYNC_SECONDS:
         return
     leader.synced_at = now
-    known = _known(leader, now)
-    live = {found.server_id: found for found in _unbarred(leader, known)}
+    announcements = _current_announcements(leader, now)
+    live = {
+        found.server_id: found
+        for found in _eligible_announcements(leader, announcements)
+    }
     if live:
         leader.server_seen_at = now
     for server_id, announcement in live.items():
@@ -75,7 +78,7 @@
             server.announcement = announcement
             server.live = True
     _set_roles(leader)
-    announced = {found.server_id for found in known}
+    announced = {found.server_id for found in announcements}
     for missing in leader.servers.keys() - live.keys():
         server = leader.servers[missing]
         if server.live and missing not in announced:
@@ -92,7 +95,7 @@
     )
 
 
-def _known(
+def _current_announcements(
     leader: state.OnTimeLeaderState,
     now: float,
 ) -> list[servers.Announcement]:
@@ -107,9 +110,9 @@
     ]
 
 
-def _unbarred(
+def _eligible_announcements(
     leader: state.OnTimeLeaderState,
-    known: list[servers.Announcement],
+    announcements: list[servers.Announcement],
 ) -> list[servers.Announcement]:
     """Return the servers whose version may get requests.
 
@@ -118,15 +121,15 @@
     """
     guide = leader.guide
     if guide.rollout is None:
-        return known
+        return announcements
     found = [
         one
-        for one in known
+        for one in announcements
         if guide.role(one.version) is not orders.Role.barred
     ]
     if found or not guide.runs:
         return found
-    return [one for one in known if one.version != guide.rollout.to]
+    return [one for one in announcements if one.version != guide.rollout.to]
 
 
 def _set_roles(leader: state.OnTimeLeaderState) -> None:
@@ -180,12 +183,14 @@
 def rollout_load(leader: state.OnTimeLeaderState) -> guiding.Load:
     """Return the load of the pool, for its rollout."""
     to = leader.guide.to
-    known = leader.servers.values()
+    all_servers = leader.servers.values()
     return guiding.Load(
-        old_running=sum(len(one.running) for one in known if one.version != to),
+        old_running=sum(
+            len(one.running) for one in all_servers if one.version != to
+        ),
         running=len(leader.running),
         new_slots=sum(
-            one.slots for one in known if one.live and one.version == to
+            one.slots for one in all_servers if one.live and one.version == to
         ),
         held=leader.hold_seconds,
     )
--- a/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
@@ -90,9 +90,11 @@
     """
     if not leader.waiting:
         return
-    left = leader.last_cycle_at + _batch_seconds(leader) - leader.now()
-    if left > 0 and len(leader.waiting) > _MAX_UNBATCHED:
-        _arm_timer(leader, left)
+    remaining_seconds = (
+        leader.last_cycle_at + _batch_seconds(leader) - leader.now()
+    )
+    if remaining_seconds > 0 and len(leader.waiting) > _MAX_UNBATCHED:
+        _arm_timer(leader, remaining_seconds)
     else:
         _run_cycle(leader)
 
@@ -191,11 +193,13 @@
 
 
 def _open_servers(leader: state.OnTimeLeaderState, cycle: _Cycle) -> None:
-    known = [server for server in leader.servers.values() if server.serves]
-    start = leader.rng.randrange(len(known)) if known else 0
-    cycle.candidates = placing.open_offers(known, start, cycle.estimates)
-    rate_limited = sum(one.is_rate_limited(cycle.now) for one in known)
-    cycle.all_open = len(cycle.candidates) == len(known) - rate_limited
+    eligible = [server for server in leader.servers.values() if server.serves]
+    first_index = leader.rng.randrange(len(eligible)) if eligible else 0
+    cycle.candidates = placing.open_offers(
+        eligible, first_index, cycle.estimates
+    )
+    rate_limited = sum(one.is_rate_limited(cycle.now) for one in eligible)
+    cycle.all_open = len(cycle.candidates) == len(eligible) - rate_limited
 
 
 def _lead_time(leader: state.OnTimeLeaderState) -> ordering.LeadTime:
@@ -303,17 +307,21 @@
     """Take one slot of a candidate and update or remove its offer."""
     offers.remove(offer)
     if offer.free_slots > 1:
-        left = placing.make_offer(offer.server, offer.free_slots - 1, estimates)
-        offers.append(left)
+        reduced = placing.make_offer(
+            offer.server, offer.free_slots - 1, estimates
+        )
+        offers.append(reduced)
 
 
 def _refuse_too_long(leader: state.OnTimeLeaderState, now: float) -> None:
-    """Refuse requests that no server can finish before their deadlines."""
+    """Refuse requests that take too long even for the quickest server."""
     if leader.quickest is None:
         return
-    decode = leader.estimates.decode(leader.quickest.speed)
+    seconds_per_output_token = leader.estimates.decode(leader.quickest.speed)
     for waiting in list(leader.waiting.values()):
-        if placing.exceeds_deadline(waiting, decode * waiting.tokens, now):
+        if placing.exceeds_deadline(
+            waiting, seconds_per_output_token * waiting.tokens, now
+        ):
             state.refuse(leader, waiting, requests.DenialReason.too_late)
 
 
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -197,9 +197,9 @@
         verdict = suspected.verdict(slot_request.fingerprint, now)
         if verdict is suspects.Verdict.quarantined:
             reason = requests.DenialReason.quarantined
-            wait = suspected.remaining(slot_request.fingerprint, now)
+            wait_seconds = suspected.remaining(slot_request.fingerprint, now)
             return requests.Denial(
-                slot_request.request_id, reason, int(wait * _MS)
+                slot_request.request_id, reason, int(wait_seconds * _MS)
             )
         if slot_request.deadline <= now:
             too_late = requests.DenialReason.too_late
--- a/libs/scheduling/geraniumweir/scheduling/ontime/ordering.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/ordering.py
@@ -118,9 +118,9 @@
         :param on_time: number of requests ahead that can be in time.
         :param late: number of late requests ahead.
         """
-        left = max(1 - self.load, _MIN_SPARE_FRACTION)
+        spare = max(1 - self.load, _MIN_SPARE_FRACTION)
         ahead = _multiply(on_time, self.interval)
-        return ahead + (late + 1) * self.interval / left
+        return ahead + (late + 1) * self.interval / spare
 
 
 _Value = tuple[int, float, int, int]
@@ -174,8 +174,13 @@
     turns = list(on_time)
     hopeless = []
     for turn in late:
-        wait = pace.late_wait_seconds(len(on_time), len(turns) - len(on_time))
-        if wait > max(turn.latest_start - now, 0) * _MAX_LATENESS_FACTOR:
+        wait_seconds = pace.late_wait_seconds(
+            len(on_time), len(turns) - len(on_time)
+        )
+        if (
+            wait_seconds
+            > max(turn.latest_start - now, 0) * _MAX_LATENESS_FACTOR
+        ):
             hopeless.append(turn)
         else:
             turns.append(turn)
@@ -199,13 +204,13 @@
     accepted: list[tuple[_Value, Turn]] = []
     rejected: list[Turn] = []
     for turn in sorted(turns, key=_by_start):
-        left = turn.latest_start - now
-        if left < 0:
+        remaining_seconds = turn.latest_start - now
+        if remaining_seconds < 0:
             # Late even as the first one, so no other is rejected for it.
             rejected.append(turn)
             continue
         heapq.heappush(accepted, (_value(turn), turn))
-        if _multiply(len(accepted) - 1, interval) > left:
+        if _multiply(len(accepted) - 1, interval) > remaining_seconds:
             rejected.append(heapq.heappop(accepted)[1])
     timely = [entry[1] for entry in accepted]
     return sorted(timely, key=_by_start), rejected
--- a/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
@@ -272,8 +272,8 @@
 
     :param hold_seconds: predicted seconds on the quickest server.
     """
-    left = waiting.ask.deadline - now
-    return hold_seconds > left * _MAX_DEADLINE_RATIO
+    remaining_seconds = waiting.ask.deadline - now
+    return hold_seconds > remaining_seconds * _MAX_DEADLINE_RATIO
 
 
 def predict(candidate: Offer, waiting: records.Waiting) -> Placement:
--- a/libs/scheduling/geraniumweir/scheduling/ontime/state.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/state.py
@@ -119,13 +119,13 @@
 def interval(leader: OnTimeLeaderState) -> float:
     """Predict the seconds from one free slot of the pool to the next."""
     now = leader.now()
-    live = [server for server in leader.servers.values() if server.serves]
-    for server in live:
+    serving = [server for server in leader.servers.values() if server.serves]
+    for server in serving:
         server.slot_usage.advance(len(server.running), now)
     leader.hold_seconds = occupancy.pool_hold_seconds(
-        one.slot_usage for one in live
+        one.slot_usage for one in serving
     )
-    rate = sum(one.completion_rate(leader.hold_seconds, now) for one in live)
+    rate = sum(one.completion_rate(leader.hold_seconds, now) for one in serving)
     return 1 / rate if rate else float('inf')
 
 
@@ -153,8 +153,8 @@
         else _SHORT_RETRY_SECONDS
     )
     seconds *= leader.rng.uniform(1, 1 + _RETRY_SPREAD)
-    left = max(slot_request.deadline - leader.now(), 0)
-    seconds = min(seconds, left * _MAX_RETRY_FRACTION)
+    remaining_seconds = max(slot_request.deadline - leader.now(), 0)
+    seconds = min(seconds, remaining_seconds * _MAX_RETRY_FRACTION)
     return requests.Denial(slot_request.request_id, reason, int(seconds * _MS))
 
 
