--- a/libs/gateway/geraniumweir/gateway/codec.py
+++ b/libs/gateway/geraniumweir/gateway/codec.py
@@ -1,7 +1,7 @@
-"""What the gateway asks of the protocol that callers and servers speak.
+"""Interface between the gateway and the HTTP headers of a platform.
 
-The gateway decides; whoever implements :class:`Codec` knows the names of
-headers and the form of values, and nothing else.
+The gateway makes all decisions. An implementation of :class:`Codec` only
+defines the names of headers and the format of their values.
 """
 
 import dataclasses
@@ -19,7 +19,7 @@
 class PromptPart:
     """A part of a prompt that requests may share.
 
-    :ivar part_id: equal for equal content behind equal parts before it.
+    :ivar part_id: equal for equal content after equal preceding parts.
     """
 
     part_id: int
@@ -28,12 +28,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Generation:
-    """What a caller says of the generation it asks for.
+    """Generation that a caller requests.
 
-    :ivar prompt_tokens: of the whole prompt.
-    :ivar max_tokens: most that may be generated.
-    :ivar likely_tokens: the caller's own estimate, 0 for none.
-    :ivar parts: of the prompt, first to last.
+    :ivar prompt_tokens: length of the whole prompt.
+    :ivar max_tokens: highest number of tokens to generate.
+    :ivar likely_tokens: the caller's estimate of that number, 0 for none.
+    :ivar parts: parts of the prompt, in order.
     """
 
     prompt_tokens: int = 0
@@ -45,16 +45,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A caller's request, read.
+    """A parsed request of a caller.
 
-    :ivar request_id: the caller's own, new for each attempt of its.
-    :ivar target: path and query, as they came.
-    :ivar path: without the query.
-    :ivar key: names the customer, empty for none.
-    :ivar patience: seconds that the caller waits, None where it doesn't say.
+    :ivar request_id: set by the caller, new for each of its attempts.
+    :ivar target: path and query as received.
+    :ivar path: path without the query.
+    :ivar key: API key of the customer, empty for none.
+    :ivar patience: seconds that the caller waits, None if not stated.
     :ivar generation: None for a request without a prompt.
-    :ivar last_event: number of the last event the caller has, None for none.
-    :ivar headers: those that go on to a server.
+    :ivar last_event: number of the last event that the caller received, None
+        for none.
+    :ivar headers: headers that are forwarded to a server.
     """
 
     request_id: str
@@ -71,11 +72,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dispatch:
-    """What a server is told besides the caller's own headers.
+    """Values that a server gets in addition to the caller's headers.
 
-    :ivar server_id: the run of a server that is meant, no other.
-    :ivar seconds_left: until the answer is due.
-    :ivar last_event: the stream goes on behind it; None to begin.
+    :ivar server_id: the only server that may run the request.
+    :ivar customer: name of the customer, None for none.
+    :ivar seconds_left: seconds until the response is due.
+    :ivar last_event: number of the event after which the stream resumes, None
+        to start it.
     """
 
     server_id: ids.ServerId
@@ -86,15 +89,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """The head of a server's answer, read.
-
-    :ivar request_id: of the request that it answers, empty where unsaid.
-    :ivar not_run: the server says that it didn't run the request.
-    :ivar signed: it carries the server's signature.
-    :ivar encoded: the body is not as the server made it.
-    :ivar streams: it is a stream of events.
-    :ivar headers: those that go on to the caller.
-    :ivar said: what the server says of itself.
+    """The parsed head of a server's response.
+
+    :ivar request_id: of the request that it answers, empty if not stated.
+    :ivar not_run: whether the server states that it did not run the request.
+    :ivar signed: whether it has the server's signature.
+    :ivar encoded: whether the body was encoded after the server made it.
+    :ivar streams: whether it is a stream of events.
+    :ivar headers: headers that are forwarded to the caller.
+    :ivar said: notices of the server about itself.
     """
 
     status: int
@@ -108,23 +111,24 @@
 
 
 class Codec(typing.Protocol):
-    """Names and forms of a protocol."""
+    """Header names and value formats of a platform."""
 
     def read_request(self, req: web.BaseRequest) -> Request:
-        """Read a caller's request.
+        """Return the parsed request of a caller.
 
-        :raises geraniumweir.gateway.errors.BadCallError: when it can't be.
+        :raises geraniumweir.gateway.errors.BadRequestError: if a header is
+            malformed.
         """
 
     def dispatch_headers(self, call: Request, dispatch: Dispatch) -> Headers:
-        """Give the headers of a dispatch."""
+        """Return the headers of a dispatch to a server."""
 
     def read_response_head(
         self,
         status: int,
         headers: typing.Mapping[str, str],
     ) -> ResponseHead:
-        """Read the head of a server's answer."""
+        """Return the parsed head of a server's response."""
 
     def refusal(self, call_id: str, refusal: errors.Refusal) -> web.Response:
-        """Make the answer that tells a caller of a refusal."""
+        """Return the response for a refusal."""
--- a/libs/gateway/geraniumweir/gateway/errors.py
+++ b/libs/gateway/geraniumweir/gateway/errors.py
@@ -4,18 +4,18 @@
 
 
 class GatewayError(errors.GeraniumweirError):
-    """Something about a call can't be done."""
+    """Base class of the errors of the gateway."""
 
     code = 'GW-1700'
 
 
 class BadRequestError(GatewayError, ValueError):
-    """A call can't be read."""
+    """A request with a malformed header."""
 
     code = 'GW-1701'
 
 
 class InvalidStreamError(GatewayError):
-    """A stream ended before its last event, or its events don't follow."""
+    """A truncated stream, or one whose events are out of sequence."""
 
     code = 'GW-1702'
--- a/libs/gateway/geraniumweir/gateway/events.py
+++ b/libs/gateway/geraniumweir/gateway/events.py
@@ -1,4 +1,4 @@
-"""Splits a server's stream into whole events and checks that they follow.
+"""Splits a server's stream into complete events and checks their sequence.
 
 References
 ==========
@@ -11,14 +11,15 @@
 
 _END = b'\n\n'
 _NUMBER = re.compile(rb'(?:^|\n)id: ?(\d+)')
-# Longest event that is waited for, in bytes; servers' are some hundred long.
+# Longer events are rejected; events of servers have a few hundred bytes.
 _MAX_EVENT_BYTES = 1024 * 1024
 
 
 class EventSplitter:
-    r"""Cuts bytes into whole events, of one run of a stream or several.
+    r"""Splitter of a stream into complete events, across several attempts.
 
-    :ivar last: number of the last event that was given, None before it.
+    :ivar last: number of the last event that was returned, None before it.
+    :ivar count: number of events that were returned.
 
     >>> splitter = EventSplitter()
     >>> splitter.feed(b'id: 1\ndata: a\n\nid: 2\nda')
@@ -28,23 +29,23 @@
     """
 
     def __init__(self, last: int | None = None) -> None:
-        """Begin a stream, or go on behind an event.
+        """Initialize at the start of a stream or after an event.
 
-        :param last: number of that event.
+        :param last: number of that event, None at the start.
         """
         self.last = last
         self.count = 0
         self._incomplete = b''
 
     def feed(self, chunk: bytes) -> bytes:
-        """Take bytes and give the events that are whole now.
+        """Return the events that are complete with these bytes.
 
-        :raises errors.BrokenStreamError: when events don't follow each
-            other.
+        :raises errors.InvalidStreamError: if an event is out of sequence or
+            too long.
         """
         complete, end, incomplete = (self._incomplete + chunk).rpartition(_END)
         if len(incomplete) > _MAX_EVENT_BYTES:
-            raise errors.InvalidStreamError('an event without an end')
+            raise errors.InvalidStreamError('event exceeds the maximum length')
         self._incomplete = incomplete
         if not end:
             return b''
@@ -53,11 +54,11 @@
         return complete + end
 
     def is_complete(self) -> bool:
-        """Tell whether no event is cut."""
+        """Return whether there is no incomplete event."""
         return not self._incomplete
 
     def discard_incomplete(self) -> None:
-        """Drop a cut event: another run goes on behind the last whole one."""
+        """Discard an incomplete event: the next attempt resumes before it."""
         self._incomplete = b''
 
     def _check_sequence(self, event: bytes) -> None:
@@ -68,6 +69,6 @@
         number = int(found.group(1))
         if self.last is not None and number != self.last + 1:
             raise errors.InvalidStreamError(
-                f'event {number} came behind event {self.last}',
+                f'event {number} received after event {self.last}',
             )
         self.last = number
--- a/libs/gateway/geraniumweir/gateway/host.py
+++ b/libs/gateway/geraniumweir/gateway/host.py
@@ -1,4 +1,4 @@
-"""Puts the parts of an entry host together, and drains it."""
+"""Assembles the components of an entry host and drains it at its end."""
 
 import asyncio
 import collections
@@ -40,32 +40,37 @@
 )
 from geraniumweir.wire import tcp
 
-# Idle connections to servers are kept for less than servers commonly do.
+# Shorter than the time after which servers commonly close idle connections.
 _BACKEND_IDLE_SECONDS = 4.0
-# A lost opening packet is sent again only after a second; another server is
-# the better choice long before. In seconds, some hundred round trips.
+# A lost SYN packet is sent again only after a second, and another server is the
+# better choice long before. This is some hundred round trips.
 _CONNECT_SECONDS = 0.3
-# After readiness was taken back, new connections still come for two probes of
-# a second each.
+# After the host stopped being ready, new connections still arrive for two
+# probe intervals of a second each.
 _ACCEPT_AFTER_UNREADY_SECONDS = 2.5
-# What is left of the grace time when connections are broken off, in seconds: a
-# process that has requests open must still end before it is killed.
+# Remaining grace time at which open connections are closed: the process must
+# end before it is killed even if requests are still open.
 _FORCED_CLOSE_SECONDS = 0.8
-# Whether open requests have ended is looked at this often, in seconds.
+# Interval of the checks whether all requests have ended.
 _POLL_SECONDS = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """What an entry host is told.
+    """Settings of an entry host.
 
-    :ivar callers_socket: listens there already, None where none does.
-    :ivar seeds: gives peer addresses of some control hosts.
-    :ivar sure_seconds: what the control hosts last said counts as the newest
-        for so long.
-    :ivar quota_seconds: length of the window over which quotas hold.
-    :ivar tolerance: for what customers used before and isn't known.
-    :ivar grace_seconds: from the order to stop until the process is killed.
+    :ivar callers: address for callers.
+    :ivar ready: address for readiness probes.
+    :ivar seeds: returns peer addresses of some control hosts.
+    :ivar sure_seconds: seconds for which an answer of the control hosts counts
+        as up to date.
+    :ivar quota_seconds: length of the window over which quotas apply.
+    :ivar tolerance: allowance for earlier usage of customers that this host
+        has no figures of.
+    :ivar grace_seconds: seconds from the stop signal until the process is
+        killed.
+    :ivar callers_socket: socket that listens at ``callers`` already, None
+        without one.
     """
 
     host_id: ids.HostId
@@ -82,7 +87,7 @@
 
 
 class EntryHost:
-    """The parts of an entry host."""
+    """An entry host and its components."""
 
     def __init__(
         self,
@@ -92,7 +97,7 @@
         read: inforce.Read,
         meter: metrics.Metrics,
     ) -> None:
-        """Put them together; :meth:`run` starts them."""
+        """Initialize the components; :meth:`run` starts them."""
         self._cfg = cfg
         self._clock = timers.TimerService()
         self._link = channel.Channel(layer)
@@ -166,7 +171,7 @@
         self._caller_server: serving.CallerServer | None = None
 
     def document_state(self) -> admission.DocumentState:
-        """Give what this host decides by now."""
+        """Return the routing document that is in force now."""
         age = self._clock.now() - self.watcher.sure_at
         return admission.DocumentState(
             self.watcher.index,
@@ -178,9 +183,10 @@
         stack: contextlib.AsyncExitStack,
         stop: asyncio.Event,
     ) -> None:
-        """Serve until told to stop, then drain.
+        """Serve until the stop event is set, then drain.
 
-        :param stack: stops what is left.
+        :param stack: stops the components when it closes.
+        :param stop: is set to stop the host.
         """
         session = await stack.enter_async_context(
             calls.make_session(_CONNECT_SECONDS, _BACKEND_IDLE_SECONDS),
@@ -224,7 +230,7 @@
         await self._drain(caller_server, callers)
 
     def _limited_servers(self) -> dict[tuple[str, ...], float]:
-        """Count the servers that name a limit, by pool."""
+        """Return the number of servers with a rate limit, by pool."""
         counted: collections.Counter[tuple[str, ...]] = collections.Counter()
         for server_id, _ in self._server_notices.limits():
             found = self.watcher.servers.get(server_id)
@@ -238,7 +244,10 @@
     def _rollout_controller(
         self, pool: ids.PoolName
     ) -> controller.RolloutController:
-        """Follow a pool's rollout; only its coordinator tries new servers."""
+        """Return a controller that never spends budget on a new version.
+
+        Only the coordinator may grant requests to it.
+        """
         return controller.RolloutController(
             lambda: self.watcher.rollout(pool),
             self._clock.now,
@@ -260,7 +269,7 @@
         caller_server: serving.CallerServer,
         callers: web.ServerRunner,
     ) -> None:
-        """End all requests with their answers, then all connections."""
+        """Complete all open requests, then close all connections."""
         started = self._clock.now()
         end = started + self._cfg.grace_seconds - _FORCED_CLOSE_SECONDS
         self._readiness.leave()
--- a/libs/gateway/geraniumweir/gateway/listening.py
+++ b/libs/gateway/geraniumweir/gateway/listening.py
@@ -1,4 +1,4 @@
-"""Serves HTTP at an address until a stack ends."""
+"""Serves HTTP at an address until an exit stack closes."""
 
 import contextlib
 import socket
@@ -8,7 +8,7 @@
 
 
 def make_runner(server: web.Server) -> web.ServerRunner:
-    """Make the runner of a server whose requests are drained before."""
+    """Return a runner that stops at once: requests are drained before."""
     return web.ServerRunner(server, shutdown_timeout=0)
 
 
@@ -18,10 +18,10 @@
     address: ids.Address,
     sock: socket.socket | None = None,
 ) -> None:
-    """Serve at an address until the stack ends.
+    """Serve at an address until the stack closes.
 
-    :param sock: listens there already; None makes one.
-    :raises OSError: when it can't be listened on.
+    :param sock: a socket that listens there already, None to open one.
+    :raises OSError: if the address can't be bound.
     """
     await runner.setup()
     stack.push_async_callback(runner.cleanup)
--- a/libs/gateway/geraniumweir/gateway/logevents.py
+++ b/libs/gateway/geraniumweir/gateway/logevents.py
@@ -11,51 +11,53 @@
     150, _Level.notice, 'serving callers at {callers}, readiness at {ready}'
 )
 DRAINING: typing.Final = _Event(
-    151, _Level.notice, 'draining, {open} requests open, {seconds} s at most'
+    151, _Level.notice, 'draining for at most {seconds} s, {open} requests open'
 )
 STOPPED: typing.Final = _Event(
-    152, _Level.notice, 'stopped, {open} requests did not end'
+    152, _Level.notice, 'stopped, {open} requests not completed'
 )
-READY: typing.Final = _Event(153, _Level.notice, 'ready: {ready}, {reason}')
-RELOADED: typing.Final = _Event(154, _Level.notice, 'settings read again')
+READY: typing.Final = _Event(
+    153, _Level.notice, 'readiness changed to {ready}: {reason}'
+)
+RELOADED: typing.Final = _Event(154, _Level.notice, 'settings reloaded')
 ENDED: typing.Final = _Event(
-    160, _Level.info, 'request {request} ended with {status}'
+    160, _Level.info, 'request {request} completed with {status}'
 )
 SETTINGS_UNREADABLE: typing.Final = _Event(
     155,
     _Level.warning,
-    'the settings can not be read again, the last ones hold: {reason}',
+    'reloading the settings failed, previous settings kept: {reason}',
 )
 REFUSED: typing.Final = _Event(
     161, _Level.info, 'request {request} refused with {status}: {reason}'
 )
 ATTEMPT_FAILED: typing.Final = _Event(
-    162, _Level.info, 'request {request} did not end at {server}: {reason}'
+    162, _Level.info, 'request {request} failed at server {server}: {reason}'
 )
 RESPONSE_ABORTED: typing.Final = _Event(
-    163, _Level.info, 'request {request} broken off: {reason}'
+    163, _Level.info, 'response to request {request} aborted: {reason}'
 )
 CALLER_GONE: typing.Final = _Event(
-    164, _Level.info, 'caller of {request} has gone'
+    164, _Level.info, 'caller of request {request} closed its connection'
 )
 INTERNAL_ERROR: typing.Final = _Event(
-    165, _Level.error, 'request {request} met a fault: {reason}'
+    165,
+    _Level.error,
+    'internal error while serving request {request}: {reason}',
 )
 NOTICE_UNREADABLE: typing.Final = _Event(
     166,
     _Level.warning,
-    'what server {server} says of itself can not be read: {said}',
+    'unreadable notice of server {server} ignored: {said}',
 )
 GRANT_UNUSED: typing.Final = _Event(
     167,
     _Level.info,
-    'request {request} was not sent to {server}, which is {reason}',
-)
-RETRIED: typing.Final = _Event(
-    168, _Level.info, 'request {request} is sent once more'
+    'request {request} not sent to server {server}, which is {reason}',
 )
+RETRIED: typing.Final = _Event(168, _Level.info, 'request {request} is retried')
 NOT_RETRIED: typing.Final = _Event(
     169,
     _Level.info,
-    'request {request} is not sent once more, the retry budget is used up',
+    'request {request} is not retried, the retry budget is used up',
 )
--- a/libs/gateway/geraniumweir/gateway/outcomes.py
+++ b/libs/gateway/geraniumweir/gateway/outcomes.py
@@ -1,4 +1,4 @@
-"""How one dispatch to one server ended, as typed values."""
+"""Outcomes of one dispatch to one server."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompleteResponse:
-    """A whole answer, not yet given to the caller."""
+    """A complete response that was not yet sent to the caller."""
 
     head: codec.ResponseHead
     body: bytes
@@ -15,15 +15,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompleteStream:
-    """A whole stream, given to the caller up to its end."""
+    """A complete stream that was sent to the caller up to its end."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """The server surely didn't run the request.
+    """A request that the server certainly did not run.
 
-    :ivar arrived: the request reached it.
-    :ivar wrong_server: another run of a server is at the address.
+    :ivar arrived: whether the request reached the server.
+    :ivar wrong_server: whether another server has the address.
     """
 
     reason: str
@@ -33,10 +33,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failed:
-    """The request ran or may have run, and there is no good answer.
+    """A request that ran or may have run without a valid response.
 
-    :ivar answer: the server's own failure, which may be given as it is; None
-        where there is none.
+    :ivar answer: the server's own error response, which may be forwarded;
+        None without one.
     """
 
     reason: str
--- a/libs/gateway/geraniumweir/gateway/readiness.py
+++ b/libs/gateway/geraniumweir/gateway/readiness.py
@@ -1,7 +1,7 @@
-"""Tells whoever spreads callers over entry hosts whether this one is ready.
+"""Answers readiness probes of the load balancer before the entry hosts.
 
-A host is ready as soon as it has a document and knows a server; it stays so
-when it is cut off, as it goes on serving what it can.
+A host is ready once it has a routing document. It stays ready while it is
+partitioned, because it still serves requests.
 """
 
 import typing
@@ -15,23 +15,23 @@
 
 
 class Readiness:
-    """Answers probes."""
+    """Readiness of this host and its HTTP handler."""
 
     def __init__(
         self,
         get_document_state: typing.Callable[[], admission.DocumentState],
     ) -> None:
-        """Ask what is known at the time of each probe."""
+        """Initialize with the source of the document state."""
         self._get_document_state = get_document_state
         self._leaving = False
         self._logged_reason = ''
 
     def leave(self) -> None:
-        """Be ready no more."""
+        """Stop being ready."""
         self._leaving = True
 
     def server(self) -> web.Server:
-        """Make the HTTP server for probes."""
+        """Return the HTTP server for probes."""
         return web.Server(self._handle, access_log=None)
 
     async def _handle(self, _req: web.BaseRequest) -> web.Response:
--- a/libs/gateway/geraniumweir/gateway/serving.py
+++ b/libs/gateway/geraniumweir/gateway/serving.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP face: takes requests and gives each one answer."""
+"""HTTP server for callers: accepts requests and sends their responses."""
 
 import asyncio
 import dataclasses
@@ -26,16 +26,16 @@
 _BODY_TOO_LARGE = 413
 _HEADERS_TOO_LARGE = 431
 _REQUEST_TIMEOUT = 408
-# A body of the usual size is there in milliseconds; a caller on a slow line
-# gets so many seconds for it.
+# A body of usual size arrives within milliseconds; the rest is for callers with
+# slow connections.
 _BODY_TIMEOUT_SECONDS = 30.0
-# After a start the first document comes within this, in seconds.
+# After a start of all hosts the first document arrives within this time.
 _FIRST_DOCUMENT_SECONDS = 1.0
-# Until then it is looked for this often, in seconds.
+# Interval of the checks for the first document.
 _POLL_SECONDS = 0.02
-# Callers may send this many header bytes before a document says otherwise.
+# Limit of the HTTP parser; the limits of a document are checked afterwards.
 _DEFAULT_MAX_HEADER_BYTES = 65536
-# The same of the body: 64 MiB.
+# Limit of the HTTP library for bodies: 64 MiB.
 _DEFAULT_MAX_BODY_BYTES = 67108864
 
 DocumentStateSource = typing.Callable[[], admission.DocumentState]
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostLocation:
-    """Where requests are taken: this host and its failure domain."""
+    """This host and its failure domain."""
 
     host_id: ids.HostId
     failure_domain: ids.FailureDomain
@@ -51,10 +51,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Traffic:
-    """What is open at this host.
+    """Open requests of this host.
 
-    :ivar open: requests that have no whole answer yet.
-    :ivar closing: connections end with their next answer.
+    :ivar open: number of requests without a complete response.
+    :ivar closing: whether connections close after their next response.
     """
 
     open: int = 0
@@ -62,7 +62,7 @@
 
 
 class CallerServer:
-    """Takes callers' requests."""
+    """Server of callers' requests."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         shared: forwarding.SharedResources,
         meter: metrics.Metrics,
     ) -> None:
-        """Serve by what is known at the time of each request."""
+        """Initialize with the source of the document state."""
         self.traffic = Traffic()
         self._location = location
         self._get_document_state = get_document_state
@@ -83,7 +83,7 @@
         self._busy_connections: set[typing.Any] = set()
 
     def server(self) -> web.Server:
-        """Make the HTTP server; one handler for all requests."""
+        """Return the HTTP server; one handler serves all requests."""
         self._server = web.Server(
             self.handle,
             request_factory=_make_request,
@@ -95,10 +95,10 @@
         return self._server
 
     def close_idle(self) -> None:
-        """End the connections on which no request is open.
+        """Close the connections on which no request is open.
 
-        The others end with the answer under way. The library's own way to
-        close an idle connection ends the task that reads it and leaves the
+        The others close after their current response. The library's method to
+        close an idle connection ends the task that reads it but leaves the
         connection open, so that a request on it would never be answered.
         """
         if self._server is None:
@@ -108,7 +108,7 @@
                 conn.force_close()
 
     async def handle(self, req: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Return the response to one request."""
         self.traffic.open += 1
         self._busy_connections.add(req.protocol)
         caller = response_writer.ResponseWriter(req, self.traffic.closing)
@@ -157,8 +157,8 @@
         except (ConnectionError, asyncio.CancelledError):
             raise
         except Exception as exc:
-            # A fault of the program: the caller is told nothing that it may
-            # rely on, the log says where it was.
+            # An internal error: the request may have run, so the caller gets no
+            # guarantee. The exception is logged.
             record.log(
                 logevents.INTERNAL_ERROR,
                 response_writer.now(),
@@ -166,7 +166,9 @@
             )
             if caller.resp is not None:
                 return caller.abort()
-            refused = refusals.may_have_run('internal', 'a fault of the host')
+            refused = refusals.may_have_run(
+                'internal', 'internal error of the entry host'
+            )
             return self._refuse(caller, record, refused.refusal)
         if self.traffic.closing:
             resp.force_close()
@@ -233,10 +235,10 @@
         ).serve()
 
     async def _wait_for_document(self) -> admission.DocumentState:
-        """Give what is known, waiting for the first document after a start.
+        """Return the document state; after a start, wait for a document.
 
-        Callers come back once only; at a start of all hosts the document is
-        there within a second, and a refusal would bring them back too soon.
+        Callers retry only once. At a start of all hosts the document arrives
+        within a second, and callers that were refused would retry too soon.
         """
         give_up_at = response_writer.now() + _FIRST_DOCUMENT_SECONDS
         document_state = self._get_document_state()
@@ -259,7 +261,7 @@
 
 
 def _result_label(status: int) -> str:
-    """Give the word for how a request ended."""
+    """Return the metric label for a status, 0 if there was no response."""
     if not status:
         return 'cancelled'
     return 'done' if status < _BAD_REQUEST else 'refused'
@@ -304,7 +306,7 @@
         raise refusals.permanent(
             _HEADERS_TOO_LARGE,
             'headers_too_large',
-            f'headers of {size} bytes; at most {limits.header_bytes}',
+            f'headers have {size} bytes, the limit is {limits.header_bytes}',
         )
 
 
@@ -322,7 +324,7 @@
         raise refusals.permanent(
             _REQUEST_TIMEOUT,
             'body_late',
-            'the body did not come in time',
+            'request body was not received in time',
         ) from exc
     if len(body) > limits.body_bytes:
         raise _too_large(limits)
@@ -333,5 +335,5 @@
     return refusals.permanent(
         _BODY_TOO_LARGE,
         'body_too_large',
-        f'a body may have at most {limits.body_bytes} bytes',
+        f'request body exceeds {limits.body_bytes} bytes',
     )
--- a/libs/gateway/geraniumweir/gateway/tests/test_events.py
+++ b/libs/gateway/geraniumweir/gateway/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Streams cut into whole events, whatever the chunks."""
+"""Tests of the split of a stream into complete events."""
 
 import pytest
 from geraniumweir.gateway import errors, events
@@ -9,8 +9,8 @@
 
 
 @given(st.lists(st.integers(0, len(_STREAM)), max_size=8))
-def test_same_events_whatever_the_chunks(cuts: list[int]) -> None:
-    """Cuts anywhere change nothing."""
+def test_chunk_boundaries_do_not_change_the_events(cuts: list[int]) -> None:
+    """The stream is split at random positions, also within events."""
     splitter = events.EventSplitter()
     places = [0, *sorted(cuts), len(_STREAM)]
     parts = [_STREAM[at:end] for at, end in zip(places, places[1:])]
@@ -19,8 +19,8 @@
     assert (splitter.last, splitter.count) == (8, 8)
 
 
-def test_another_run_must_go_on_where_the_last_one_ended() -> None:
-    """Else a piece would be missing or come twice."""
+def test_resumed_stream_with_a_wrong_first_event_is_rejected() -> None:
+    """Otherwise the caller would miss events or get them twice."""
     splitter = events.EventSplitter(last=3)
     with pytest.raises(errors.InvalidStreamError):
         splitter.feed(b'id: 3\n\n')
--- a/libs/gateway/geraniumweir/gateway/tests/test_forwarding.py
+++ b/libs/gateway/geraniumweir/gateway/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""What a caller gets when servers fail, one failure a test."""
+"""Responses to callers when servers fail, one kind of failure per test."""
 
 import asyncio
 import typing
@@ -22,7 +22,7 @@
     whole: bool,
     tail: bytes = b'',
 ) -> testbed.Behavior:
-    """Behave by streaming events; a stream that isn't whole is cut."""
+    """Return a behavior that streams events and may truncate the stream."""
 
     async def behavior(
         _server: testbed.Server,
@@ -53,7 +53,7 @@
     *behaviours: testbed.Behavior,
     **changes: typing.Any,
 ) -> tuple[int, bytes, list[requests.Outcome], list[int]]:
-    """Send one request to servers that behave so, granted in turn."""
+    """Return the result of one request to servers granted in turn."""
 
     async def work() -> tuple[int, bytes, list[requests.Outcome], list[int]]:
         servers = [testbed.Server(behavior) for behavior in behaviours]
@@ -65,14 +65,14 @@
     return asyncio.run(work())
 
 
-def test_whole_answer_is_given_as_it_is() -> None:
-    """Status and body are the server's."""
+def test_complete_response_is_forwarded_unchanged() -> None:
+    """Status and body are those of the server."""
     status, body, _, _ = _play(testbed.answers(b'hello', '201 Created'))
     assert (status, body) == (201, b'hello')
 
 
 @pytest.mark.parametrize(
-    'broken',
+    'invalid',
     [
         testbed.answers(b'hello', extra=''),
         testbed.answers(b'hello', request_id='another'),
@@ -81,26 +81,26 @@
         ),
         testbed.answers(b'hello', '503 Unavailable'),
     ],
-    ids=['unsigned', 'foreign', 'encoded', 'promise without a word'],
+    ids=['unsigned', 'foreign', 'encoded', '503 without not-run'],
 )
-def test_bad_answer_is_never_given(broken: testbed.Behavior) -> None:
-    """What may run again goes to another server, the rest is told as 502."""
-    assert _play(broken, testbed.answers(b'good'))[:2] == (200, b'good')
+def test_invalid_response_is_never_forwarded(invalid: testbed.Behavior) -> None:
+    """An idempotent request is retried on another server, others get 502."""
+    assert _play(invalid, testbed.answers(b'good'))[:2] == (200, b'good')
     once = {'kind': tables.Kind.once, 'attempts': 1}
-    status, _, _, seen = _play(broken, testbed.answers(b'good'), **once)
+    status, _, _, seen = _play(invalid, testbed.answers(b'good'), **once)
     assert (status, seen) == (502, [1, 0])
 
 
-def test_failure_of_the_application_is_tried_once_more() -> None:
-    """One in seven answers of a plain service is such a failure."""
+def test_application_failure_is_retried_once() -> None:
+    """One in seven responses of a plain service is such a failure."""
     failing = testbed.answers(b'failed', '500 Failed')
     assert _play(failing, testbed.answers(b'good'))[:2] == (200, b'good')
     status, body, _, seen = _play(failing, failing)
     assert (status, body, seen) == (500, b'failed', [1, 1])
 
 
-def test_rejected_request_goes_elsewhere_even_if_it_may_run_once() -> None:
-    """The server says that it didn't run it."""
+def test_rejected_request_is_retried_even_if_it_is_not_idempotent() -> None:
+    """The server states that it did not run the request."""
     full = testbed.answers(b'', '503 Full', 'Not-Run: yes\r\n')
     once = {'kind': tables.Kind.once, 'attempts': 1}
     status, body, released, _ = _play(full, testbed.answers(b'good'), **once)
@@ -108,47 +108,49 @@
     assert released[0] is requests.Outcome.turned_away
 
 
-def test_wrong_server_is_told_to_the_coordinator() -> None:
-    """Another run of a server has taken the address."""
+def test_wrong_server_is_reported_to_the_scheduler() -> None:
+    """Another incarnation of a server has the address."""
     wrong = testbed.answers(b'', '421 Misdirected', 'Not-Run: yes\r\n')
     released = _play(wrong, testbed.answers(b'good'))[2]
     assert released[0] is requests.Outcome.wrong_server
 
 
-def test_stream_is_passed_on() -> None:
-    """Event by event, with its end."""
+def test_stream_is_forwarded() -> None:
+    """All events and the end of the stream reach the caller."""
     status, body, _, _ = _play(_streams((1, 2, 3), whole=True), **_STREAM)
     assert status == 200
     assert body == b''.join(map(testbed.event, (1, 2, 3)))
 
 
 @pytest.mark.parametrize(
-    'broken',
+    'incomplete',
     [
         _streams((1, 2), whole=False),
         _streams((1, 2), whole=True, tail=b'id: 3\nda'),
     ],
-    ids=['cut', 'cut within an event'],
+    ids=['truncated', 'truncated within an event'],
 )
-def test_broken_stream_never_looks_whole(broken: testbed.Behavior) -> None:
-    """Its connection ends before the end of the answer."""
+def test_truncated_stream_never_looks_complete(
+    incomplete: testbed.Behavior,
+) -> None:
+    """The connection is closed before the end of the response."""
     with pytest.raises(aiohttp.ClientPayloadError):
-        _play(broken, **_STREAM)
+        _play(incomplete, **_STREAM)
 
 
 @pytest.mark.parametrize('numbers', [(1, 3), (1, 1)], ids=['gap', 'twice'])
-def test_events_that_do_not_follow_are_no_answer(
+def test_events_out_of_sequence_are_refused(
     numbers: tuple[int, ...],
 ) -> None:
-    """Nothing was given yet, so the caller is told."""
+    """Nothing was sent to the caller yet, so it gets a status."""
     assert _play(_streams(numbers, whole=True), **_STREAM)[0] == 502
 
 
-def test_resumable_stream_goes_on_at_another_server() -> None:
-    """Behind the last whole event, within one answer."""
-    cut = _streams((1, 2), whole=False, tail=b'id: 3\nda')
-    goes_on = _streams((3, 4), whole=True)
-    body = _play(cut, goes_on, **_RESUMABLE)[1]
+def test_resumable_stream_resumes_on_another_server() -> None:
+    """It resumes after the last complete event, within one response."""
+    truncated = _streams((1, 2), whole=False, tail=b'id: 3\nda')
+    resumed = _streams((3, 4), whole=True)
+    body = _play(truncated, resumed, **_RESUMABLE)[1]
     assert body == b''.join(map(testbed.event, (1, 2, 3, 4)))
 
 
@@ -158,13 +160,13 @@
     _head: _Head,
     writer: asyncio.StreamWriter,
 ) -> None:
-    """Behave by hanging behind the first event."""
+    """Send one event and then nothing."""
     writer.write(testbed.stream_head(asked_id))
     writer.write(testbed.chunk(testbed.event(1)))
 
 
-async def _left() -> list[requests.Outcome]:
-    """Leave behind the first event; give how the dispatch ended."""
+async def _close_after_first_event() -> list[requests.Outcome]:
+    """Return the outcomes when the caller closes after the first event."""
     server = testbed.Server(_one_event)
     async with testbed.running(server, **_STREAM) as running:
         async with running.client.get(running.url, headers=_HEAD) as resp:
@@ -175,23 +177,25 @@
         return running.scheduler.released
 
 
-def test_work_ends_when_the_caller_leaves() -> None:
-    """The server's connection is closed at once."""
+def test_dispatch_is_cancelled_when_the_caller_disconnects() -> None:
+    """The connection to the server is closed at once."""
 
-    assert asyncio.run(_left()) == [requests.Outcome.cancelled]
+    assert asyncio.run(_close_after_first_event()) == [
+        requests.Outcome.cancelled
+    ]
 
 
 async def _hang(*_args: typing.Any) -> None:
-    """Behave by answering nothing."""
+    """Send no response."""
 
 
-def test_overdue_request_is_answered_at_its_timeout() -> None:
-    """504: a server has it, so nothing can be promised."""
+def test_request_at_a_server_gets_no_guarantee_at_its_timeout() -> None:
+    """It gets 504 instead of 503, because the server may have run it."""
     assert _play(_hang, timeout=0.2)[0] == 504
 
 
-def test_idle_connections_end_when_the_host_drains() -> None:
-    """A request that is sent later finds the connection closed."""
+def test_idle_connections_are_closed_when_the_host_drains() -> None:
+    """A later request on such a connection would never be answered."""
 
     async def work() -> None:
         server = testbed.Server(testbed.answers(b'good'))
@@ -228,13 +232,13 @@
         (testbed.answers(b'whole', extra=_LIMIT, request_id='foreign'), []),
         (testbed.answers(b'whole', extra=f'{_LIMIT}Unread: much\r\n'), []),
     ],
-    ids=['answer', 'failure', 'refusal', 'foreign', 'unreadable'],
+    ids=['response', 'failure', 'rejection', 'foreign', 'unreadable'],
 )
-def test_limit_is_heard_from_every_answer_of_the_server(
+def test_rate_limit_is_read_from_every_response_of_the_server(
     behavior: testbed.Behavior,
     limits: list[float],
 ) -> None:
-    """One that belongs to another request says nothing of this server."""
+    """A response to another request states nothing about this server."""
 
     async def work() -> None:
         async with testbed.running(testbed.Server(behavior)) as running:
@@ -244,9 +248,9 @@
     asyncio.run(work())
 
 
-def test_limit_is_heard_from_the_head_of_a_stream() -> None:
-    """The stream may go on for long."""
-    is_heard = asyncio.Event()
+def test_rate_limit_is_read_from_the_head_of_a_stream() -> None:
+    """The stream may last long, so its end would be too late."""
+    is_received = asyncio.Event()
 
     async def behavior(
         _server: testbed.Server,
@@ -258,7 +262,7 @@
             b'Signed', b'Limit: 2\r\nSigned'
         )
         writer.write(head)
-        await is_heard.wait()
+        await is_received.wait()
         writer.write(testbed.chunk(testbed.event(1)))
         writer.write(testbed.chunk(b''))
 
@@ -266,7 +270,9 @@
         async with testbed.running(
             testbed.Server(behavior), **_STREAM
         ) as running:
-            running.server_notices.changes.subscribe(lambda _: is_heard.set())
+            running.server_notices.changes.subscribe(
+                lambda _: is_received.set()
+            )
             async with asyncio.timeout(5):
                 status, _body = await _get(running)
             assert status == 200
@@ -284,12 +290,12 @@
         testbed.answers(b'', '500 Failed', extra=_LEAVING),
         testbed.answers(b'', '503 Full', extra='Not-Run: 1\r\nLeaving: 1\r\n'),
     ],
-    ids=['answer', 'failure', 'refusal'],
+    ids=['response', 'failure', 'rejection'],
 )
-def test_grant_of_a_server_that_said_that_it_leaves_is_given_back(
+def test_grant_of_a_server_that_is_leaving_is_not_used(
     behavior: testbed.Behavior,
 ) -> None:
-    """It costs the request neither an attempt nor a repeat."""
+    """The request loses neither an attempt nor a retry by it."""
 
     async def work() -> None:
         leaves = testbed.Server(behavior)
@@ -309,8 +315,8 @@
     asyncio.run(work())
 
 
-def test_grant_of_a_server_that_asked_for_a_pause_is_given_back() -> None:
-    """Also the next one for the request that it turned away."""
+def test_grant_of_a_server_that_requested_a_pause_is_not_used() -> None:
+    """Neither for the next request nor for the one that it rejected."""
 
     async def work() -> None:
         full = 'Not-Run: 1\r\nPause: 0.5\r\n'
@@ -338,8 +344,8 @@
     asyncio.run(work())
 
 
-def test_stream_of_a_server_that_leaves_goes_on_to_its_end() -> None:
-    """It finishes what it has."""
+def test_stream_of_a_leaving_server_is_completed() -> None:
+    """A leaving server completes its requests, so they are not aborted."""
 
     async def behavior(
         _server: testbed.Server,
--- a/libs/gateway/geraniumweir/gateway/tests/test_retries.py
+++ b/libs/gateway/geraniumweir/gateway/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""What a caller gets when a request may not be sent once more."""
+"""Responses to callers when the retry budget denies a retry."""
 
 import asyncio
 import typing
@@ -14,7 +14,7 @@
     behavior: testbed.Behavior,
     **changes: typing.Any,
 ) -> tuple[int, bytes]:
-    """Send one request whose retries are denied."""
+    """Return the response to a request whose retries are denied."""
 
     async def work() -> tuple[int, bytes]:
         servers = [
@@ -32,8 +32,8 @@
     return asyncio.run(work())
 
 
-def test_denied_retry_gives_the_caller_what_the_server_said() -> None:
-    """Its failure, or that it didn't run the request."""
+def test_denied_retry_forwards_the_result_of_the_server() -> None:
+    """Its error response, or a refusal that the request did not run."""
     failing = testbed.answers(b'failed', '500 Failed')
     assert _play_without_retries(failing) == (500, b'failed')
     full = testbed.answers(b'', '503 Full', 'Not-Run: yes\r\n')
@@ -43,7 +43,9 @@
     assert b'retry_budget' in body
 
 
-def test_denied_retry_of_what_may_have_run_promises_nothing() -> None:
-    """The server's answer is not its own."""
+def test_denied_retry_of_a_request_that_may_have_run_gets_no_guarantee() -> (
+    None
+):
+    """The response belongs to another request, so the request may have run."""
     foreign = testbed.answers(b'hello', request_id='another')
     assert _play_without_retries(foreign)[0] == 502
--- a/libs/gateway/geraniumweir/gateway/tests/testbed.py
+++ b/libs/gateway/geraniumweir/gateway/tests/testbed.py
@@ -1,4 +1,4 @@
-"""An entry host's callers' face on loopback, with a server that misbehaves."""
+"""Entry host on loopback with backend servers that behave as a test says."""
 
 import asyncio
 import contextlib
@@ -35,7 +35,7 @@
 
 
 class PlainCodec:
-    """The least protocol that the gateway can speak."""
+    """Minimal implementation of the gateway's codec."""
 
     def read_request(self, req: web.BaseRequest) -> codec.Request:
         head = multidict.CIMultiDict(req.headers)
@@ -114,12 +114,13 @@
 
 
 class Scheduler:
-    """Grants the servers in turn.
+    """Scheduler that grants the servers in turn.
 
-    :ivar turn: grants given so far.
-    :ivar server_ids: ids that they have, by turn, where these aren't new ones.
-    :ivar slot_requested: how often each request had been sent before, in turn.
-    :ivar retries: whether it grants these.
+    :ivar server_ids: server ids by number of the grant, a new id by default.
+    :ivar released: outcomes of the releases, in order.
+    :ivar slot_requested: kinds of the slot requests, in order.
+    :ivar retries: whether retries are granted.
+    :ivar turn: number of grants so far.
     """
 
     def __init__(self, servers: typing.Sequence['Server']) -> None:
@@ -148,10 +149,10 @@
         )
 
     def withdraw(self, _request_id: ids.RequestId) -> None:
-        """Nothing waits."""
+        """Do nothing: no request waits."""
 
     def progress(self, _progress: requests.Progress) -> None:
-        """Nothing is learnt."""
+        """Do nothing: nothing is estimated."""
 
     def release(self, release: requests.Release) -> None:
         self.released.append(release.outcome)
@@ -159,10 +160,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Server:
-    """A backend server that does what a test says.
+    """Backend server that behaves as a test says.
 
+    :ivar behavior: writes the response to each request.
     :ivar seen: ids of the requests that reached it.
-    :ivar gone: set when a connection to it ends.
+    :ivar gone: is set when a connection to it ends.
     """
 
     behavior: Behavior
@@ -195,7 +197,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Testbed:
-    """What a test holds."""
+    """Running entry host with its scheduler and a client."""
 
     url: str
     caller_server: serving.CallerServer
@@ -209,9 +211,9 @@
     *servers: Server,
     **changes: typing.Any,
 ) -> typing.AsyncIterator[Testbed]:
-    """Start servers and an entry host that routes to them.
+    """Run servers and an entry host with one route to them.
 
-    :param changes: of the only route.
+    :param changes: fields of that route that differ from the default.
     """
     async with contextlib.AsyncExitStack() as stack:
         for server in servers:
@@ -293,7 +295,7 @@
     status: str = '200 OK',
     extra: str = 'Signed: yes\r\n',
 ) -> bytes:
-    """Make a whole answer."""
+    """Return a complete response."""
     head = (
         f'HTTP/1.1 {status}\r\nId: {request_id}\r\n{extra}'
         f'Content-Length: {len(body)}\r\n\r\n'
@@ -307,7 +309,7 @@
     extra: str = 'Signed: yes\r\n',
     request_id: str = '',
 ) -> Behavior:
-    """Behave by always giving one answer."""
+    """Return a behavior that always sends one response."""
 
     async def behavior(
         _server: Server,
@@ -321,7 +323,7 @@
 
 
 def stream_head(request_id: str) -> bytes:
-    """Make the head of a stream in chunks."""
+    """Return the head of a chunked stream."""
     return (
         f'HTTP/1.1 200 OK\r\nId: {request_id}\r\nSigned: yes\r\n'
         'Content-Type: text/event-stream\r\n'
@@ -330,11 +332,11 @@
 
 
 def chunk(body: bytes) -> bytes:
-    """Make one chunk; an empty body ends the stream."""
+    """Return one chunk; an empty body ends the stream."""
     size = f'{len(body):x}\r\n'.encode()
     return b''.join((size, body, b'\r\n'))
 
 
 def event(number: int) -> bytes:
-    """Make one event of a stream."""
+    """Return one event of a stream."""
     return f'id: {number}\ndata: x\n\n'.encode()
--- a/libs/rollout/geraniumweir/rollout/__init__.py
+++ b/libs/rollout/geraniumweir/rollout/__init__.py
@@ -1,7 +1,8 @@
-"""Moves a pool's traffic to a new version of its backend servers.
+"""Decides how a pool's traffic moves to a new version of its servers.
 
-Decisions only: no network, no clock of its own. A pool's coordinator asks a
-guide how much the new version may get and tells it what came of that.
+The package uses no network and no clock of its own. A pool leader asks the
+rollout controller whether the new version may get a request, and reports the
+answers of servers to it.
 
 See Also
 ========
--- a/libs/rollout/geraniumweir/rollout/budget.py
+++ b/libs/rollout/geraniumweir/rollout/budget.py
@@ -1,8 +1,8 @@
-"""What a new version may get before it is trusted, and what it got.
+"""Budget of requests for a new version before it is trusted.
 
-A bad version may get a part of all requests from its order to its time limit.
-Canaries spend half of that, in proportion to what the pool was asked for so
-far, so that the other half is left for the moments in which its traffic grows.
+The number of requests that a bad version may get from its order to its time
+limit is bounded. Canaries use up to half of that bound, in proportion to the
+requests of the pool so far; the other half is left for the ramp.
 """
 
 import collections
@@ -11,43 +11,45 @@
 
 from geraniumweir.rollout import orders
 
-# Of what a bad version may get, canaries take this part.
+# Fraction of the bound on a bad version that canaries may use.
 _CANARY_FRACTION = 0.5
-# While the traffic grows, the new version gets this part of it.
+# Fraction of the pool's requests for the new version during the ramp.
 _RAMP_SHARE = 0.3
-# The budget is let through when it fills the slots of a server so many times.
+# A batch starts when the budget fills the slots of one server this many times.
 _BATCH_SERVER_FILLS = 3.0
-# It ends when the pool has got so many times its requests: some routes are
-# asked for too seldom.
+# A batch ends at the latest when the pool got this many times its requests,
+# because some routes get requests too seldom to use their share.
 _MAX_BATCH_DURATION_FACTOR = 30
-# But no more than this part of all that canaries may have got is saved up.
+# A batch is at most this fraction of the whole allowance of the canaries.
 _MAX_BATCH_FRACTION = 0.5
-# This part of it goes to all routes evenly: a rare one must show what it does.
+# Fraction of a batch that is divided evenly among the routes, so that routes
+# with few requests are tested too.
 _EVEN_FRACTION = 0.7
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """What a bad version may get from its order to its time limit.
+    """Bound on the requests of a bad version until its time limit.
 
-    :ivar share: part of all requests that reach the pool.
-    :ivar slack: requests besides.
+    :ivar share: fraction of all requests of the pool.
+    :ivar slack: requests in addition to it.
     """
 
     share: float = 0.1
     slack: float = 50
 
     def allowed(self, requests: float) -> float:
-        """Give the requests that it may have got of so many."""
+        """Return the bound for a number of requests of the pool."""
         return self.share * requests + self.slack
 
 
 @dataclasses.dataclass(slots=True)
 class _Batch:
-    """Canaries that are let through together: a server must bear many at once.
+    """Canaries that are granted together, to test servers under load.
 
-    :ivar size: requests, all routes together.
-    :ivar requests_at_start: requests that the pool had got when it began.
+    :ivar size: number of requests over all routes.
+    :ivar requests_at_start: requests of the pool before the batch.
+    :ivar by_rule: requests granted from the batch by route.
     """
 
     size: float
@@ -57,9 +59,9 @@
     )
 
     def is_over(self, requests: int) -> bool:
-        """Tell whether it is spent, or some routes are hardly asked for.
+        """Return whether the batch is used up or has lasted too long.
 
-        :param requests: that the pool got.
+        :param requests: requests of the pool so far.
         """
         consumed = self.by_rule.total() >= self.size
         return (
@@ -71,11 +73,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Budget:
-    """Counts of one order.
+    """Budget of one rollout order.
 
+    :ivar bounds: bound on the requests of a bad version.
     :ivar consumed: requests that the new version may have got.
-    :ivar requests: that the pool got.
-    :ivar batches: how often canaries were let through.
+    :ivar requests: requests of the pool.
+    :ivar batches: number of batches of canaries so far.
 
     >>> some = Budget(Bounds(), 0, 0)
     >>> some.canary_allowance()
@@ -97,13 +100,17 @@
     _ramp_consumed: int = 0
 
     def canary_allowance(self) -> float:
-        """Give the requests that canaries may have got by now."""
+        """Return how many requests canaries may have got by now."""
         return self.bounds.allowed(self.requests) * _CANARY_FRACTION
 
     def record_grant(
         self, rule: str, phase: orders.Phase, *, new: bool
     ) -> None:
-        """Count a request that a server of the pool gets."""
+        """Record a request that was granted to a server of the pool.
+
+        :param rule: route of the request.
+        :param new: whether the server has the new version.
+        """
         ramps = phase is orders.Phase.ramp
         self.requests += 1
         self._by_rule[rule] += 1
@@ -121,10 +128,10 @@
         reserved: int,
         slots: int,
     ) -> bool:
-        """Tell whether the new version may get a request of a route.
+        """Return whether the new version may get a request of a route.
 
-        :param reserved: requests that the log says it may have got.
-        :param slots: of one of its servers.
+        :param reserved: requests reserved for it in the replicated log.
+        :param slots: slots of one of its servers.
         """
         if phase is orders.Phase.ramp:
             return self._ramp_consumed <= self._ramp_requests * _RAMP_SHARE
@@ -144,9 +151,9 @@
         )
 
     def _next_batch(self, remaining: float, slots: int) -> _Batch | None:
-        """Give the pulse that canaries belong to now, if there is one.
+        """Return the current batch of canaries, None without one.
 
-        :param remaining: requests of the budget.
+        :param remaining: requests left in the budget.
         """
         if self._batch is not None and self._batch.is_over(self.requests):
             self._batch = None
--- a/libs/rollout/geraniumweir/rollout/controller.py
+++ b/libs/rollout/geraniumweir/rollout/controller.py
@@ -1,8 +1,8 @@
-"""How much of a pool's traffic a new version gets, from moment to moment.
+"""Controls how much of a pool's traffic a new version gets.
 
-Before it is trusted, the new version gets requests from a budget. That is
-reserved in the replicated log before it is spent; a coordinator that takes
-over counts all that was reserved as spent.
+Before it is trusted, the new version gets requests from a budget. The budget
+is reserved in the replicated log before it is used, and a new coordinator
+counts all reserved requests as used.
 """
 
 import dataclasses
@@ -18,29 +18,29 @@
     slow_answers,
 )
 
-# Requests reserved in the log at a time, at most and at least, and how few are
-# left then.
+# Requests reserved in the log ahead of use and the smallest reservation; more
+# are reserved when at most _LOW_RESERVE are left.
 _RESERVED_AHEAD = 40
 _MIN_RESERVED = 8
 _LOW_RESERVE = 20
-# Requests of the pool that the log doesn't know of: at most this part of those
-# that it does, and so many.
+# The log is updated when the requests that it does not contain exceed both
+# this ratio to the logged ones and this number.
 _MAX_UNLOGGED_RATIO = 0.1
 _MAX_UNLOGGED_REQUESTS = 50
-# The same of answers that were judged.
+# The same number for answers of the new version.
 _MAX_UNLOGGED_ANSWERS = 10
-# A version isn't trusted with more before so many of its answers are known,
-# or all that its budget allowed.
+# Answers of the new version that are needed before it gets more, or fewer where
+# its budget allows fewer.
 _MIN_ANSWERS = 20
-# A test that is some way to going off is waited for.
+# A phase is not left while the detector's suspicion exceeds this.
 _MAX_SUSPICION = 0.35
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ObservedOrder:
-    """An order and when it was given.
+    """A rollout order and the time at which it was given.
 
-    :ivar started: on this host's clock, in seconds.
+    :ivar started: in seconds on this host's clock.
     """
 
     rollout: orders.Rollout
@@ -49,12 +49,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """How the pool does.
+    """Load of a pool.
 
-    :ivar old_running: requests that run on servers of old versions.
-    :ivar running: requests that run at all.
-    :ivar new_slots: slots of the new version's servers.
-    :ivar held: mean seconds for which a request keeps a slot.
+    :ivar old_running: requests running on servers of old versions.
+    :ivar running: requests running on all servers.
+    :ivar new_slots: slots of the servers of the new version.
+    :ivar held: mean seconds for which a request occupies a slot.
     """
 
     old_running: int
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Advance:
-    """Have the log note how far the rollout is."""
+    """Progress of the rollout that the log should record."""
 
     phase: orders.Phase
     exposure: int
@@ -75,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class End:
-    """Have the log note that the rollout is over."""
+    """End of the rollout that the log should record."""
 
     state: orders.State
     reason: str
@@ -88,11 +88,11 @@
 
 @dataclasses.dataclass(slots=True)
 class _Evidence:
-    """What is known of the new version of one order.
+    """Evidence about the new version of one order.
 
-    :ivar answers: that were judged.
-    :ivar excluded_servers: servers that are broken by themselves.
-    :ivar bad: why it is taken for a bad one, empty while it isn't.
+    :ivar answers: answers of the new version that were evaluated.
+    :ivar excluded_servers: servers whose failures are not due to the version.
+    :ivar bad: why the version is bad, empty if it is not.
     """
 
     detector: detection.Detector
@@ -105,12 +105,12 @@
 
 
 class RolloutController:
-    """Decides for one pool, on the host that coordinates it.
+    """Controller of the rollout of one pool, used by its pool leader.
 
-    :ivar rollout: the order that is followed, None without one.
-    :ivar new_server_count: how many servers of the new version there are.
-    :ivar max_slots: that one of them has.
-    :ivar budget: what the new version may get before it is trusted.
+    :ivar rollout: the current order, None without one.
+    :ivar new_server_count: number of servers of the new version.
+    :ivar max_slots: largest number of slots of one of them.
+    :ivar budget: requests that the new version may get before it is trusted.
     """
 
     def __init__(
@@ -124,13 +124,14 @@
             [], detection.Detector
         ] = detection.CusumDetector,
     ) -> None:
-        """Follow the pool's orders.
+        """Initialize without an order.
 
-        :param source: gives the newest one.
-        :param now: gives the time in seconds.
+        :param source: returns the latest order of the pool.
+        :param now: returns the time in seconds.
+        :param bounds: bound on the requests of a bad version.
         :param may_spend_budget: whether this host may spend the budget: only
             the leader of the log may; None where it never may.
-        :param judge: makes what tells bad versions from good ones.
+        :param judge: makes the detector of bad versions.
         """
         self.rollout: orders.Rollout | None = None
         self.new_server_count = 0
@@ -147,27 +148,27 @@
 
     @property
     def is_running(self) -> bool:
-        """Tell whether a rollout is under way."""
+        """Whether a rollout is running."""
         found = self.rollout
         return found is not None and found.state is orders.State.running
 
     @property
     def target_version(self) -> ids.SoftwareVersion | None:
-        """Give the version that the pool is to move to."""
+        """The version that the pool moves to, None without an order."""
         return None if self.rollout is None else self.rollout.to
 
     @property
     def is_ramping(self) -> bool:
-        """Tell whether the new version gets a part of all requests."""
+        """Whether the rollout is in its ramp phase."""
         return self.is_running and self.rollout.phase is orders.Phase.ramp
 
     @property
     def excluded_servers(self) -> frozenset[ids.ServerId]:
-        """List servers of the new version that are broken by themselves."""
+        """Servers of the new version whose failures are not due to it."""
         return self._evidence.excluded_servers
 
     def refresh(self) -> None:
-        """Take the newest order."""
+        """Apply the latest order."""
         found = self._source()
         if found is None:
             self.rollout = None
@@ -189,7 +190,7 @@
             )
 
     def role(self, version: ids.SoftwareVersion) -> orders.Role:
-        """Give what servers of a version may get."""
+        """Return which requests servers of a version may get."""
         if self.rollout is None:
             return orders.Role.serves
         if self.is_running and self._evidence.bad:
@@ -198,7 +199,7 @@
         return self.rollout.role(version)
 
     def may_grant_new_version(self, rule: str) -> bool:
-        """Tell whether the new version may get a request of a route."""
+        """Return whether the new version may get a request of a route."""
         is_allowed = (
             self._may_spend_budget is not None and self._may_spend_budget()
         )
@@ -210,7 +211,7 @@
         )
 
     def record_grant(self, rule: str, *, new: bool) -> None:
-        """Count a request that a server of the pool gets."""
+        """Record a request that was granted to a server of the pool."""
         if self.is_running:
             self.budget.record_grant(rule, self.rollout.phase, new=new)
 
@@ -223,10 +224,11 @@
         failed: bool,
         ratio: float | None = None,
     ) -> None:
-        """Take what came of a request.
+        """Record the result of a request.
 
-        :param ratio: its time by what the pool usually takes for its like;
-            None where it says nothing.
+        :param failed: whether the server failed to answer it.
+        :param ratio: its time divided by the usual time of the pool for such a
+            request, None without a meaningful time.
         """
         if not self.is_running:
             return
@@ -246,7 +248,7 @@
             self._handle_detection(detected)
 
     def next_step(self, load: Load) -> Advance | End | None:
-        """Give what the log should note now, if anything."""
+        """Return what the log should record now, None for nothing."""
         if not self.is_running:
             return None
         if self._evidence.bad:
@@ -264,7 +266,7 @@
         return None
 
     def summary(self) -> dict[str, object]:
-        """Give what is known, for the log."""
+        """Return the state of the rollout for the log."""
         evidence = self._evidence
         return {
             'exposure': self.budget.consumed,
@@ -275,10 +277,10 @@
         }
 
     def _is_drained(self, load: Load, planned: schedule.Schedule) -> bool:
-        """Tell whether the old servers may stop.
+        """Return whether the servers of old versions may stop.
 
-        Where the traffic moved late, what runs there gets its time all the
-        same.
+        Running requests get the planned time to end even if the traffic moved
+        late.
         """
         if not load.old_running:
             return True
@@ -295,9 +297,10 @@
         )
 
     def _is_report_due(self) -> bool:
-        """Tell whether the log should hear of the budget.
+        """Return whether the log should record the budget.
 
-        Of more to be reserved, or of requests that a successor wouldn't know.
+        That is due when more must be reserved, or when a new coordinator would
+        miss too many requests or answers.
         """
         logged = self.rollout
         unlogged = self.budget.requests - logged.requests
@@ -327,15 +330,15 @@
         )
 
     def _answers_judged_good(self) -> int:
-        """Give the answers that a successor need not see again."""
+        """Return the answers that a new coordinator may count as good."""
         evidence = self._evidence
         seems_good = evidence.detector.suspicion < _MAX_SUSPICION
         return evidence.answers if seems_good else self.rollout.answers
 
     def _is_trusted(self, load: Load) -> bool:
-        """Tell whether the new version may get more.
+        """Return whether the new version may get more requests.
 
-        Its servers must also bear what runs now.
+        Its servers must have the slots for all running requests.
         """
         evidence = self._evidence
         enough = min(
@@ -350,10 +353,10 @@
         )
 
     def _handle_detection(self, detected: detection.Detection) -> None:
-        """Take that a test went off.
+        """Handle a detection.
 
-        One server that gave the bad answers alone may be broken by itself: it
-        is set aside, and what the others do decides.
+        If all bad answers are from one server, the server may be faulty and
+        not the version: it is excluded once, and the other servers decide.
         """
         evidence = self._evidence
         alone = len(detected.failing_servers) == 1 and self.new_server_count > 1
@@ -370,4 +373,4 @@
 
     def _completion_reason(self) -> str:
         evidence = self._evidence
-        return f'{evidence.answers} answers were judged good'
+        return f'{evidence.answers} answers were evaluated as good'
--- a/libs/rollout/geraniumweir/rollout/detection.py
+++ b/libs/rollout/geraniumweir/rollout/detection.py
@@ -1,9 +1,9 @@
-"""Tells a bad version from a good one by its answers.
+"""Detects a bad version by its answers.
 
-Answers of the old version on the same routes at the same moments say how many
-bad ones are usual. A cumulative sum of log-likelihood ratios weighs those of
-the new version, so that one that turns bad later is found as fast as one that
-was bad from the start [1]_.
+The baseline is the ratio of bad answers of the old version on the same routes
+at the same time. The answers of the new version are evaluated by a cumulative
+sum (CUSUM) of log-likelihood ratios, so that a version that turns bad later is
+detected as fast as one that was bad from the start [1]_.
 
 References
 ==========
@@ -17,30 +17,33 @@
 
 from geraniumweir.common import ids
 
-# Bad answers that are thought usual before any was seen, as a part of all,
-# and the weight of that in answers.
+# Baseline ratio of bad answers before any answer is known, and its weight in
+# answers.
 _PRIOR_BAD_RATIO = 0.02
 _PRIOR_WEIGHT_ANSWERS = 60.0
 _MAX_BASELINE_RATIO = 0.5
-# Each answer of the old version makes the earlier ones count for so much
-# less; about 500 are remembered.
+# Each answer of the old version decays the weight of earlier ones by this
+# factor, which averages over about 500 answers.
 _DECAY_PER_ANSWER = 0.998
-# Of a bad version at least this part of the otherwise good answers is bad.
+# A version counts as bad if it turns at least this ratio of the otherwise good
+# answers into bad ones.
 _MIN_EXCESS_RATIO = 0.15
-# A good version is taken for a bad one once in about so many answers.
+# Mean number of answers of a good version between two false detections.
 _FALSE_ALARM_ANSWERS = 10_000
 _THRESHOLD = math.log(_FALSE_ALARM_ANSWERS)
-# Bad answers of a version come from several of its servers: each of these
-# gave so many, and this part of all.
+# A server counts as failing if it gave at least this many bad answers and this
+# fraction of all; those of a bad version come from several servers.
 _MIN_BAD_ANSWERS = 2
 _MIN_SERVER_FRACTION = 0.3
 
 
 class Detection(typing.NamedTuple):
-    """A test went off.
+    """A detected bad version.
 
-    :ivar rule: the route on which it did, empty for all together.
-    :ivar failing_servers: servers that gave a good part of the bad answers.
+    :ivar rule: the route of the bad answers, empty for all routes together.
+    :ivar failing_servers: servers that gave a large part of the bad answers.
+    :ivar bad: number of bad answers.
+    :ivar answers: number of answers among which they were.
     """
 
     rule: str
@@ -51,7 +54,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Baseline:
-    """Decaying counts of the old version's answers."""
+    """Decaying counts of the answers of the old version."""
 
     answers: float = _PRIOR_WEIGHT_ANSWERS
     bad: float = _PRIOR_WEIGHT_ANSWERS * _PRIOR_BAD_RATIO
@@ -61,9 +64,9 @@
         self.bad = self.bad * _DECAY_PER_ANSWER + bad
 
     def rate(self) -> float:
-        """Give the part that is bad, by one standard error on the safe side.
+        """Return the ratio of bad answers plus one standard error.
 
-        Taken for less than it is, the usual part makes good versions bad.
+        An underestimated baseline would make good versions look bad.
         """
         rate = self.bad / self.answers
         rate += math.sqrt(rate * (1 - rate) / self.answers)
@@ -72,10 +75,10 @@
 
 @dataclasses.dataclass(slots=True)
 class _Evidence:
-    """A cumulative sum over the new version's answers.
+    """Cumulative sum over the answers of the new version.
 
-    :ivar total: starts again at 0 when it would fall below it; what else is
-        counted starts again with it.
+    :ivar total: the sum, reset to 0 when it falls below; the counts are reset
+        with it.
     """
 
     total: float = 0
@@ -102,14 +105,14 @@
 
 
 class Detector(typing.Protocol):
-    """Tells a bad version from a good one."""
+    """Detector of bad versions."""
 
     @property
     def suspicion(self) -> float:
-        """Give how near it is to going off, 1 where it does."""
+        """Evidence as a fraction of the detection threshold."""
 
     def record_old_answer(self, rule: str, *, bad: bool) -> None:
-        """Take an answer of the old version."""
+        """Record an answer of the old version."""
 
     def record_new_answer(
         self,
@@ -118,14 +121,17 @@
         *,
         bad: bool,
     ) -> Detection | None:
-        """Take an answer of the new version."""
+        """Record an answer of the new version.
+
+        :returns: what was detected, None for nothing.
+        """
 
     def reset(self) -> None:
-        """Drop the evidence: its cause was one server, not its version."""
+        """Discard the evidence: one server caused it, not the version."""
 
 
 class CusumDetector:
-    """Weighs the answers of one rollout.
+    """Detector by cumulative sums, over all routes and by route.
 
     >>> judge = CusumDetector()
     >>> for _ in range(500):
@@ -136,19 +142,19 @@
     """
 
     def __init__(self) -> None:
-        """Start without evidence."""
+        """Initialize without evidence."""
         self._baselines: dict[str, _Baseline] = {}
         self._all_routes = _Evidence()
         self._by_rule: dict[str, _Evidence] = {}
 
     @property
     def suspicion(self) -> float:
-        """Give how near a test is to going off, 1 where it does."""
+        """Evidence as a fraction of the detection threshold."""
         totals = [one.total for one in self._by_rule.values()]
         return max(self._all_routes.total, *totals, 0) / _THRESHOLD
 
     def record_old_answer(self, rule: str, *, bad: bool) -> None:
-        """Take an answer of the old version."""
+        """Record an answer of the old version."""
         self._baselines.setdefault(rule, _Baseline()).add(bad=bad)
 
     def record_new_answer(
@@ -158,9 +164,9 @@
         *,
         bad: bool,
     ) -> Detection | None:
-        """Take an answer of the new version.
+        """Record an answer of the new version.
 
-        :returns: what was found, where a test goes off.
+        :returns: what was detected, None for nothing.
         """
         baseline = self._baselines.setdefault(rule, _Baseline()).rate()
         by_rule = self._by_rule.setdefault(rule, _Evidence())
@@ -173,7 +179,7 @@
         return None
 
     def reset(self) -> None:
-        """Drop the evidence: its cause was one server, not its version."""
+        """Discard the evidence: one server caused it, not the version."""
         self._all_routes.clear()
         self._by_rule.clear()
 
--- a/libs/rollout/geraniumweir/rollout/orders.py
+++ b/libs/rollout/geraniumweir/rollout/orders.py
@@ -1,4 +1,4 @@
-"""What an operator ordered and how far it has come."""
+"""Rollout orders of operators and their progress."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 
 class State(enum.IntEnum):
-    """Whether an order is under way or how it ended."""
+    """State of an order."""
 
     running = 1
     completed = 2
@@ -15,10 +15,10 @@
 
 
 class Phase(enum.IntEnum):
-    """How much of the traffic the new version gets; it only grows.
+    """Phase of a rollout, in which the new version gets ever more traffic.
 
     :cvar canary: a few requests of each route, from a budget.
-    :cvar ramp: a part of all requests.
+    :cvar ramp: a fraction of all requests.
     :cvar moved: all new requests.
     """
 
@@ -28,11 +28,11 @@
 
 
 class Role(enum.Enum):
-    """What a version's servers may get.
+    """Requests that the servers of a version may get.
 
     :cvar serves: all requests.
-    :cvar canary: those that the guide lets through.
-    :cvar barred: nothing.
+    :cvar canary: requests that the rollout controller allows.
+    :cvar barred: none.
     """
 
     serves = 'serves'
@@ -42,16 +42,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rollout:
-    """One order, as the replicated log has it.
+    """An order as recorded in the replicated log.
 
-    :ivar number: grows with each order, over all pools.
-    :ivar to: the version that is to serve the pool.
-    :ivar seconds: in which all traffic should have moved.
+    :ivar number: increases with each order, over all pools.
+    :ivar to: version that the pool moves to.
+    :ivar seconds: time limit for the move of all traffic.
     :ivar exposure: requests that the new version may have got so far.
-    :ivar requests: that the whole pool got since the order.
-    :ivar ordered_ms: by the log's clock, in Unix milliseconds.
+    :ivar requests: requests of the whole pool since the order.
+    :ivar ordered_ms: time of the order by the log's clock, in Unix
+        milliseconds.
     :ivar reason: why it ended, empty while it runs.
-    :ivar answers: of the new version that were judged while it seemed good.
+    :ivar answers: answers of the new version that were evaluated while it
+        seemed good.
     """
 
     pool: ids.PoolName
@@ -67,7 +69,7 @@
     answers: int = 0
 
     def role(self, version: ids.SoftwareVersion) -> Role:
-        """Give what servers of a version may get.
+        """Return which requests servers of a version may get.
 
         >>> some = Rollout(
         ...     ids.PoolName('p'), 1, ids.SoftwareVersion('v2'), 12
--- a/libs/rollout/geraniumweir/rollout/schedule.py
+++ b/libs/rollout/geraniumweir/rollout/schedule.py
@@ -1,33 +1,34 @@
-"""When the traffic moves, within the time that the operator gave.
+"""Schedules the move of the traffic within the time limit of a rollout.
 
-It moves late: a version may turn bad some time after its start, and what it
-got before counts as exposure. It moves early enough that what still runs on
-old servers has ended when they stop, as they do so without draining.
+The traffic moves late, because a version may turn bad some time after its
+start and requests before that count as exposure. It moves early enough that
+requests on old servers have ended when these stop, as they stop without
+draining.
 """
 
 import dataclasses
 
-# The rollout ends before the time given, by this part of it and at least by
-# so many seconds: the end must be stored, and the operator must read it.
+# The rollout ends before its time limit by this fraction of it and at least by
+# this time: the end must be stored, and the operator must read it.
 _MARGIN_FRACTION = 0.06
 _MIN_MARGIN_SECONDS = 0.5
-# Requests hold slots for unlike times; nearly all end within so many times
-# the mean, and so many seconds besides.
+# Requests occupy slots for different times; nearly all end within this factor
+# of the mean plus this time.
 _DRAIN_FACTOR = 3.0
 _DRAIN_SECONDS = 0.3
-# The old servers are left for at most this part of the time given.
+# Longest time for draining old servers, as a fraction of the time limit.
 _MAX_DRAIN_FRACTION = 0.4
-# A part of the traffic goes ahead of all of it, for this part of the time.
+# Duration of the ramp before the move, as a fraction of the time limit.
 _RAMP_FRACTION = 0.06
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Schedule:
-    """Seconds after the order.
+    """Times of a rollout, in seconds after the order.
 
-    :ivar ramp: a part of all requests goes to the new version.
-    :ivar move: all new requests do.
-    :ivar end: the rollout ends, even if old servers still work.
+    :ivar ramp: a fraction of all requests goes to the new version.
+    :ivar move: all new requests go to it.
+    :ivar end: the rollout ends, even if old servers still run requests.
     """
 
     ramp: float
@@ -36,10 +37,10 @@
 
 
 def plan(seconds: float, held: float) -> Schedule:
-    """Plan a rollout.
+    """Return the schedule of a rollout.
 
-    :param seconds: given for it.
-    :param held: mean seconds for which a request keeps a slot.
+    :param seconds: time limit of the rollout.
+    :param held: mean seconds for which a request occupies a slot.
 
     >>> found = plan(12, 1)
     >>> round(found.move, 1), round(found.end, 1)
--- a/libs/rollout/geraniumweir/rollout/slow_answers.py
+++ b/libs/rollout/geraniumweir/rollout/slow_answers.py
@@ -1,8 +1,9 @@
-"""Tells an answer that came several times slower than usual.
+"""Detects answers that are several times slower than usual.
 
-Hardware differs in speed between servers, so an answer is compared with the
-quick ones of its own server, and with those of the middle one of the old
-version's servers: a version that is slow as a whole has no quick ones.
+Servers differ in hardware speed, so an answer is compared with the quick
+answers of its own server. It is also compared with those of the median server
+of the old version, because a version that is slow as a whole has no quick
+answers.
 """
 
 import collections
@@ -10,21 +11,21 @@
 
 from geraniumweir.common import ids
 
-# So many times the quick answers of a server are slow.
+# An answer is slow above this multiple of the quick answers.
 _SLOW_FACTOR = 2.5
-# Servers differ in hardware, so a server may be slower than the middle one by
-# so much more.
+# Additional factor for the comparison with the median server, because servers
+# differ in hardware.
 _HARDWARE_FACTOR = 1.2
-# Answers of a server that are remembered, and how many show what is quick.
+# Answers that are kept by server, and how many are needed for an estimate.
 _WINDOW_ANSWERS = 16
 _MIN_ANSWERS = 6
-# Of the remembered ones this part is quicker than the quick one.
+# The quick ratio is the quantile 1 / this of the kept answers.
 _QUICK_QUANTILE_DIVISOR = 4
 
 
 @dataclasses.dataclass(slots=True)
 class _Recent:
-    """The last answers of a server, in their usual times."""
+    """The last answers of a server, in multiples of the usual time."""
 
     ratios: collections.deque[float] = dataclasses.field(
         default_factory=lambda: collections.deque(maxlen=_WINDOW_ANSWERS),
@@ -38,7 +39,7 @@
 
 
 class SlowAnswerDetector:
-    """The paces of a pool's servers.
+    """Detector of slow answers of a pool's servers.
 
     >>> paces = SlowAnswerDetector()
     >>> name = ids.ServerId('s')
@@ -47,7 +48,7 @@
     """
 
     def __init__(self) -> None:
-        """Know of none."""
+        """Initialize without answers."""
         self._recent: dict[ids.ServerId, _Recent] = {}
         self._old_quick_ratios: dict[ids.ServerId, float] = {}
 
@@ -58,10 +59,11 @@
         *,
         old: bool,
     ) -> bool:
-        """Take an answer and tell whether it is slow.
+        """Record an answer and return whether it is slow.
 
-        :param ratio: its time by what the pool usually takes for its like.
-        :param old: the server is of the old version.
+        :param ratio: its time divided by the usual time of the pool for such a
+            request.
+        :param old: whether the server has the old version.
         """
         recent = self._recent.setdefault(server, _Recent())
         limit = self._limit(recent)
--- a/libs/rollout/geraniumweir/rollout/tests/__init__.py
+++ b/libs/rollout/geraniumweir/rollout/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the decisions about rollouts."""
+"""Tests of the decisions in rollouts."""
--- a/libs/rollout/geraniumweir/rollout/tests/test_controller.py
+++ b/libs/rollout/geraniumweir/rollout/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""What a guide lets a new version have, and what it concludes."""
+"""Tests of the rollout controller."""
 
 import dataclasses
 
@@ -14,7 +14,7 @@
 
 
 class _Rollout:
-    """A guide, its clock and the log that it is told of."""
+    """A rollout controller with its clock and log."""
 
     def __init__(self, *, leads: bool = True) -> None:
         self.now: float = 0
@@ -33,7 +33,7 @@
         return guide
 
     def step(self) -> controller.Advance | controller.End | None:
-        """Store what the guide wants noted."""
+        """Record the next step in the log and return it."""
         step = self.guide.next_step(_LOAD)
         if isinstance(step, controller.Advance):
             self.rollout = dataclasses.replace(
@@ -47,7 +47,7 @@
         return step
 
     def serve(self, number: int, *, bad: bool = False) -> int:
-        """Let requests come; give how many the new version got."""
+        """Serve requests and return how many the new version got."""
         granted = 0
         for _ in range(number):
             new = self.guide.may_grant_new_version('r')
@@ -60,8 +60,8 @@
         return granted
 
 
-def test_nothing_is_spent_before_the_log_has_it() -> None:
-    """A coordinator that takes over must know what was spent."""
+def test_budget_is_not_used_before_the_log_has_it() -> None:
+    """A new coordinator could not count such requests as used."""
     scenario = _Rollout()
     scenario.guide.record_grant('r', new=False)
     assert not scenario.guide.may_grant_new_version('r')
@@ -69,8 +69,8 @@
     assert scenario.guide.may_grant_new_version('r')
 
 
-def test_host_that_does_not_lead_tries_nothing() -> None:
-    """Hosts that are cut off use what was proven before."""
+def test_host_that_is_not_leader_grants_no_canaries() -> None:
+    """Partitioned hosts use the old version only."""
     scenario = _Rollout(leads=False)
     scenario.step()
     assert scenario.serve(100) == 0
@@ -81,7 +81,7 @@
 def test_canaries_stay_within_half_of_the_bound(
     request_counts: list[int],
 ) -> None:
-    """Also over changes of the coordinator, each without what it learnt."""
+    """Also over changes of the coordinator, which lose the evidence."""
     scenario = _Rollout()
     granted = 0
     for count in request_counts:
@@ -91,8 +91,8 @@
     assert granted <= bounds.allowed(sum(request_counts)) / 2 + 1
 
 
-def test_good_version_moves_in_steps_and_completes_in_time() -> None:
-    """A part of the traffic, all of it, the end."""
+def test_good_version_passes_all_phases_and_completes_in_time() -> None:
+    """The rollout must complete within its time limit."""
     scenario = _Rollout()
     step = None
     while not isinstance(step, controller.End):
@@ -104,8 +104,8 @@
     assert scenario.now < _SECONDS
 
 
-def test_bad_version_gets_nothing_more_before_the_log_says_so() -> None:
-    """The coordinator that finds it stops at once."""
+def test_bad_version_is_barred_before_the_log_has_the_end() -> None:
+    """The coordinator that detects it stops granting at once."""
     scenario = _Rollout()
     scenario.step()
     scenario.serve(100, bad=True)
@@ -116,8 +116,8 @@
     assert step.state is orders.State.rolled_back
 
 
-def test_one_broken_server_is_not_a_bad_version() -> None:
-    """It is set aside; the others show that the version is good."""
+def test_one_faulty_server_does_not_make_the_version_bad() -> None:
+    """It is excluded, and the other servers show a good version."""
     scenario = _Rollout()
     scenario.step()
     broken = ids.ServerId('broken')
@@ -129,8 +129,8 @@
     assert scenario.guide.role(_NEW) is orders.Role.canary
 
 
-def test_successor_takes_up_what_was_judged() -> None:
-    """A small pool's budget isn't enough for two coordinators' evidence."""
+def test_new_coordinator_counts_the_logged_answers() -> None:
+    """The budget of a small pool is too small to collect them twice."""
     scenario = _Rollout()
     scenario.serve(150)
     scenario.guide = scenario.make()
@@ -142,8 +142,8 @@
     assert step.phase is orders.Phase.ramp
 
 
-def test_version_that_cannot_bear_the_load_is_waited_for() -> None:
-    """Its servers have fewer slots than requests run."""
+def test_version_with_too_few_slots_does_not_get_the_traffic() -> None:
+    """Its servers have fewer slots than there are running requests."""
     scenario = _Rollout()
     scenario.serve(200)
     scenario.now = 11
--- a/libs/rollout/geraniumweir/rollout/tests/test_detection.py
+++ b/libs/rollout/geraniumweir/rollout/tests/test_detection.py
@@ -1,4 +1,4 @@
-"""A bad version is found within few answers, a good one is left alone."""
+"""Tests of the detection of bad versions and of false detections."""
 
 import random
 
@@ -16,9 +16,10 @@
     seed: int,
     servers: int = 4,
 ) -> tuple[int, detection.Detection | None]:
-    """Judge answers of which a part is bad, beside a usual part.
+    """Return the first detection and the bad answers until then.
 
-    :returns: the bad answers until then and the verdict.
+    :param bad_ratio: ratio of bad answers of the new version.
+    :param baseline_ratio: ratio of bad answers of the old version.
     """
     rng = random.Random(seed)
     detector = detection.CusumDetector()
@@ -35,10 +36,10 @@
 
 
 @pytest.mark.parametrize('bad_ratio', [0.2, 0.4, 0.9])
-def test_bad_version_is_found_within_half_of_the_bad_answers_allowed(
+def test_bad_version_is_detected_within_half_of_the_allowed_bad_answers(
     bad_ratio: float,
 ) -> None:
-    """Fifty bad answers start the time in which it must get nothing more."""
+    """After fifty bad answers the time limit to roll back starts."""
     for seed in range(40):
         bad_answers, detected = _first_detection(bad_ratio, 0.01, seed)
         assert detected is not None
@@ -46,8 +47,8 @@
 
 
 @pytest.mark.parametrize('baseline_ratio', [0, 0.05, 0.15])
-def test_good_version_is_left_alone(baseline_ratio: float) -> None:
-    """It fails as often as the old one does beside it."""
+def test_good_version_is_rarely_detected_as_bad(baseline_ratio: float) -> None:
+    """It fails as often as the old version at the same time."""
     false_alarms = [
         _first_detection(baseline_ratio, baseline_ratio, seed)[1] is not None
         for seed in range(40)
@@ -55,8 +56,8 @@
     assert sum(false_alarms) <= 2
 
 
-def test_version_that_turns_bad_is_found_as_fast() -> None:
-    """What it did well before doesn't count for it."""
+def test_version_that_turns_bad_late_is_detected_as_fast() -> None:
+    """Earlier good answers must not delay the detection."""
     detector = detection.CusumDetector()
     server = ids.ServerId('s')
     for _ in range(2000):
@@ -68,8 +69,8 @@
     assert found[-1] is not None
 
 
-def test_bad_route_is_found_among_good_ones() -> None:
-    """One answer in ten is on it."""
+def test_single_bad_route_is_detected() -> None:
+    """One answer in ten is on the bad route."""
     detector = detection.CusumDetector()
     server = ids.ServerId('s')
     for number in range(100):
@@ -80,4 +81,4 @@
         if detected is not None:
             assert detected.rule == 'rare'
             return
-    pytest.fail('the route was not found')
+    pytest.fail('the bad route was not detected')
--- a/libs/routing/geraniumweir/routing/__init__.py
+++ b/libs/routing/geraniumweir/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routes as ordered rules, and the index that finds the first match.
+"""Routing documents and the index that finds the route of a request.
 
 See Also
 ========
--- a/libs/routing/geraniumweir/routing/finding.py
+++ b/libs/routing/geraniumweir/routing/finding.py
@@ -1,7 +1,7 @@
-"""Finds the rule of a request, and its customer, through an index.
+"""Finds the route and the customer of a request through an index.
 
-The answer is that of a walk over all routes, the longest prefix first; the
-index takes as many steps as the path has slashes, whatever the number of
+The result equals that of a scan of all routes, the longest prefix first. The
+index needs as many steps as the path has slashes, whatever the number of
 routes.
 """
 
@@ -15,13 +15,13 @@
 
 
 class Index:
-    """A document as it decides requests.
+    """Index of a routing document.
 
-    :ivar document: what it was made from.
+    :ivar document: the indexed document.
     """
 
     def __init__(self, document: tables.Document) -> None:
-        """Index a document, which has been checked."""
+        """Initialize from a document that was validated."""
         self.document = document
         self._prefixes_by_host: dict[str, _Prefixes] = {}
         for route in document.routes:
@@ -43,7 +43,7 @@
         return self.document.version
 
     def route(self, host: str, path: str) -> tables.Route | None:
-        """Find the first rule that matches.
+        """Return the route with the longest matching prefix, None without one.
 
         :param host: as in the ``Host`` header.
         :param path: without the query.
@@ -60,23 +60,23 @@
         return None
 
     def pool(self, name: ids.PoolName) -> tables.Pool | None:
-        """Find a pool."""
+        """Return a pool by name, None if unknown."""
         return self._pools.get(name)
 
     def customer(self, key: str) -> tables.Customer | None:
-        """Find whose key it is."""
+        """Return the customer of an API key, None if unknown."""
         return self._customers_by_key.get(key)
 
     def customer_named(
         self,
         name: ids.CustomerName,
     ) -> tables.Customer | None:
-        """Find a customer by name."""
+        """Return a customer by name, None if unknown."""
         return self._customers_by_name.get(name)
 
 
 def normalize_host(host: str) -> str:
-    """Give a ``Host`` header without its port, in lower case.
+    """Return a ``Host`` header without its port, in lower case.
 
     >>> normalize_host('Ficu95.example:8080')
     'ficu95.example'
@@ -88,9 +88,9 @@
     targets: typing.Sequence[tables.Target],
     rng: random.Random,
 ) -> ids.PoolName:
-    """Choose a pool by the weights.
+    """Return a random pool, chosen by the weights.
 
-    :param targets: with weights that add up to more than 0.
+    :param targets: with a sum of weights greater than 0.
     """
     if len(targets) == 1:
         return targets[0].pool
--- a/libs/routing/geraniumweir/routing/tables.py
+++ b/libs/routing/geraniumweir/routing/tables.py
@@ -1,8 +1,7 @@
-"""What a routed document says: routes, pools, customers and limits.
+"""Routing documents: routes, pools, customers and limits.
 
-A route is a rule: when a request's host and path match, then it goes to one
-of the route's pools. Rules are ordered by the length of their prefix, the
-longest first, so the first that matches decides.
+A route applies to requests by host and path prefix and assigns them to one of
+its pools. Of several matching routes the one with the longest prefix applies.
 """
 
 import dataclasses
@@ -12,17 +11,17 @@
 
 
 class DocumentError(errors.GeraniumweirError, ValueError):
-    """A document that can't be put in force."""
+    """An invalid routing document."""
 
     code = 'GW-7201'
 
 
 class Kind(enum.Enum):
-    """What may be done with a request once more.
+    """How often a request may run.
 
-    :cvar idempotent: it may run any number of times.
-    :cvar once: it may run once at most.
-    :cvar stream: a stream of numbered events, once unless it is resumed.
+    :cvar idempotent: any number of times.
+    :cvar once: at most once.
+    :cvar stream: once unless it is resumed; a stream of numbered events.
     """
 
     idempotent = 'idempotent'
@@ -32,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """A pool that a route sends a share of its requests to."""
+    """A pool that gets a share of a route's requests."""
 
     pool: ids.PoolName
     weight: float
@@ -40,19 +39,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """One rule: a host and a path prefix, and where they lead.
-
-    :ivar host: without a port, in lower case.
-    :ivar prefix: begins and ends with a slash.
-    :ivar timeout: longest time to keep a caller waiting, in seconds.
-    :ivar target: time to the first answer for full worth, in seconds.
-    :ivar rank: importance, 0 is the highest.
-    :ivar attempts: most servers that may run one request.
-    :ivar public: no key is asked for.
-    :ivar resumable: a broken stream may go on at another server.
-    :ivar gap: longest pause between events for full worth, in seconds.
-    :ivar patience: a caller of a stream leaves after so many seconds without
-        an event.
+    """A host and a path prefix and the pools for their requests.
+
+    :ivar host: host name without a port, in lower case.
+    :ivar prefix: path prefix that begins and ends with a slash.
+    :ivar timeout: longest time until the response is complete, in seconds.
+    :ivar target: time to the first answer for full value, in seconds.
+    :ivar rank: priority, 0 is the highest.
+    :ivar attempts: highest number of servers that may run one request.
+    :ivar public: whether requests need no API key.
+    :ivar resumable: whether an incomplete stream may resume on another server.
+    :ivar gap: longest gap between events for full value, in seconds.
+    :ivar patience: seconds without an event after which a caller closes a
+        stream.
     """
 
     name: ids.RuleName
@@ -71,17 +70,18 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run again after it may have run."""
+        """Whether a request that may have run may run again."""
         return self.kind is Kind.idempotent
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Engine:
-    """What is known of the engines of a pool.
+    """Properties of the inference engines of a pool.
 
-    :ivar slots: requests that one runs at a time.
-    :ivar kv_tokens: tokens that its memory holds.
+    :ivar slots: requests that one engine runs at a time.
+    :ivar kv_tokens: capacity of its KV cache in tokens.
     :ivar event_tokens: tokens in one event of a stream.
+    :ivar models: names of the models.
     """
 
     slots: int
@@ -92,9 +92,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pool:
-    """A service: servers that are alike to their callers.
+    """A service of servers that are interchangeable for callers.
 
-    :ivar max_connections: that one server takes from all hosts together.
+    :ivar max_connections: limit of one server for all hosts together.
     :ivar engine: None for a plain service.
     """
 
@@ -106,12 +106,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Quota:
-    """What a customer may ask for, over all entry hosts together.
+    """Quota of a customer for all entry hosts together.
 
-    :ivar per_second: in requests or tokens; 0 for no limit.
-    :ivar burst: the same unit, beyond the rate.
-    :ivar in_tokens: the unit is tokens.
-    :ivar plain_cost: tokens counted for a request that names none.
+    :ivar per_second: rate in requests or tokens, 0 for no limit.
+    :ivar burst: allowance beyond the rate, in the same unit.
+    :ivar in_tokens: whether the unit is tokens.
+    :ivar plain_cost: tokens charged for a request that states none.
     """
 
     per_second: float
@@ -122,10 +122,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Customer:
-    """Who calls.
+    """A customer.
 
-    :ivar keys: any of them names the customer.
-    :ivar rank: goes before that of the route; None where unsaid.
+    :ivar keys: API keys, each of which identifies the customer.
+    :ivar rank: priority that overrides that of the route, None to keep it.
     """
 
     name: ids.CustomerName
@@ -136,12 +136,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What callers may send and how long they may take.
+    """Limits for callers.
 
-    :ivar header_bytes: of all headers together.
-    :ivar body_bytes: of one body.
-    :ivar header_seconds: for the headers to come.
-    :ivar idle_seconds: that a connection may stay idle.
+    :ivar header_bytes: size of all headers together.
+    :ivar body_bytes: size of one body.
+    :ivar header_seconds: time to send the headers.
+    :ivar idle_seconds: time for which a connection may be idle.
     """
 
     header_bytes: int = 16384
@@ -152,7 +152,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Document:
-    """A whole routed document, with the version that it carries itself."""
+    """A complete routing document with its version."""
 
     version: ids.Version
     routes: tuple[Route, ...] = ()
@@ -162,9 +162,9 @@
 
 
 def check(doc: Document) -> None:
-    """Make sure that a document can be put in force.
+    """Validate a document.
 
-    :raises DocumentError: tells the first fault.
+    :raises DocumentError: with the first fault.
     """
     pools = {pool.name for pool in doc.pools}
     locations: set[tuple[str, str]] = set()
@@ -172,7 +172,7 @@
         _check_route(route, pools)
         location = (route.host, route.prefix)
         if location in locations:
-            raise DocumentError(f'two routes lead from {location}')
+            raise DocumentError(f'two routes for {location}')
         locations.add(location)
     _check_keys(doc.customers)
 
@@ -184,15 +184,17 @@
             ' and end with a slash',
         )
     if route.timeout <= 0:
-        raise DocumentError(f'route {route.name!r} has no timeout')
+        raise DocumentError(f'route {route.name!r} has no positive timeout')
     for target in route.targets:
         if target.pool not in pools:
             raise DocumentError(
-                f'route {route.name!r} leads to the unknown {target.pool!r}',
+                f'route {route.name!r} has the unknown pool {target.pool!r}',
             )
     weights = [part.weight for part in route.targets]
     if min(weights, default=0) < 0 or sum(weights) <= 0:
-        raise DocumentError(f'route {route.name!r}: the weights add up to 0')
+        raise DocumentError(
+            f'route {route.name!r}: negative weight or sum of weights is 0'
+        )
 
 
 def _check_keys(customers: tuple[Customer, ...]) -> None:
--- a/libs/routing/geraniumweir/routing/tests/test_finding.py
+++ b/libs/routing/geraniumweir/routing/tests/test_finding.py
@@ -1,4 +1,4 @@
-"""The index against a plain walk over all routes, and the document's checks."""
+"""Tests of the route index against a scan, and of document validation."""
 
 import dataclasses
 import random
@@ -38,7 +38,7 @@
     host: str,
     path: str,
 ) -> tables.Route | None:
-    """Take the first match of all routes, the longest prefix first."""
+    """Return the first match of all routes, the longest prefix first."""
     ordered = sorted(doc.routes, key=lambda one: -len(one.prefix))
     for route in ordered:
         if route.host == host and path.startswith(route.prefix):
@@ -57,20 +57,20 @@
     _hosts,
     _paths,
 )
-def test_index_finds_what_a_walk_finds(
+def test_index_finds_the_same_route_as_a_scan(
     locations: list[tuple[str, str]],
     host: str,
     path: str,
 ) -> None:
-    """Same answer as the first match of all rules, in order."""
+    """A scan of all routes in order is the reference."""
     doc = _document(*(_route(*location) for location in locations))
     assert finding.Index(doc).route(host, path) == _find_by_scan(
         doc, host, path
     )
 
 
-def test_host_is_taken_without_port_and_case() -> None:
-    """A port in the header doesn't hide a route."""
+def test_host_matches_without_port_and_case() -> None:
+    """A port in the header must not hide a route."""
     index = finding.Index(_document(_route('x.example', '/a/')))
     assert index.route('X.example:80', '/a/b') is not None
 
@@ -86,21 +86,21 @@
         {'targets': (tables.Target(_POOL, -1),)},
     ],
 )
-def test_faulty_route_is_refused(change: dict[str, object]) -> None:
-    """Each fault keeps the whole document out."""
+def test_invalid_route_is_rejected(change: dict[str, object]) -> None:
+    """Each fault makes the whole document invalid."""
     route = dataclasses.replace(_route('x', '/a/'), **change)
     with pytest.raises(tables.DocumentError):
         tables.check(_document(route))
 
 
-def test_two_routes_from_one_place_are_refused() -> None:
+def test_two_routes_with_the_same_host_and_prefix_are_rejected() -> None:
     """The first match would depend on their order in the document."""
     with pytest.raises(tables.DocumentError):
         tables.check(_document(_route('x', '/a/'), _route('x', '/a/')))
 
 
-def test_shared_key_is_refused() -> None:
-    """A key must name one customer."""
+def test_shared_key_is_rejected() -> None:
+    """A key must identify one customer."""
     customers = tuple(
         tables.Customer(ids.CustomerName(name), ('key',)) for name in 'ab'
     )
@@ -109,8 +109,8 @@
         tables.check(doc)
 
 
-def test_weights_decide_how_often_a_pool_is_chosen() -> None:
-    """Nine in ten go to the pool with nine tenths of the weight."""
+def test_pools_are_chosen_in_proportion_to_their_weights() -> None:
+    """Nine in ten requests go to the pool with nine tenths of the weight."""
     other = ids.PoolName('other')
     targets = (tables.Target(_POOL, 9), tables.Target(other, 1))
     rng = random.Random(1)
