--- a/libs/gateway/geraniumweir/gateway/attempts.py
+++ b/libs/gateway/geraniumweir/gateway/attempts.py
@@ -41,11 +41,11 @@
     """State of a stream to the caller, across all servers that sent it.
 
     :ivar splitter: splits events and keeps the number of the last one.
-    :ivar begun: whether the head was sent to the caller.
+    :ivar head_sent: whether the head was sent to the caller.
     """
 
     splitter: events.EventSplitter
-    begun: bool = False
+    head_sent: bool = False
 
 
 @dataclasses.dataclass(slots=True)
@@ -162,11 +162,11 @@
                     continue
                 self._record_first(started)
                 self.gaps.note(response_writer.now())
-                if not self.stream.begun:
-                    self.stream.begun = True
+                if not self.stream.head_sent:
+                    self.stream.head_sent = True
                     await self.response_writer.begin(head)
                 await self.response_writer.write(complete)
-        if not splitter.is_complete() or not self.stream.begun:
+        if not splitter.is_complete() or not self.stream.head_sent:
             raise errors.InvalidStreamError(
                 'stream ended before its first or within an event'
             )
--- a/libs/gateway/geraniumweir/gateway/forwarding.py
+++ b/libs/gateway/geraniumweir/gateway/forwarding.py
@@ -96,7 +96,7 @@
 
     @property
     def sending(self) -> requests.Sending:
-        """Return whether the next slot request is a first one or a retry."""
+        """Kind of the next slot request: first, repeated or a retry."""
         if self.arrivals:
             return requests.Sending.retry
         if self.slot_requested:
@@ -111,13 +111,13 @@
         self,
         shared: SharedResources,
         admitted: AdmittedRequest,
-        caller: response_writer.ResponseWriter,
+        writer: response_writer.ResponseWriter,
         record: request_record.RequestRecord,
     ) -> None:
         """Initialize without requesting a slot."""
         self._shared = shared
         self._admitted = admitted
-        self._writer = caller
+        self._writer = writer
         self._record = record
         self._state = RequestState()
         self._stream = attempts.StreamState(
@@ -137,7 +137,7 @@
             return self._handle_timeout()
 
     def _handle_timeout(self) -> web.StreamResponse:
-        if self._stream.begun:
+        if self._stream.head_sent:
             return self._abort_stream('deadline exceeded')
         if self._state.failure is not None:
             return self._writer.complete(self._state.failure)
@@ -218,7 +218,7 @@
         self._shared.meter.count(metricnames.RETRIES, pool, outcome)
 
     def _handle_denial(self, denial: requests.Denial) -> web.StreamResponse:
-        if self._stream.begun:
+        if self._stream.head_sent:
             return self._abort_stream(denial.reason.value)
         if self._state.failure is not None:
             return self._writer.complete(self._state.failure)
@@ -259,7 +259,7 @@
         self._state.arrivals += outcome.arrived
         if self._state.rejected < _MAX_REJECTIONS:
             return None
-        if self._stream.begun:
+        if self._stream.head_sent:
             return self._abort_stream(outcome.reason)
         if self._state.failure is not None:
             return self._writer.complete(self._state.failure)
@@ -275,7 +275,7 @@
         self._state.failure = outcome.answer or self._state.failure
         if self._may_run_again():
             return None
-        if self._stream.begun:
+        if self._stream.head_sent:
             return self._abort_stream(outcome.reason)
         if self._state.failure is not None:
             return self._writer.complete(self._state.failure)
@@ -289,23 +289,23 @@
 
     async def _dispatch(self, grant: requests.Grant) -> outcomes.Outcome:
         started = response_writer.now()
-        attempt = self._attempt(grant, started)
+        attempt = self._make_attempt(grant, started)
         self._record.servers.append(grant.server_id)
         self._record.software.append(grant.version)
         self._state.sent = True
-        ended = requests.Outcome.cancelled
+        release_outcome = requests.Outcome.cancelled
         try:
             outcome = await attempt.run()
-            ended = _release_outcome(outcome)
+            release_outcome = _release_outcome(outcome)
             return outcome
         finally:
             # After a timeout the request was still at a server.
-            self._state.sent = ended is requests.Outcome.cancelled
+            self._state.sent = release_outcome is requests.Outcome.cancelled
             self._release(
-                grant, attempt, ended, response_writer.now() - started
+                grant, attempt, release_outcome, response_writer.now() - started
             )
 
-    def _attempt(
+    def _make_attempt(
         self,
         grant: requests.Grant,
         started: float,
@@ -371,7 +371,7 @@
         self,
         grant: requests.Grant,
         attempt: attempts.Attempt,
-        ended: requests.Outcome,
+        release_outcome: requests.Outcome,
         seconds: float,
     ) -> None:
         longest = max(self._record.longest_pause, attempt.gaps.longest)
@@ -380,7 +380,7 @@
         self._shared.scheduler.release(
             requests.Release(
                 grant.request_id,
-                ended,
+                release_outcome,
                 attempt.first,
                 tokens,
                 seconds,
--- a/libs/gateway/geraniumweir/gateway/host.py
+++ b/libs/gateway/geraniumweir/gateway/host.py
@@ -18,13 +18,13 @@
     watching,
 )
 from geraniumweir.gateway import (
-    listening,
     admission,
     codec,
     forwarding,
+    grant_check,
+    listening,
     logevents,
     readiness,
-    grant_check,
     serving,
 )
 from geraniumweir.observe import metricnames, metrics
@@ -112,7 +112,7 @@
             self._link,
             cfg.failure_domain,
             self.watcher.hosts,
-            self._spent,
+            self._get_usage,
             self._server_notices,
         )
         self._roster = roster.Roster(
@@ -238,15 +238,15 @@
                 counted[(found.pool,)] += 1
         return dict(counted)
 
-    def _spent(self, host_id: ids.HostId) -> spending.Spent:
+    def _get_usage(self, host_id: ids.HostId) -> spending.Spent:
         return self._scheduler.spent(host_id)
 
     def _rollout_controller(
         self, pool: ids.PoolName
     ) -> controller.RolloutController:
-        """Return a controller that never spends budget on a new version.
+        """Return a rollout controller that grants no canaries.
 
-        Only the coordinator may grant requests to it.
+        Only the coordinator may use the budget for them.
         """
         return controller.RolloutController(
             lambda: self.watcher.rollout(pool),
--- a/libs/gateway/geraniumweir/gateway/response_writer.py
+++ b/libs/gateway/geraniumweir/gateway/response_writer.py
@@ -14,19 +14,19 @@
     :ivar aborted: whether the connection was closed before its end.
     """
 
-    def __init__(self, req: web.BaseRequest, closes: bool) -> None:
+    def __init__(self, req: web.BaseRequest, close_connection: bool) -> None:
         """Initialize without a response.
 
-        :param closes: whether the connection closes after this response.
+        :param close_connection: whether to close it after this response.
         """
         self.resp: web.StreamResponse | None = None
         self.aborted = False
         self._req = req
-        self._closes = closes
+        self._close_connection = close_connection
 
-    def close_after(self) -> None:
+    def request_close(self) -> None:
         """Close the connection after this response."""
-        self._closes = True
+        self._close_connection = True
 
     def complete(self, answer: outcomes.CompleteResponse) -> web.Response:
         """Return the response made from a server's complete response."""
@@ -39,7 +39,7 @@
 
     def finish(self, resp: web.Response) -> web.Response:
         """Return a response after recording it as the one to send."""
-        if self._closes:
+        if self._close_connection:
             resp.force_close()
         self.resp = resp
         return resp
@@ -50,7 +50,7 @@
             status=head.status,
             headers=head.headers,
         )
-        if self._closes:
+        if self._close_connection:
             resp.force_close()
         self.resp = resp
         await resp.prepare(self._req)
--- a/libs/gateway/geraniumweir/gateway/serving.py
+++ b/libs/gateway/geraniumweir/gateway/serving.py
@@ -198,7 +198,7 @@
         )
         resp = self._shared.codec.refusal(record.request, refusal)
         if self.traffic.closing:
-            caller.close_after()
+            caller.request_close()
         return caller.finish(resp)
 
     async def _serve(
--- a/libs/gateway/geraniumweir/gateway/tests/test_forwarding.py
+++ b/libs/gateway/geraniumweir/gateway/tests/test_forwarding.py
@@ -19,7 +19,7 @@
 def _streams(
     numbers: typing.Iterable[int],
     *,
-    whole: bool,
+    complete: bool,
     tail: bytes = b'',
 ) -> testbed.Behavior:
     """Return a behavior that streams events and may truncate the stream."""
@@ -35,10 +35,10 @@
             writer.write(testbed.chunk(testbed.event(number)))
         if tail:
             writer.write(testbed.chunk(tail))
-        if whole:
+        if complete:
             writer.write(testbed.chunk(b''))
         await writer.drain()
-        if not whole:
+        if not complete:
             writer.close()
 
     return behavior
@@ -117,7 +117,7 @@
 
 def test_stream_is_forwarded() -> None:
     """All events and the end of the stream reach the caller."""
-    status, body, _, _ = _play(_streams((1, 2, 3), whole=True), **_STREAM)
+    status, body, _, _ = _play(_streams((1, 2, 3), complete=True), **_STREAM)
     assert status == 200
     assert body == b''.join(map(testbed.event, (1, 2, 3)))
 
@@ -125,8 +125,8 @@
 @pytest.mark.parametrize(
     'incomplete',
     [
-        _streams((1, 2), whole=False),
-        _streams((1, 2), whole=True, tail=b'id: 3\nda'),
+        _streams((1, 2), complete=False),
+        _streams((1, 2), complete=True, tail=b'id: 3\nda'),
     ],
     ids=['truncated', 'truncated within an event'],
 )
@@ -143,13 +143,13 @@
     numbers: tuple[int, ...],
 ) -> None:
     """Nothing was sent to the caller yet, so it gets a status."""
-    assert _play(_streams(numbers, whole=True), **_STREAM)[0] == 502
+    assert _play(_streams(numbers, complete=True), **_STREAM)[0] == 502
 
 
 def test_resumable_stream_resumes_on_another_server() -> None:
     """It resumes after the last complete event, within one response."""
-    truncated = _streams((1, 2), whole=False, tail=b'id: 3\nda')
-    resumed = _streams((3, 4), whole=True)
+    truncated = _streams((1, 2), complete=False, tail=b'id: 3\nda')
+    resumed = _streams((3, 4), complete=True)
     body = _play(truncated, resumed, **_RESUMABLE)[1]
     assert body == b''.join(map(testbed.event, (1, 2, 3, 4)))
 
@@ -173,7 +173,7 @@
             await resp.content.readany()
             resp.close()
         async with asyncio.timeout(5):
-            await server.gone.wait()
+            await server.disconnected.wait()
         return running.scheduler.released
 
 
@@ -303,7 +303,7 @@
         async with testbed.running(leaves, stays, attempts=1) as running:
             running.scheduler.server_ids = {1: 'leaves', 3: 'leaves'}
             await _get(running)
-            running.scheduler.turn = 2
+            running.scheduler.grant_count = 2
             running.scheduler.released.clear()
             assert await _get(running) == (200, b'good')
             assert leaves.seen == ['r1']
--- a/libs/gateway/geraniumweir/gateway/tests/testbed.py
+++ b/libs/gateway/geraniumweir/gateway/tests/testbed.py
@@ -120,7 +120,7 @@
     :ivar released: outcomes of the releases, in order.
     :ivar slot_requested: kinds of the slot requests, in order.
     :ivar retries: whether retries are granted.
-    :ivar turn: number of grants so far.
+    :ivar grant_count: number of grants so far.
     """
 
     def __init__(self, servers: typing.Sequence['Server']) -> None:
@@ -129,7 +129,7 @@
         self.slot_requested: list[requests.Sending] = []
         self.retries = True
         self._servers = servers
-        self.turn = 0
+        self.grant_count = 0
 
     async def ask(
         self,
@@ -139,11 +139,13 @@
         if slot_request.sending is requests.Sending.retry and not self.retries:
             reason = requests.DenialReason.retry_budget
             return requests.Denial(slot_request.request_id, reason)
-        server = self._servers[self.turn % len(self._servers)]
-        self.turn += 1
+        server = self._servers[self.grant_count % len(self._servers)]
+        self.grant_count += 1
         return requests.Grant(
             slot_request.request_id,
-            ids.ServerId(self.server_ids.get(self.turn, f's{self.turn}')),
+            ids.ServerId(
+                self.server_ids.get(self.grant_count, f's{self.grant_count}')
+            ),
             ids.Incarnation(1),
             server.address,
         )
@@ -164,13 +166,15 @@
 
     :ivar behavior: writes the response to each request.
     :ivar seen: ids of the requests that reached it.
-    :ivar gone: is set when a connection to it ends.
+    :ivar disconnected: is set when a connection to it ends.
     """
 
     behavior: Behavior
     address: ids.Address = ids.Address(_LOCAL, 0)
     seen: list[str] = dataclasses.field(default_factory=list)
-    gone: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    disconnected: asyncio.Event = dataclasses.field(
+        default_factory=asyncio.Event
+    )
 
     async def serve(
         self,
@@ -186,7 +190,7 @@
                 await reader.readexactly(length)
                 self.seen.append(head['Id'])
                 await self.behavior(self, head['Id'], head, writer)
-        self.gone.set()
+        self.disconnected.set()
 
 
 def _head(raw: bytes) -> multidict.CIMultiDict[str]:
--- a/libs/rollout/geraniumweir/rollout/controller.py
+++ b/libs/rollout/geraniumweir/rollout/controller.py
@@ -18,21 +18,22 @@
     slow_answers,
 )
 
-# Requests reserved in the log ahead of use and the smallest reservation; more
-# are reserved when at most _LOW_RESERVE are left.
+# Requests reserved in the log ahead of use, the smallest additional
+# reservation, and the number of unused reserved requests below which more are
+# reserved.
 _RESERVED_AHEAD = 40
 _MIN_RESERVED = 8
 _LOW_RESERVE = 20
-# The log is updated when the requests that it does not contain exceed both
-# this ratio to the logged ones and this number.
+# The log is updated when the requests that it does not contain exceed this
+# ratio of the logged ones plus this number.
 _MAX_UNLOGGED_RATIO = 0.1
 _MAX_UNLOGGED_REQUESTS = 50
-# The same number for answers of the new version.
+# The log is updated at this number of unlogged answers of the new version.
 _MAX_UNLOGGED_ANSWERS = 10
 # Answers of the new version that are needed before it gets more, or fewer where
 # its budget allows fewer.
 _MIN_ANSWERS = 20
-# A phase is not left while the detector's suspicion exceeds this.
+# A phase does not end while the suspicion of the detector is at least this.
 _MAX_SUSPICION = 0.35
 
 
@@ -284,8 +285,8 @@
         """
         if not load.old_running:
             return True
-        left_for = self._now() - self._moved_at
-        return left_for >= planned.end - planned.move
+        since_move = self._now() - self._moved_at
+        return since_move >= planned.end - planned.move
 
     def _next_canary_step(self, load: Load, due: bool) -> Advance | None:
         if due and self._is_trusted(load):
@@ -309,27 +310,24 @@
             > logged.requests * _MAX_UNLOGGED_RATIO + _MAX_UNLOGGED_REQUESTS
         ):
             return True
-        if (
-            self._answers_judged_good() - logged.answers
-            >= _MAX_UNLOGGED_ANSWERS
-        ):
+        if self._count_good_answers() - logged.answers >= _MAX_UNLOGGED_ANSWERS:
             return True
-        left = logged.exposure - self.budget.consumed
-        more = self.budget.canary_allowance() - logged.exposure
-        return more >= _MIN_RESERVED and left < _LOW_RESERVE
+        unused = logged.exposure - self.budget.consumed
+        additional = self.budget.canary_allowance() - logged.exposure
+        return additional >= _MIN_RESERVED and unused < _LOW_RESERVE
 
     def _advance(self, phase: orders.Phase) -> Advance:
-        ahead = self.budget.consumed + _RESERVED_AHEAD
-        most = max(self.budget.canary_allowance(), self.budget.consumed)
-        reserved = math.ceil(min(ahead, most))
+        target = self.budget.consumed + _RESERVED_AHEAD
+        allowance = max(self.budget.canary_allowance(), self.budget.consumed)
+        reserved = math.ceil(min(target, allowance))
         return Advance(
             phase,
             reserved,
             self.budget.requests,
-            self._answers_judged_good(),
+            self._count_good_answers(),
         )
 
-    def _answers_judged_good(self) -> int:
+    def _count_good_answers(self) -> int:
         """Return the answers that a new coordinator may count as good."""
         evidence = self._evidence
         seems_good = evidence.detector.suspicion < _MAX_SUSPICION
@@ -355,8 +353,9 @@
     def _handle_detection(self, detected: detection.Detection) -> None:
         """Handle a detection.
 
-        If all bad answers are from one server, the server may be faulty and
-        not the version: it is excluded once, and the other servers decide.
+        If a single server is failing, the server may be faulty and not the
+        version: it is excluded, and the answers of the others decide. That
+        happens for one server only.
         """
         evidence = self._evidence
         alone = len(detected.failing_servers) == 1 and self.new_server_count > 1
--- a/libs/rollout/geraniumweir/rollout/tests/test_controller.py
+++ b/libs/rollout/geraniumweir/rollout/tests/test_controller.py
@@ -70,7 +70,7 @@
 
 
 def test_host_that_is_not_leader_grants_no_canaries() -> None:
-    """Partitioned hosts use the old version only."""
+    """Partitioned hosts use only a version that is trusted already."""
     scenario = _Rollout(leads=False)
     scenario.step()
     assert scenario.serve(100) == 0
