--- a/libs/scheduling/geraniumweir/scheduling/admitting.py
+++ b/libs/scheduling/geraniumweir/scheduling/admitting.py
@@ -5,12 +5,12 @@
 
 from geraniumweir.scheduling import (
     deadline_granting,
+    deadline_records,
+    deadline_state,
     estimating,
     predicting,
-    deadline_records,
     requests,
     shedding,
-    deadline_state,
     suspects,
     waitlist,
 )
@@ -25,28 +25,30 @@
 
 def admit(
     leader: deadline_state.DeadlineLeaderState,
-    ask: requests.Ask,
+    slot_request: requests.Ask,
 ) -> deadline_records.Waiting | requests.Denial:
     """Take an ask that is neither waiting nor granted.
 
     :returns: it as it waits, perhaps decided already, or a denial.
     """
     within_budget = leader.budgets.within_budget(
-        ask.customer,
-        ask.fingerprint,
+        slot_request.customer,
+        slot_request.fingerprint,
         leader.now(),
     )
-    denied = _deny_at_once(leader, ask)
+    denied = _deny_at_once(leader, slot_request)
     if denied is not None:
         return denied
-    waiting = _make_waiting(leader, ask)
+    waiting = _make_waiting(leader, slot_request)
     if _too_late(leader, waiting):
-        return shedding.make_denial(leader, ask, requests.DenialReason.too_late)
+        return shedding.make_denial(
+            leader, slot_request, requests.DenialReason.too_late
+        )
     if deadline_granting.try_grant(leader, waiting):
         return waiting
     reason = _reason_not_to_queue(leader, waiting, within_budget)
     if reason is not None:
-        return shedding.make_denial(leader, ask, reason)
+        return shedding.make_denial(leader, slot_request, reason)
     _enqueue(leader, waiting)
     return waiting
 
@@ -68,30 +70,32 @@
 
 def _deny_at_once(
     leader: deadline_state.DeadlineLeaderState,
-    ask: requests.Ask,
+    slot_request: requests.Ask,
 ) -> requests.Denial | None:
-    reason = _reason_at_once(leader, ask)
+    reason = _reason_at_once(leader, slot_request)
     if reason is not None:
-        return shedding.make_denial(leader, ask, reason)
-    seconds = leader.rates.take(ask.rule, ask.rate_per_s, leader.now())
+        return shedding.make_denial(leader, slot_request, reason)
+    seconds = leader.rates.take(
+        slot_request.rule, slot_request.rate_per_s, leader.now()
+    )
     if seconds:
-        return _over_rate(ask, seconds)
+        return _over_rate(slot_request, seconds)
     if _has_no_server(leader):
         # Counted above: another failure domain may serve the call.
         reason = requests.DenialReason.no_server
-        return shedding.make_denial(leader, ask, reason)
+        return shedding.make_denial(leader, slot_request, reason)
     return None
 
 
 def _reason_at_once(
     leader: deadline_state.DeadlineLeaderState,
-    ask: requests.Ask,
+    slot_request: requests.Ask,
 ) -> requests.DenialReason | None:
     now = leader.now()
-    verdict = leader.suspects.verdict(ask.fingerprint, now)
+    verdict = leader.suspects.verdict(slot_request.fingerprint, now)
     if verdict is suspects.Verdict.quarantined:
         return requests.DenialReason.quarantined
-    if ask.deadline <= now:
+    if slot_request.deadline <= now:
         return requests.DenialReason.too_late
     return None
 
@@ -101,10 +105,10 @@
     return leader.takeover_complete and leader.live_server_at < before
 
 
-def _over_rate(ask: requests.Ask, seconds: float) -> requests.Denial:
+def _over_rate(slot_request: requests.Ask, seconds: float) -> requests.Denial:
     """Deny an ask over its rule's rate, which is no sign of overload."""
     return requests.Denial(
-        ask.request_id,
+        slot_request.request_id,
         requests.DenialReason.rule_limit,
         math.ceil(seconds * _MS),
     )
@@ -115,10 +119,10 @@
     waiting: deadline_records.Waiting,
     within_budget: bool,
 ) -> requests.DenialReason | None:
-    ask = waiting.ask
-    if _over_waiting_limit(leader, ask):
+    slot_request = waiting.ask
+    if _over_waiting_limit(leader, slot_request):
         return requests.DenialReason.rule_limit
-    if shedding.serves_lower_tier(leader, ask.tier):
+    if shedding.serves_lower_tier(leader, slot_request.tier):
         return None
     if not within_budget:
         return requests.DenialReason.shed
@@ -129,25 +133,25 @@
 
 def _over_waiting_limit(
     leader: deadline_state.DeadlineLeaderState,
-    ask: requests.Ask,
+    slot_request: requests.Ask,
 ) -> bool:
-    if ask.max_waiting is None:
+    if slot_request.max_waiting is None:
         return False
-    rule = leader.rules.get(ask.rule, deadline_records.RuleCount())
-    return rule.waiting >= ask.max_waiting
+    rule = leader.rules.get(slot_request.rule, deadline_records.RuleCount())
+    return rule.waiting >= slot_request.max_waiting
 
 
 def _make_waiting(
     leader: deadline_state.DeadlineLeaderState,
-    ask: requests.Ask,
+    slot_request: requests.Ask,
 ) -> deadline_records.Waiting:
     leader.sequence += 1
     waiting = deadline_records.Waiting(
-        ask,
+        slot_request,
         leader.sequence,
         leader.now(),
         asyncio.get_running_loop().create_future(),
-        estimating.expected_length(leader.lengths, ask),
+        estimating.expected_length(leader.lengths, slot_request),
     )
     _set_starts(leader, waiting)
     return waiting
@@ -184,7 +188,7 @@
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> bool:
-    """Tell whether a request can't end in time even on an idle server.
+    """Return whether a request can't end in time even on an idle server.
 
     Now and then one is let in on an idle pool nevertheless: a prediction
     that lets nothing in would never be put right.
@@ -208,7 +212,7 @@
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> bool:
-    """Tell whether a request's turn will hardly come before it is too late.
+    """Return whether a request's turn will hardly come before it is too late.
 
     The wait is the lesser of the work ahead of its tier and of its own
     customer's work at a fair share, so that one customer's long queue does
@@ -216,13 +220,15 @@
     """
     if not waiting.latest_starts:
         return False
-    ask = waiting.ask
+    slot_request = waiting.ask
     fair = leader.cost_by_flow[waiting.flow]
-    fair *= leader.queue.backlogged(ask.tier) / max(leader.slots, 1)
-    higher = shedding.work_above(leader, ask.tier) / max(leader.slots, 1)
+    fair *= leader.queue.backlogged(slot_request.tier) / max(leader.slots, 1)
+    higher = shedding.work_above(leader, slot_request.tier) / max(
+        leader.slots, 1
+    )
     seconds = min(
         higher + fair,
-        shedding.expected_wait(leader, ask.tier),
+        shedding.expected_wait(leader, slot_request.tier),
     )
     slack = waiting.best_start - leader.now()
     return seconds > _WAIT_FACTOR * slack + _WAIT_MARGIN_SECONDS
--- a/libs/scheduling/geraniumweir/scheduling/adoption.py
+++ b/libs/scheduling/geraniumweir/scheduling/adoption.py
@@ -4,14 +4,14 @@
 
 from geraniumweir.common import ids
 from geraniumweir.scheduling import (
-    fleet,
     deadline_granting,
+    deadline_records,
+    deadline_state,
     estimating,
+    fleet,
     progressing,
-    deadline_records,
     requests,
     shedding,
-    deadline_state,
     stragglers,
     waitlist,
 )
--- a/libs/scheduling/geraniumweir/scheduling/affinity.py
+++ b/libs/scheduling/geraniumweir/scheduling/affinity.py
@@ -4,7 +4,7 @@
 it for another request will have it soon.
 """
 
-from geraniumweir.scheduling import predicting, deadline_records, deadline_state
+from geraniumweir.scheduling import deadline_records, deadline_state, predicting
 
 _MIN_SAVED_SECONDS = 0.1
 _WAIT_FACTOR = 20.0
@@ -17,13 +17,13 @@
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> float:
-    """Give the seconds of prefill that a server's cache saves a request."""
-    ask = waiting.ask
-    share = leader.prefixes.cached_share(server.server_id, ask.blocks)
+    """Return the seconds of prefill that a server's cache saves a request."""
+    slot_request = waiting.ask
+    share = leader.prefixes.cached_share(server.server_id, slot_request.blocks)
     if not share:
         return 0
-    return predicting.rates_of(leader, server, ask.model).prefill * (
-        share * ask.prompt_tokens
+    return predicting.rates_of(leader, server, slot_request.model).prefill * (
+        share * slot_request.prompt_tokens
     )
 
 
@@ -32,7 +32,7 @@
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
-    """Tell whether a server's cache saves a request much prefill."""
+    """Return whether a server's cache saves a request much prefill."""
     return saved_seconds(leader, server, waiting) >= _MIN_SAVED_SECONDS
 
 
@@ -63,7 +63,7 @@
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
-    """Tell whether a request rather waits until its prefix is computed.
+    """Return whether a request rather waits until its prefix is computed.
 
     An engine looks a prompt up when it takes it in: what another request
     still computes then, it computes again.
@@ -89,18 +89,18 @@
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
-    """Tell whether a request rather waits for a server that has its prefix.
+    """Return whether a request rather waits for a server that has its prefix.
 
     It waits a few times as long as the prefill takes that is saved, and only
     while the open server could still end it in time.
     """
-    ask = waiting.ask
-    if waiting.probe or not ask.blocks:
+    slot_request = waiting.ask
+    if waiting.probe or not slot_request.blocks:
         return False
     waited = leader.now() - waiting.arrived
     needed = max(waited / _WAIT_FACTOR, _MIN_SAVED_SECONDS)
-    rates = predicting.rates_of(leader, server, ask.model)
-    full_prefill = rates.prefill * ask.prompt_tokens
+    rates = predicting.rates_of(leader, server, slot_request.model)
+    full_prefill = rates.prefill * slot_request.prompt_tokens
     if full_prefill < needed:
         return False
     saved = full_prefill * _best_share(leader, server, waiting)
@@ -111,7 +111,7 @@
         predicting.seconds_to_finish(leader, server, waiting)
         * leader.cfg.safety
     )
-    return leader.now() + seconds + _WAIT_MARGIN_SECONDS < ask.deadline
+    return leader.now() + seconds + _WAIT_MARGIN_SECONDS < slot_request.deadline
 
 
 def _best_share(
@@ -119,7 +119,7 @@
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> float:
-    """Give the largest share of a prompt that another fit server holds."""
+    """Return the largest share of a prompt that another fit server holds."""
     best: float = 0
     for server_id, share in leader.prefixes.longest_holders(
         waiting.ask.blocks
--- a/libs/scheduling/geraniumweir/scheduling/deadline_granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_granting.py
@@ -14,12 +14,12 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import (
     affinity,
+    deadline_records,
+    deadline_state,
     fleet,
     placement,
     predicting,
-    deadline_records,
     requests,
-    deadline_state,
     stragglers,
     waitlist,
 )
@@ -36,14 +36,16 @@
     waiting: deadline_records.Waiting,
 ) -> bool:
     """Grant a request if a server can end it in time from now."""
-    ask = waiting.ask
-    if not leader.takeover_complete or waitlist.over_running_limit(leader, ask):
+    slot_request = waiting.ask
+    if not leader.takeover_complete or waitlist.over_running_limit(
+        leader, slot_request
+    ):
         return False
-    if waitlist.is_suspect(leader, ask):
+    if waitlist.is_suspect(leader, slot_request):
         server = _server_for_suspect(leader, waiting)
     else:
         server = placement.choose(leader, waiting)
-    if server is None or _is_kept_for_higher(leader, server, ask.tier):
+    if server is None or _is_kept_for_higher(leader, server, slot_request.tier):
         return False
     grant(leader, waiting, server)
     return True
@@ -96,19 +98,19 @@
     server: deadline_records.Server,
 ) -> None:
     """Grant a request a server's slot."""
-    ask = waiting.ask
+    slot_request = waiting.ask
     waitlist.dequeue(leader, waiting)
     kept = waitlist.cancel_reservation(leader, waiting)
     running = _running(leader, waiting, server)
-    leader.queue.charge(waiting.flow, running.cost / ask.share)
+    leader.queue.charge(waiting.flow, running.cost / slot_request.share)
     expected = running.cost
-    if ask.streams and ask.model is not None:
+    if slot_request.streams and slot_request.model is not None:
         expected = running.ahead + running.prefill
     running.due = leader.now() + stragglers.stall_timeout(expected)
     count_running(leader, running)
     fleet.attach(leader, server, running)
     affinity.start_warming(leader, server, running)
-    leader.prefixes.record_grant(server.server_id, ask.blocks)
+    leader.prefixes.record_grant(server.server_id, slot_request.blocks)
     waiting.fut.set_result(running.grant)
     if kept is not None and kept is not server:
         fill(leader, kept)
@@ -119,11 +121,13 @@
     running: deadline_records.Running,
 ) -> None:
     """Count a grant in use, whoever gave it."""
-    ask = running.ask
-    leader.running[ask.request_id] = running
-    leader.running_by_tier[ask.tier] += 1
-    leader.running_fingerprints[ask.fingerprint] += 1
-    leader.rules.setdefault(ask.rule, deadline_records.RuleCount()).running += 1
+    slot_request = running.ask
+    leader.running[slot_request.request_id] = running
+    leader.running_by_tier[slot_request.tier] += 1
+    leader.running_fingerprints[slot_request.fingerprint] += 1
+    leader.rules.setdefault(
+        slot_request.rule, deadline_records.RuleCount()
+    ).running += 1
     watch_progress(leader, running)
 
 
@@ -204,7 +208,7 @@
     server: deadline_records.Server,
     tier: ids.Tier,
 ) -> bool:
-    """Tell whether a server is left to those of higher tiers who wait."""
+    """Return whether a server is left to those of higher tiers who wait."""
     return any(
         leader.by_tier[higher] and _is_wanted_by(leader, server, higher)
         for higher in ids.Tier
@@ -217,7 +221,7 @@
     server: deadline_records.Server,
     tier: ids.Tier,
 ) -> bool:
-    """Tell whether one of a tier waits that a server could still serve.
+    """Return whether one of a tier waits that a server could still serve.
 
     It may not fit now, for want of KV room or because of prefill granted
     before; what a lower tier adds there would keep it out for longer.
@@ -275,7 +279,7 @@
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
-    """Tell whether one whose prefix is on the server may go before."""
+    """Return whether one whose prefix is on the server may go before."""
     if waiting.overtaken >= _MAX_OVERTAKEN:
         return False
     if waiting.reserved_on == server.server_id:
--- a/libs/scheduling/geraniumweir/scheduling/deadline_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_leader.py
@@ -27,9 +27,9 @@
     ticking,
 )
 from geraniumweir.scheduling import (
+    deadline_state,
     requests,
     settings,
-    deadline_state,
     suspects,
 )
 from geraniumweir.scheduling import summary as summaries
@@ -65,24 +65,24 @@
 
     async def ask(
         self,
-        ask: requests.Ask,
+        slot_request: requests.Ask,
     ) -> requests.Grant | requests.Denial:
         """Wait for a backend server.
 
         A repeated ask of a waiting id joins it; of a granted id it gets the
         same grant again.
 
-        :param ask: what waits; its deadline is on the leader's clock.
+        :param slot_request: what waits; its deadline is on the leader's clock.
         :returns: a grant, or a denial once there can be none in time.
         """
         ticking.start_ticking(self._state)
         ticking.sync_if_stale(self._state)
-        running = self._state.running.get(ask.request_id)
+        running = self._state.running.get(slot_request.request_id)
         if running is not None:
             return running.grant
-        waiting = self._state.waiting.get(ask.request_id)
+        waiting = self._state.waiting.get(slot_request.request_id)
         if waiting is None:
-            admitted = admitting.admit(self._state, ask)
+            admitted = admitting.admit(self._state, slot_request)
             if isinstance(admitted, requests.Denial):
                 return admitted
             waiting = admitted
@@ -180,5 +180,5 @@
 
     @property
     def suspects(self) -> suspects.Suspects:
-        """Give the suspects, to spread quarantines between hosts."""
+        """Return the suspects, to spread quarantines between hosts."""
         return self._state.suspects
--- a/libs/scheduling/geraniumweir/scheduling/deadline_records.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_records.py
@@ -8,8 +8,8 @@
 from geraniumweir.membership import servers
 from geraniumweir.scheduling import (
     concurrency,
-    fairqueue,
     estimating,
+    fairqueue,
     requests,
     stragglers,
 )
@@ -28,14 +28,17 @@
     models: tuple[str, ...]
     max_context: int
 
-    def serves(self, ask: requests.Ask) -> bool:
-        """Tell whether a server of this class can run a request at all."""
-        if ask.model is not None and self.models:
-            if ask.model not in self.models:
+    def serves(self, slot_request: requests.Ask) -> bool:
+        """Return whether a server of this class can run a request at all."""
+        if slot_request.model is not None and self.models:
+            if slot_request.model not in self.models:
                 return False
         if not self.max_context:
             return True
-        return ask.prompt_tokens + max(ask.max_tokens, 1) <= self.max_context
+        return (
+            slot_request.prompt_tokens + max(slot_request.max_tokens, 1)
+            <= self.max_context
+        )
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -76,12 +79,12 @@
 
     @property
     def kv_need(self) -> int:
-        """Give the KV tokens that it may come to hold."""
+        """Return the KV tokens that it may come to hold."""
         return self.ask.prompt_tokens + int(self.expected.high)
 
     @property
     def flow(self) -> fairqueue.Flow:
-        """Give its tier and customer."""
+        """Return its tier and customer."""
         return (self.ask.tier, self.ask.customer)
 
 
@@ -115,7 +118,7 @@
 
     @property
     def kv_need(self) -> int:
-        """Give the KV tokens that it may come to hold."""
+        """Return the KV tokens that it may come to hold."""
         return self.ask.prompt_tokens + int(self.expected.high)
 
 
@@ -170,27 +173,27 @@
 
     @property
     def server_id(self) -> ids.ServerId:
-        """Give the server's id."""
+        """Return the server's id."""
         return self.announcement.server_id
 
     @property
     def model(self) -> str | None:
-        """Give the first model that it serves."""
+        """Return the first model that it serves."""
         return self.kind.models[0] if self.kind.models else None
 
     def capacity(self) -> int:
-        """Give how many requests it may run now."""
+        """Return how many requests it may run now."""
         if not self.live or self.announcement.incarnation <= self.crashed:
             return 0
         return self.health.capacity(self.limit.rounded)
 
     def is_open(self) -> bool:
-        """Tell whether it may get one more request."""
+        """Return whether it may get one more request."""
         moving = len(self.running) - self.stuck
         return moving < self.capacity() and len(self.running) < self.limit.slots
 
     def kv_free(self) -> float:
-        """Give the KV tokens not granted."""
+        """Return the KV tokens not granted."""
         if not self.announcement.kv_tokens:
             return float('inf')
         return self.announcement.kv_tokens - self.kv_used
--- a/libs/scheduling/geraniumweir/scheduling/deadline_state.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_state.py
@@ -9,12 +9,12 @@
 from geraniumweir.common import ids
 from geraniumweir.membership import servers
 from geraniumweir.scheduling import (
-    fairqueue,
+    deadline_records,
     estimating,
+    fairqueue,
     limits,
     openings,
     prefix,
-    deadline_records,
     requests,
     retries,
     settings,
--- a/libs/scheduling/geraniumweir/scheduling/estimating.py
+++ b/libs/scheduling/geraniumweir/scheduling/estimating.py
@@ -156,7 +156,7 @@
         self.samples += 1
 
     def value(self) -> float | None:
-        """Give the ratio, None without samples."""
+        """Return the ratio, None without samples."""
         return self.amount / self.weight if self.weight else None
 
 
@@ -310,7 +310,9 @@
 
 
 def expected_length(
-    lengths: OutputLengthEstimates, ask: requests.Ask
+    lengths: OutputLengthEstimates, slot_request: requests.Ask
 ) -> Expected:
     """Predict the output length of an ask."""
-    return lengths.estimate(ask.rule, ask.customer, ask.max_tokens)
+    return lengths.estimate(
+        slot_request.rule, slot_request.customer, slot_request.max_tokens
+    )
--- a/libs/scheduling/geraniumweir/scheduling/fairqueue.py
+++ b/libs/scheduling/geraniumweir/scheduling/fairqueue.py
@@ -107,7 +107,7 @@
         sequence: int,
         start: tuple[_Class, float],
     ) -> None:
-        """Give an item that waits a further class that can run it."""
+        """Return an item that waits a further class that can run it."""
         server_class, latest = start
         entry = (latest, sequence, item)
         self._insert(flow, self._flows[flow], server_class, entry)
@@ -175,12 +175,12 @@
         return [start[2] for start in itertools.chain(near, far)]
 
     def virtual_time(self, flow: Flow) -> float:
-        """Give a customer's virtual time in a tier."""
+        """Return a customer's virtual time in a tier."""
         flow_state = self._flows.get(flow)
         return flow_state.virtual_time if flow_state else self._floor[flow[0]]
 
     def backlogged(self, tier: ids.Tier) -> int:
-        """Give the number of customers that wait in a tier."""
+        """Return the number of customers that wait in a tier."""
         return len(self._backlog[tier])
 
     def _activate(self, flow: Flow) -> _FlowState:
@@ -263,7 +263,7 @@
     starts: sortedcontainers.SortedKeyList,
     now: float,
 ) -> list[typing.Any]:
-    """Give the first few that can still start in time."""
+    """Return the first few that can still start in time."""
     first = 0
     if starts[0][0] < now:
         first = starts.bisect_key_left((now, -1))
--- a/libs/scheduling/geraniumweir/scheduling/fleet.py
+++ b/libs/scheduling/geraniumweir/scheduling/fleet.py
@@ -6,10 +6,10 @@
 from geraniumweir.membership import servers
 from geraniumweir.scheduling import (
     concurrency,
-    placement,
-    predicting,
     deadline_records,
     deadline_state,
+    placement,
+    predicting,
     stragglers,
 )
 
--- a/libs/scheduling/geraniumweir/scheduling/limits.py
+++ b/libs/scheduling/geraniumweir/scheduling/limits.py
@@ -77,7 +77,7 @@
 
     @property
     def size(self) -> float:
-        """Give the most tokens there can be."""
+        """Return the most tokens there can be."""
         return max(self.rate, 1)
 
     def take(self, now: float) -> float:
@@ -184,7 +184,7 @@
         return None
 
     def may_run(self, key: Key, limits: Limits) -> bool:
-        """Tell whether one more ask may go to a backend server."""
+        """Return whether one more ask may go to a backend server."""
         if limits.max_running is None:
             return True
         count = self._counts.get(key)
@@ -206,7 +206,7 @@
             self._counts[key].running -= 1
 
     def counts(self, key: Key) -> tuple[int, int]:
-        """Give how many asks run and wait."""
+        """Return how many asks run and wait."""
         count = self._counts.get(key, _Count())
         return count.running, count.waiting
 
--- a/libs/scheduling/geraniumweir/scheduling/openings.py
+++ b/libs/scheduling/geraniumweir/scheduling/openings.py
@@ -71,11 +71,11 @@
         self._rooms[server_class].remove((room, server_id))
 
     def has(self, server_id: ids.ServerId) -> bool:
-        """Tell whether a server may get one more request."""
+        """Return whether a server may get one more request."""
         return server_id in self._places
 
     def best(self, server_class: _Class) -> list[ids.ServerId]:
-        """Give a few servers of a class worth a closer look.
+        """Return a few servers of a class worth a closer look.
 
         :returns: those that would end soonest, then the roomiest.
         """
--- a/libs/scheduling/geraniumweir/scheduling/placement.py
+++ b/libs/scheduling/geraniumweir/scheduling/placement.py
@@ -12,9 +12,9 @@
 
 from geraniumweir.scheduling import (
     affinity,
-    predicting,
     deadline_records,
     deadline_state,
+    predicting,
 )
 
 _REFERENCE_PROMPT_TOKENS = 500
@@ -48,7 +48,7 @@
 def has_room(
     server: deadline_records.Server, waiting: deadline_records.Waiting
 ) -> bool:
-    """Tell whether a server's KV cache takes a request."""
+    """Return whether a server's KV cache takes a request."""
     if not server.running:
         return True
     return waiting.kv_need <= server.kv_free()
@@ -86,7 +86,7 @@
 def is_reserved_for_others(
     server: deadline_records.Server, waiting: deadline_records.Waiting
 ) -> bool:
-    """Tell whether a server's room is kept for requests that go before."""
+    """Return whether a server's room is kept for requests that go before."""
     before = reservations_before(server, waiting)
     if not before:
         return False
@@ -123,7 +123,7 @@
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
-    """Tell whether an open server may take a newcomer."""
+    """Return whether an open server may take a newcomer."""
     if is_reserved_for_others(server, waiting) or not has_room(server, waiting):
         return False
     if not predicting.in_time(leader, server, waiting):
@@ -138,20 +138,20 @@
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
-    """Tell whether a lower tier rather makes way elsewhere later.
+    """Return whether a lower tier rather makes way elsewhere later.
 
     Prefill ahead takes longer than predicted where much else runs.
     """
-    ask = waiting.ask
+    slot_request = waiting.ask
     now = leader.now()
     if now >= waiting.best_start - leader.cfg.preempt_slack:
         return False
     if predicting.prefill_ahead(leader, server) < _RISK_RATIO * (
-        ask.deadline - now
+        slot_request.deadline - now
     ):
         return False
     return any(
-        count and tier > ask.tier
+        count and tier > slot_request.tier
         for tier, count in leader.running_by_tier.items()
     )
 
@@ -161,7 +161,7 @@
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> float:
-    """Give the predicted seconds, and what its prefill costs the others.
+    """Return the predicted seconds, and what its prefill costs the others.
 
     Prefill holds up all that runs beside it and pushes others' prefixes out.
     """
@@ -193,7 +193,7 @@
 def could_hold(
     server: deadline_records.Server, waiting: deadline_records.Waiting
 ) -> bool:
-    """Tell whether a server's KV cache could hold a request by itself."""
+    """Return whether a server's KV cache could hold a request by itself."""
     return waiting.kv_need <= server.announcement.kv_tokens
 
 
--- a/libs/scheduling/geraniumweir/scheduling/predicting.py
+++ b/libs/scheduling/geraniumweir/scheduling/predicting.py
@@ -10,7 +10,7 @@
 
 import typing
 
-from geraniumweir.scheduling import estimating, deadline_records, deadline_state
+from geraniumweir.scheduling import deadline_records, deadline_state, estimating
 
 _MAX_DONE_RATIO = 0.8
 _OVERDUE_FACTOR = 4.0
@@ -21,7 +21,7 @@
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> dict[deadline_records.ServerClass, float]:
-    """Give a request's latest start on each class that can run it."""
+    """Return a request's latest start on each class that can run it."""
     cached = _cached_by_class(leader, waiting)
     return {
         kind: latest_start(leader, waiting, kind, cached.get(kind, 0))
@@ -36,7 +36,7 @@
     kind: deadline_records.ServerClass,
     cached: float = 0,
 ) -> float:
-    """Give the time at which a request must start on a class of servers.
+    """Return the time at which a request must start on a class of servers.
 
     :param cached: share of its prompt that such a server has cached.
     """
@@ -54,10 +54,10 @@
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> float:
-    """Give the prompt tokens that a server would have to prefill."""
-    ask = waiting.ask
-    share = leader.prefixes.cached_share(server.server_id, ask.blocks)
-    return ask.prompt_tokens * (1 - share)
+    """Return the prompt tokens that a server would have to prefill."""
+    slot_request = waiting.ask
+    share = leader.prefixes.cached_share(server.server_id, slot_request.blocks)
+    return slot_request.prompt_tokens * (1 - share)
 
 
 def seconds_to_finish(
@@ -77,7 +77,7 @@
 def prefill_ahead(
     leader: deadline_state.DeadlineLeaderState, server: deadline_records.Server
 ) -> float:
-    """Give the seconds of prefill granted to a server and not yet done.
+    """Return the seconds of prefill granted to a server and not yet done.
 
     By the predictions, and by the first tokens that did not come yet.
     """
@@ -98,7 +98,7 @@
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> bool:
-    """Tell whether a request started now on a server ends in time."""
+    """Return whether a request started now on a server ends in time."""
     if waiting.probe:
         return True
     return in_time_after_cancel(leader, server, waiting, ())
@@ -110,7 +110,7 @@
     waiting: deadline_records.Waiting,
     cancelled: typing.Iterable[deadline_records.Running],
 ) -> bool:
-    """Tell the same for a server from which some requests are cancelled."""
+    """Return the same for a server from which some requests are cancelled."""
     freed = sum(
         running.prefill
         for running in cancelled
@@ -127,7 +127,7 @@
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> dict[deadline_records.ServerClass, float]:
-    """Give the share of a prompt cached where most of it is, by class."""
+    """Return the share of a prompt cached where most of it is, by class."""
     shares: dict[deadline_records.ServerClass, float] = {}
     holders = leader.prefixes.longest_holders(waiting.ask.blocks)
     for server_id, share in holders.items():
@@ -142,7 +142,7 @@
     server: deadline_records.Server,
     model: str | None,
 ) -> estimating.Rates:
-    """Give a server's predicted speeds for a model."""
+    """Return a server's predicted speeds for a model."""
     return leader.speeds.of_server(
         server.server_id,
         server.kind.hardware,
--- a/libs/scheduling/geraniumweir/scheduling/prefix.py
+++ b/libs/scheduling/geraniumweir/scheduling/prefix.py
@@ -109,7 +109,7 @@
             self._estimate_size(server_id, cache)
 
     def cached_share(self, server_id: ids.ServerId, blocks: _Blocks) -> float:
-        """Give the share of a prompt that a server is thought to hold."""
+        """Return the share of a prompt that a server is thought to hold."""
         cache = self._caches.get(server_id)
         if cache is None or not blocks or blocks[0] not in cache.blocks:
             return 0
@@ -117,7 +117,7 @@
         return cache.trust * length / len(blocks)
 
     def longest_holders(self, blocks: _Blocks) -> dict[ids.ServerId, float]:
-        """Give a few servers that hold the longest known prefix.
+        """Return a few servers that hold the longest known prefix.
 
         :returns: the share of the prompt that each is thought to hold.
         """
@@ -132,7 +132,7 @@
         }
 
     def size(self, server_id: ids.ServerId) -> int:
-        """Give the number of blocks kept for a server."""
+        """Return the number of blocks kept for a server."""
         cache = self._caches.get(server_id)
         return len(cache.blocks) if cache else 0
 
--- a/libs/scheduling/geraniumweir/scheduling/progressing.py
+++ b/libs/scheduling/geraniumweir/scheduling/progressing.py
@@ -2,14 +2,14 @@
 
 from geraniumweir.scheduling import (
     affinity,
-    fleet,
     deadline_granting,
+    deadline_records,
+    deadline_state,
     estimating,
+    fleet,
     placement,
-    deadline_records,
     requests,
     spending,
-    deadline_state,
     stragglers,
     waitlist,
 )
@@ -90,16 +90,16 @@
     running: deadline_records.Running,
 ) -> None:
     """Take a grant out of all counts."""
-    ask = running.ask
-    leader.running.pop(ask.request_id)
-    leader.running_by_tier[ask.tier] -= 1
-    leader.running_fingerprints[ask.fingerprint] -= 1
-    if not leader.running_fingerprints[ask.fingerprint]:
-        leader.running_fingerprints.pop(ask.fingerprint)
-    leader.rules[ask.rule].running -= 1
-    waitlist.discard_idle_rule(leader, ask.rule)
+    slot_request = running.ask
+    leader.running.pop(slot_request.request_id)
+    leader.running_by_tier[slot_request.tier] -= 1
+    leader.running_fingerprints[slot_request.fingerprint] -= 1
+    if not leader.running_fingerprints[slot_request.fingerprint]:
+        leader.running_fingerprints.pop(slot_request.fingerprint)
+    leader.rules[slot_request.rule].running -= 1
+    waitlist.discard_idle_rule(leader, slot_request.rule)
     orphans = leader.orphans.get(running.grant.server_id, {})
-    orphans.pop(ask.request_id, None)
+    orphans.pop(slot_request.request_id, None)
     server = leader.servers.get(running.grant.server_id)
     if server is not None:
         fleet.detach(leader, server, running)
@@ -129,7 +129,7 @@
 
 
 def _tokens_before(running: deadline_records.Running, rate: float) -> float:
-    """Give the tokens prefilled before a first token, its own included."""
+    """Return the tokens prefilled before a first token, its own included."""
     ahead = running.ahead / rate if rate else 0
     return running.uncached + ahead + estimating.FIXED_TOKENS
 
@@ -162,8 +162,10 @@
         running.first_token = first_token
         _sample_late_first_token(leader, server, running)
     if ended.output_tokens:
-        ask = running.ask
-        leader.lengths.add_sample(ask.rule, ask.customer, ended.output_tokens)
+        slot_request = running.ask
+        leader.lengths.add_sample(
+            slot_request.rule, slot_request.customer, ended.output_tokens
+        )
         _sample_decode(leader, server, running, ended)
     leader.suspects.ended_well(running.ask.fingerprint)
     server.last_progress_at = leader.now()
@@ -217,9 +219,9 @@
     used = leader.now() - running.granted
     if outcome in spending.NOT_SERVED:
         used = 0
-    ask = running.ask
-    flow = (ask.tier, ask.customer)
-    leader.queue.charge(flow, (used - running.cost) / ask.share)
+    slot_request = running.ask
+    flow = (slot_request.tier, slot_request.customer)
+    leader.queue.charge(flow, (used - running.cost) / slot_request.share)
 
 
 def _rates(
--- a/libs/scheduling/geraniumweir/scheduling/shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/shedding.py
@@ -14,11 +14,11 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import (
     deadline_granting,
+    deadline_records,
+    deadline_state,
     placement,
     predicting,
-    deadline_records,
     requests,
-    deadline_state,
     waitlist,
 )
 
@@ -75,7 +75,7 @@
     leader: deadline_state.DeadlineLeaderState,
     waiting: deadline_records.Waiting,
 ) -> float:
-    """Give the least seconds of prefill ahead on a few servers at hand.
+    """Return the least seconds of prefill ahead on a few servers at hand.
 
     A latest start is that on an idle server; all of them may be busy.
     """
@@ -169,27 +169,31 @@
 
 def make_denial(
     leader: deadline_state.DeadlineLeaderState,
-    ask: requests.Ask,
+    slot_request: requests.Ask,
     reason: requests.DenialReason,
 ) -> requests.Denial:
     """Make a denial, with a time to come back, and remember it."""
     now = leader.now()
     if reason is not requests.DenialReason.withdrawn:
-        leader.budgets.refused(ask.customer, ask.fingerprint, now)
-    seconds = expected_wait(leader, ask.tier)
+        leader.budgets.refused(
+            slot_request.customer, slot_request.fingerprint, now
+        )
+    seconds = expected_wait(leader, slot_request.tier)
     if reason is requests.DenialReason.quarantined:
-        seconds = leader.suspects.remaining(ask.fingerprint, now)
+        seconds = leader.suspects.remaining(slot_request.fingerprint, now)
     else:
         seconds = min(max(seconds, _MIN_RETRY_SECONDS), _MAX_RETRY_SECONDS)
     # Spread out, so that those refused together don't come back together.
     spread = leader.rng.uniform(1, 1 + 2 * _RETRY_SPREAD)
-    return requests.Denial(ask.request_id, reason, int(seconds * spread * _MS))
+    return requests.Denial(
+        slot_request.request_id, reason, int(seconds * spread * _MS)
+    )
 
 
 def expected_wait(
     leader: deadline_state.DeadlineLeaderState, tier: ids.Tier
 ) -> float:
-    """Give the seconds that the work ahead of a tier takes the pool."""
+    """Return the seconds that the work ahead of a tier takes the pool."""
     ahead = work_above(leader, tier) + leader.cost_by_tier[tier]
     return max(ahead, 0) / max(leader.slots, 1)
 
@@ -197,18 +201,18 @@
 def work_above(
     leader: deadline_state.DeadlineLeaderState, tier: ids.Tier
 ) -> float:
-    """Give the predicted slot seconds of what waits in higher tiers."""
+    """Return the predicted slot seconds of what waits in higher tiers."""
     return sum(
         cost for other, cost in leader.cost_by_tier.items() if other < tier
     )
 
 
 def shed_lower(
-    leader: deadline_state.DeadlineLeaderState, ask: requests.Ask
+    leader: deadline_state.DeadlineLeaderState, slot_request: requests.Ask
 ) -> bool:
     """Shed the lowest, latest request if it is lower than a newcomer."""
     for tier in reversed(ids.Tier):
-        if tier <= ask.tier:
+        if tier <= slot_request.tier:
             return False
         latest = next(reversed(leader.by_tier[tier].values()), None)
         if latest is not None:
@@ -220,7 +224,7 @@
 def serves_lower_tier(
     leader: deadline_state.DeadlineLeaderState, tier: ids.Tier
 ) -> bool:
-    """Tell whether anything of a lower tier runs or waits."""
+    """Return whether anything of a lower tier runs or waits."""
     return any(
         leader.running_by_tier[lower] or leader.by_tier[lower]
         for lower in ids.Tier
@@ -329,7 +333,7 @@
     server: deadline_records.Server,
     waiting: deadline_records.Waiting,
 ) -> tuple[int, float]:
-    """Give the slots and KV tokens that a server lacks for a request.
+    """Return the slots and KV tokens that a server lacks for a request.
 
     What is on its way out counts as gone, those that go before and that it
     makes way for count as there.
@@ -373,7 +377,7 @@
 def _could_run(
     server: deadline_records.Server, waiting: deadline_records.Waiting
 ) -> bool:
-    """Tell whether a server that lost a stream may run a request."""
+    """Return whether a server that lost a stream may run a request."""
     if not server.capacity():
         return False
     return not (waiting.held and server.suspects)
--- a/libs/scheduling/geraniumweir/scheduling/stragglers.py
+++ b/libs/scheduling/geraniumweir/scheduling/stragglers.py
@@ -44,7 +44,7 @@
     failed_in_row: int = 0
 
     def capacity(self, limit: int) -> int:
-        """Give how many requests the server may run.
+        """Return how many requests the server may run.
 
         :param limit: its learnt concurrency limit.
         """
@@ -118,7 +118,7 @@
 
 
 def stall_timeout(expected: float) -> float:
-    """Give the seconds without progress after which a server has stalled.
+    """Return the seconds without progress after which a server has stalled.
 
     :param expected: predicted seconds to the next sign of progress.
 
--- a/libs/scheduling/geraniumweir/scheduling/summary.py
+++ b/libs/scheduling/geraniumweir/scheduling/summary.py
@@ -3,7 +3,7 @@
 import collections
 
 from geraniumweir.common import ids
-from geraniumweir.scheduling import requests, shedding, deadline_state
+from geraniumweir.scheduling import deadline_state, requests, shedding
 
 
 def summarize(
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
@@ -84,19 +84,19 @@
         idempotent: bool,
     ) -> None:
         """A request arrives."""
-        ask = self.scene.make(
+        slot_request = self.scene.make(
             wait,
             tier=tier,
             customer=ids.CustomerName(customer),
             prompt_tokens=prompt_tokens,
             idempotent=idempotent,
         )
-        self._ask(ask)
+        self._ask(slot_request)
 
-    def _ask(self, ask: requests.Ask) -> None:
-        self.asked[ask.request_id] = ask
-        task = self.loop.create_task(self.scene.leader.ask(ask))
-        self.tasks[ask.request_id] = (ask, task)
+    def _ask(self, slot_request: requests.Ask) -> None:
+        self.asked[slot_request.request_id] = slot_request
+        task = self.loop.create_task(self.scene.leader.ask(slot_request))
+        self.tasks[slot_request.request_id] = (slot_request, task)
         self._pass(0.001)
 
     @stateful.rule(tier=st.sampled_from(list(ids.Tier)[:3]))
@@ -118,8 +118,8 @@
     @stateful.rule(pick=st.randoms(use_true_random=False))
     def ask_again(self, pick: object) -> None:
         """An owner repeats an ask that waits."""
-        ask, _ = pick.choice(list(self.tasks.values()))  # type: ignore
-        again = self.loop.create_task(self.scene.leader.ask(ask))
+        slot_request, _ = pick.choice(list(self.tasks.values()))  # type: ignore
+        again = self.loop.create_task(self.scene.leader.ask(slot_request))
         self._pass(0.001)
         again.cancel()
 
@@ -233,7 +233,7 @@
 
     async def _change_leader(self) -> None:
         before = self.scene
-        asks = [ask for ask, _ in self.tasks.values()]
+        asks = [slot_request for slot_request, _ in self.tasks.values()]
         for _, task in self.tasks.values():
             task.cancel()
         self.tasks.clear()
@@ -264,19 +264,23 @@
                 self._cancel_wanted()
 
     def _collect(self) -> None:
-        for ask, task in list(self.tasks.values()):
+        for slot_request, task in list(self.tasks.values()):
             if task.done():
-                self.tasks.pop(ask.request_id)
-                self._answered(ask, task.result())
+                self.tasks.pop(slot_request.request_id)
+                self._answered(slot_request, task.result())
 
-    def _answered(self, ask: requests.Ask, answer: scenes.Answer) -> None:
+    def _answered(
+        self, slot_request: requests.Ask, answer: scenes.Answer
+    ) -> None:
         match answer:
             case requests.Grant():
-                assert ask.request_id not in self.used
+                assert slot_request.request_id not in self.used
                 now = self.loop.time()
-                self.used[ask.request_id] = _Use(ask, answer, now)
+                self.used[slot_request.request_id] = _Use(
+                    slot_request, answer, now
+                )
             case requests.Denial(reason=reason) if reason in _FOR_CAPACITY:
-                self._check_denial(ask)
+                self._check_denial(slot_request)
 
     def _check_denial(self, denied: requests.Ask) -> None:
         """No lower tier runs where the denied request could have run."""
@@ -296,7 +300,7 @@
                 assert not _could_have_made_way(uses, denied)
 
     def _calm(self, uses: list[_Use]) -> bool:
-        """Tell whether a server was left as it is for a while.
+        """Return whether a server was left as it is for a while.
 
         Prefill granted just now may make it too slow for the request.
         """
@@ -311,7 +315,7 @@
             by_server[use.grant.server_id].append(use.ask)
         for asks in by_server.values():
             assert len(asks) <= _SLOTS
-            tokens = sum(ask.prompt_tokens for ask in asks)
+            tokens = sum(slot_request.prompt_tokens for slot_request in asks)
             assert tokens <= _KV_TOKENS
 
     @stateful.invariant()
@@ -335,9 +339,12 @@
 
 
 def _could_have_made_way(uses: list[_Use], denied: requests.Ask) -> bool:
-    """Tell whether lower streams of a server held the room for a request."""
+    """Return whether lower streams of a server held the room for a request."""
     staying = [use.ask for use in uses if not _spared(use, denied)]
-    tokens = sum(ask.prompt_tokens + _MOST_OUTPUT for ask in (*staying, denied))
+    tokens = sum(
+        slot_request.prompt_tokens + _MOST_OUTPUT
+        for slot_request in (*staying, denied)
+    )
     return len(staying) < len(uses) and tokens <= _KV_TOKENS
 
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_leader.py
@@ -15,13 +15,16 @@
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'))
         first = await scene.grant()
-        ask = scene.make()
-        tasks = [asyncio.create_task(scene.leader.ask(ask)) for _ in range(2)]
+        slot_request = scene.make()
+        tasks = [
+            asyncio.create_task(scene.leader.ask(slot_request))
+            for _ in range(2)
+        ]
         await asyncio.sleep(1)
         scene.end(first)
         grants = await asyncio.gather(*tasks)
         assert grants[0] is grants[1]
-        assert await scene.leader.ask(ask) is grants[0]
+        assert await scene.leader.ask(slot_request) is grants[0]
         assert scene.leader.summary().capacity[0].free == 0
 
     virtual.run(scenario())
@@ -85,18 +88,18 @@
         scene = scenes.Scene(scenes.engine('one'), settle_seconds=2)
         waiting = await scene.start()
         assert not waiting.done()
-        ask = scene.make()
+        slot_request = scene.make()
         grant = requests.Grant(
-            ask.request_id,
+            slot_request.request_id,
             ids.ServerId('one'),
             ids.Incarnation(1),
             ids.Address('127.0.0.1', 1),
         )
-        scene.leader.adopt([requests.OpenGrant(ask, grant, age=1)])
+        scene.leader.adopt([requests.OpenGrant(slot_request, grant, age=1)])
         scene.leader.settled()
         await asyncio.sleep(0.5)
         assert not waiting.done()
-        assert await scene.leader.ask(ask) == grant
+        assert await scene.leader.ask(slot_request) == grant
         scene.end(grant)
         await scenes.granted(waiting)
 
@@ -122,14 +125,14 @@
 
     async def scenario() -> None:
         scene = scenes.Scene()
-        ask = scene.make()
+        slot_request = scene.make()
         grant = requests.Grant(
-            ask.request_id,
+            slot_request.request_id,
             ids.ServerId('one'),
             ids.Incarnation(1),
             ids.Address('127.0.0.1', 1),
         )
-        scene.leader.adopt([requests.OpenGrant(ask, grant)])
+        scene.leader.adopt([requests.OpenGrant(slot_request, grant)])
         scene.live = [scenes.engine('one')]
         await asyncio.sleep(0.1)
         scene.leader.grant_waiting()
@@ -147,8 +150,8 @@
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'))
         await scene.grant()
-        ask = scene.make()
-        waiting = asyncio.create_task(scene.leader.ask(ask))
+        slot_request = scene.make()
+        waiting = asyncio.create_task(scene.leader.ask(slot_request))
         await asyncio.sleep(0)
         scene.leader.owner_gone(scenes.HOST)
         reason = await scenes.denied(waiting)
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_rule_limits.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_rule_limits.py
@@ -16,8 +16,8 @@
     **limits: typing.Any,
 ) -> asyncio.Task[requests.Grant | requests.Denial]:
     deadline = asyncio.get_running_loop().time() + 30
-    ask = worlds.ask(host.host_id, name, deadline)
-    limited = dataclasses.replace(ask, **limits)
+    slot_request = worlds.ask(host.host_id, name, deadline)
+    limited = dataclasses.replace(slot_request, **limits)
     return asyncio.create_task(host.broker.ask(limited))
 
 
--- a/libs/scheduling/geraniumweir/scheduling/ticking.py
+++ b/libs/scheduling/geraniumweir/scheduling/ticking.py
@@ -6,10 +6,10 @@
 from geraniumweir.scheduling import (
     crashes,
     deadline_granting,
-    placement,
     deadline_records,
-    shedding,
     deadline_state,
+    placement,
+    shedding,
     stragglers,
 )
 
--- a/libs/scheduling/geraniumweir/scheduling/victims.py
+++ b/libs/scheduling/geraniumweir/scheduling/victims.py
@@ -65,6 +65,6 @@
         return [request_id for _, request_id in order[:_MAX_LISTED]]
 
     def waste(self, request_id: ids.RequestId) -> float | None:
-        """Give what a stream would waste, None if it may not be preempted."""
+        """Return what a stream would waste, None if it may not be preempted."""
         key = self._keys.get(request_id)
         return key[1] if key else None
--- a/libs/scheduling/geraniumweir/scheduling/waitlist.py
+++ b/libs/scheduling/geraniumweir/scheduling/waitlist.py
@@ -8,8 +8,8 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import (
     deadline_records,
-    requests,
     deadline_state,
+    requests,
     suspects,
 )
 
@@ -21,19 +21,21 @@
     waiting: deadline_records.Waiting,
 ) -> None:
     """Add a request to those that wait."""
-    ask = waiting.ask
-    leader.waiting[ask.request_id] = waiting
-    leader.by_tier[ask.tier][ask.request_id] = waiting
-    leader.cost_by_tier[ask.tier] += waiting.cost
+    slot_request = waiting.ask
+    leader.waiting[slot_request.request_id] = waiting
+    leader.by_tier[slot_request.tier][slot_request.request_id] = waiting
+    leader.cost_by_tier[slot_request.tier] += waiting.cost
     leader.cost_by_flow[waiting.flow] += waiting.cost
-    rule = leader.rules.setdefault(ask.rule, deadline_records.RuleCount())
+    rule = leader.rules.setdefault(
+        slot_request.rule, deadline_records.RuleCount()
+    )
     rule.waiting += 1
-    if is_suspect(leader, ask):
+    if is_suspect(leader, slot_request):
         waiting.held = True
-        leader.held[ask.request_id] = waiting
-    elif over_running_limit(leader, ask):
+        leader.held[slot_request.request_id] = waiting
+    elif over_running_limit(leader, slot_request):
         waiting.held = True
-        rule.parked[ask.request_id] = waiting
+        rule.parked[slot_request.request_id] = waiting
     else:
         add_to_queue(leader, waiting)
 
@@ -43,24 +45,24 @@
     waiting: deadline_records.Waiting,
 ) -> None:
     """Take a request out of those that wait, if it is there."""
-    ask = waiting.ask
-    if leader.waiting.pop(ask.request_id, None) is None:
+    slot_request = waiting.ask
+    if leader.waiting.pop(slot_request.request_id, None) is None:
         return
-    leader.by_tier[ask.tier].pop(ask.request_id)
-    leader.cost_by_tier[ask.tier] -= waiting.cost
+    leader.by_tier[slot_request.tier].pop(slot_request.request_id)
+    leader.cost_by_tier[slot_request.tier] -= waiting.cost
     leader.cost_by_flow[waiting.flow] -= waiting.cost
-    if not leader.by_tier[ask.tier]:
+    if not leader.by_tier[slot_request.tier]:
         # Sums of floats drift; an empty tier has nothing ahead.
-        leader.cost_by_tier[ask.tier] = 0
+        leader.cost_by_tier[slot_request.tier] = 0
     if leader.cost_by_flow[waiting.flow] <= _ROUNDING_ERROR:
         leader.cost_by_flow.pop(waiting.flow)
     if waiting.timer is not None:
         waiting.timer.cancel()
-    rule = leader.rules[ask.rule]
+    rule = leader.rules[slot_request.rule]
     rule.waiting -= 1
-    rule.parked.pop(ask.request_id, None)
-    leader.held.pop(ask.request_id, None)
-    discard_idle_rule(leader, ask.rule)
+    rule.parked.pop(slot_request.request_id, None)
+    leader.held.pop(slot_request.request_id, None)
+    discard_idle_rule(leader, slot_request.rule)
     if not waiting.held:
         _remove_from_queue(leader, waiting)
 
@@ -107,11 +109,13 @@
     waiting: deadline_records.Waiting,
 ) -> bool:
     """Hold back one that became a suspect, or whose rule is at its limit."""
-    ask = waiting.ask
-    if is_suspect(leader, ask):
-        leader.held[ask.request_id] = waiting
-    elif over_running_limit(leader, ask):
-        leader.rules[ask.rule].parked[ask.request_id] = waiting
+    slot_request = waiting.ask
+    if is_suspect(leader, slot_request):
+        leader.held[slot_request.request_id] = waiting
+    elif over_running_limit(leader, slot_request):
+        leader.rules[slot_request.rule].parked[slot_request.request_id] = (
+            waiting
+        )
     else:
         return False
     _remove_from_queue(leader, waiting)
@@ -146,19 +150,19 @@
 
 
 def is_suspect(
-    leader: deadline_state.DeadlineLeaderState, ask: requests.Ask
+    leader: deadline_state.DeadlineLeaderState, slot_request: requests.Ask
 ) -> bool:
-    """Tell whether a request may crash the server that runs it."""
-    verdict = leader.suspects.verdict(ask.fingerprint, leader.now())
+    """Return whether a request may crash the server that runs it."""
+    verdict = leader.suspects.verdict(slot_request.fingerprint, leader.now())
     return verdict is not suspects.Verdict.clear
 
 
 def over_running_limit(
     leader: deadline_state.DeadlineLeaderState,
-    ask: requests.Ask,
+    slot_request: requests.Ask,
 ) -> bool:
-    """Tell whether a request's rule runs as many as it may."""
-    if ask.max_running is None:
+    """Return whether a request's rule runs as many as it may."""
+    if slot_request.max_running is None:
         return False
-    rule = leader.rules.get(ask.rule)
-    return rule is not None and rule.running >= ask.max_running
+    rule = leader.rules.get(slot_request.rule)
+    return rule is not None and rule.running >= slot_request.max_running
