--- a/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
@@ -307,7 +307,7 @@
                 assert not _could_have_made_way(uses, denied)
 
     def _calm(self, uses: list[_Use]) -> bool:
-        """Tell whether a server was left as it is for a while.
+        """Return whether a server was left as it is for a while.
 
         Prefill granted just now may make it too slow for the request.
         """
@@ -348,7 +348,7 @@
 def _could_have_made_way(
     uses: list[_Use], denied: requests.SlotRequest
 ) -> bool:
-    """Tell whether lower streams of a server held the room for a request."""
+    """Return whether lower streams of a server held the room for a request."""
     staying = [use.slot_request for use in uses if not _spared(use, denied)]
     tokens = sum(
         slot_request.prompt_tokens + _MOST_OUTPUT
