--- a/libs/scheduling/geraniumweir/scheduling/admitting.py
+++ b/libs/scheduling/geraniumweir/scheduling/admitting.py
@@ -106,7 +106,8 @@
     return leader.takeover_complete and leader.live_server_at < before
 
 
-def _over_rate(slot_request: requests.SlotRequest, seconds: float
+def _over_rate(
+    slot_request: requests.SlotRequest, seconds: float
 ) -> requests.Denial:
     """Deny a request over its rule's rate, which is no sign of overload."""
     return requests.Denial(
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -200,7 +200,9 @@
         verdict = suspected.verdict(slot_request.fingerprint, now)
         if verdict is suspects.Verdict.quarantined:
             reason = requests.DenialReason.quarantined
-            wait_seconds = suspected.remaining_seconds(slot_request.fingerprint, now)
+            wait_seconds = suspected.remaining_seconds(
+                slot_request.fingerprint, now
+            )
             return requests.Denial(
                 slot_request.request_id, reason, int(wait_seconds * _MS)
             )
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_leader.py
@@ -305,7 +305,6 @@
         waiting = [
             asyncio.create_task(pool.request_slot(slot_request))
             for slot_request in slot_requests
-        
         ]
         await asyncio.sleep(1)
         answers = [task.result() for task in waiting if task.done()]
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rate_limits.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rate_limits.py
@@ -65,7 +65,9 @@
         self, pool_leader: leader.OnTimePoolLeader, name: str
     ) -> None:
         loop = asyncio.get_running_loop()
-        answer = await pool_leader.request_slot(play.make_request(name, loop.time()))
+        answer = await pool_leader.request_slot(
+            play.make_request(name, loop.time())
+        )
         if isinstance(answer, requests.Denial):
             self.denied.append(answer.reason)
             return
@@ -159,7 +161,9 @@
         await pool.send_evenly(pool_leader, 20, 3)
         loop = asyncio.get_running_loop()
         requested_at = loop.time()
-        answer = await pool_leader.request_slot(play.make_request('late', requested_at))
+        answer = await pool_leader.request_slot(
+            play.make_request('late', requested_at)
+        )
         assert isinstance(answer, requests.Denial)
         assert loop.time() - requested_at < 1
 
--- a/libs/scheduling/geraniumweir/scheduling/shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/shedding.py
@@ -186,7 +186,8 @@
         )
     seconds = expected_wait(leader, slot_request.tier)
     if reason is requests.DenialReason.quarantined:
-        seconds = leader.suspects.remaining_seconds(slot_request.fingerprint, now
+        seconds = leader.suspects.remaining_seconds(
+            slot_request.fingerprint, now
         )
     else:
         seconds = min(max(seconds, _MIN_RETRY_SECONDS), _MAX_RETRY_SECONDS)
