--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_crashes.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_crashes.py
@@ -124,8 +124,8 @@
     _run(work)
 
 
-def test_server_that_ends_long_after_an_incomplete_answer() -> None:
-    """It didn't end because of that request, which must not be suspected."""
+def test_end_long_after_an_incomplete_answer_causes_no_suspicion() -> None:
+    """The server didn't end because of that request."""
 
     async def work() -> None:
         pool = _Pool('a', 'b', 'c')
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rate_limits.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rate_limits.py
@@ -121,7 +121,7 @@
 
 
 def test_new_leader_starts_without_saved_rate_tokens() -> None:
-    """It doesn't know what the leader before it granted."""
+    """The grants of the leader before it aren't part of its state."""
 
     async def work() -> None:
         pool = _Pool((_LIMITED,), per_second=2)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rests.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/tests/test_rests.py
@@ -99,7 +99,7 @@
 
 
 def test_full_server_gets_fewer_requests_until_it_answers() -> None:
-    """Its slots may be used by requests that this leader doesn't know."""
+    """Its slots may be used by requests of which this leader has no record."""
 
     async def work() -> None:
         fixture = _Fixture()
