--- a/libs/scheduling/geraniumweir/scheduling/tests/test_awaited_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_awaited_leader.py
@@ -1,9 +1,9 @@
-"""A host that leads its own requests for a moment refuses none for want.
+"""Tests that no capacity denials are passed on during an election.
 
-A coordinator froze, and until the next one was elected each of 195 entry hosts
-led its own requests, with a 195th of the slots and quotas. In half a second
-they refused about 1,500 requests, most of them as over quota, a moment before
-the next coordinator had room for them.
+They guard against this failure: a coordinator stalled, and until the next one
+was elected each of 195 entry hosts led its own requests, with a 195th of the
+slots and quotas. In half a second they refused about 1,500 requests, most of
+them as over quota, just before the next coordinator had room for them.
 """
 
 import asyncio
@@ -24,30 +24,30 @@
 
 
 class _View:
-    """Sees the coordinator that the test says."""
+    """View with the coordinators that the test sets."""
 
     def __init__(self) -> None:
         self.changes: subject.Subject[None] = subject.Subject()
         self.coordinators: list[ids.HostId] = []
 
     def live(self, _domain: ids.FailureDomain) -> list[ids.HostId]:
-        """List the coordinator."""
+        """List the coordinators."""
         return self.coordinators
 
     def owners(self, _domain: ids.FailureDomain) -> list[ids.HostId]:
-        """List nobody."""
+        """Return no hosts."""
         return []
 
 
 class _NoOthers:
-    """There are no pools elsewhere."""
+    """Directory without pools in other failure domains."""
 
     def others(self, _pool: ids.PoolName) -> typing.Sequence[typing.Any]:
         return ()
 
 
 class _Bed:
-    """An entry host that denies its own requests, and one that grants them."""
+    """Entry host that denies its own requests, and one that grants them."""
 
     def __init__(self, reason: requests.DenialReason) -> None:
         network = memory.MemoryNetwork()
@@ -72,7 +72,7 @@
         other.handle(ttypes.Ask, self._grant)
 
     def request_slot(self) -> asyncio.Task[requests.Grant | requests.Denial]:
-        """Ask for a grant."""
+        """Request a slot."""
         now = asyncio.get_running_loop().time()
         slot_request = requests.SlotRequest(
             ids.RequestId('r'),
@@ -86,7 +86,7 @@
         return asyncio.create_task(self.broker.request_slot(slot_request))
 
     def elect(self) -> None:
-        """Let the other host coordinate."""
+        """Make the other host the coordinator."""
         self.is_due = False
         self.view.coordinators = [_NEXT]
         self.view.changes.on_next(None)
@@ -109,7 +109,7 @@
 def test_request_waits_for_the_next_leader(
     reason: requests.DenialReason,
 ) -> None:
-    """It has the slots and the quota that this host hasn't."""
+    """The next leader has the slots and quota that this host lacks."""
 
     async def work() -> None:
         bed = _Bed(reason)
@@ -125,7 +125,7 @@
     virtual.run(work())
 
 
-def test_refusal_for_good_does_not_wait() -> None:
+def test_denial_that_holds_for_all_leaders_does_not_wait() -> None:
     """No leader would serve a request whose content crashes servers."""
 
     async def work() -> None:
@@ -137,8 +137,8 @@
     virtual.run(work())
 
 
-def test_host_that_stays_alone_refuses() -> None:
-    """At once, and those that waited when no election comes of it."""
+def test_host_without_an_election_denies() -> None:
+    """It denies at once, and waiting requests when the election fails."""
 
     async def work() -> None:
         bed = _Bed(_REASONS.over_quota)
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_broker.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_broker.py
@@ -1,4 +1,4 @@
-"""Tests of broker and leader's service together, with failures, in virtual
+"""Tests of broker and leader service together, with failures, in virtual
 time."""
 
 import asyncio
@@ -20,22 +20,22 @@
 
 
 def test_grant_from_another_host() -> None:
-    """An ask goes to the leader and its release gives the slot back."""
+    """A slot request reaches the leader, and its release frees the slot."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (3, 1)})
         owner = world.others(world.leader_of('a'))[0]
         await _all(world.call(owner, f'r{number}') for number in range(6))
         assert len(world.granted()) == 6
-        assert world.most['a-server-0'] <= worlds.SLOTS
+        assert world.max_running['a-server-0'] <= worlds.SLOTS
         await asyncio.sleep(2)
-        assert world.held() == 0
+        assert world.entry_count() == 0
 
     virtual.run(scenario())
 
 
 def test_leader_killed_with_grants_open_and_requests_waiting() -> None:
-    """None is lost, none runs twice, and no server gets too much."""
+    """No request is lost or runs twice, and no server is overloaded."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (4, 2)})
@@ -53,15 +53,15 @@
         await _all(calls)
         assert len(world.granted()) == 12
         _check_once(world)
-        assert max(world.most.values()) <= worlds.SLOTS
+        assert max(world.max_running.values()) <= worlds.SLOTS
         await asyncio.sleep(2)
-        assert world.held() == 0
+        assert world.entry_count() == 0
 
     virtual.run(scenario())
 
 
-def test_leader_moves_to_a_host_that_came() -> None:
-    """The former leader lives on, and its grants count at the new one."""
+def test_leader_moves_to_a_host_that_joined() -> None:
+    """The former leader stays alive; its grants count at the new one."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (4, 2)})
@@ -77,23 +77,23 @@
         await _all(calls)
         assert len(world.granted()) == 12
         _check_once(world)
-        assert max(world.most.values()) <= worlds.SLOTS
+        assert max(world.max_running.values()) <= worlds.SLOTS
         await asyncio.sleep(2)
-        assert world.held() == 0
+        assert world.entry_count() == 0
         assert leader.service.pools() == [worlds.POOL]
 
     virtual.run(scenario())
 
 
 def test_hosts_disagree_about_the_leader() -> None:
-    """While views differ nothing runs twice; once they agree all is tidy."""
+    """Nothing runs twice while views differ, nor is left over afterwards."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (3, 2)})
         leader = world.leader_of('a')
         rest = world.others(leader)
         everyone = [host.host_id for host in world.hosts.values()]
-        # One host alone thinks that the leader is gone.
+        # Only one host's view lacks the leader.
         without = [host.host_id for host in rest]
         rest[0].view.see(ids.FailureDomain('a'), without)
         calls = [
@@ -107,14 +107,14 @@
         assert len(world.granted()) == 12
         _check_once(world)
         await asyncio.sleep(6)
-        assert world.held() == 0
+        assert world.entry_count() == 0
 
     virtual.run(scenario())
 
 
 @pytest.mark.parametrize('seed', range(20))
 def test_lost_and_repeated_messages(seed: int) -> None:
-    """A lost answer costs time, never a second dispatch nor a slot."""
+    """A lost answer causes a delay, but no second dispatch or lost slot."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (3, 2)}, seed)
@@ -130,13 +130,13 @@
         _check_once(world)
         world.network.loss = 0
         await asyncio.sleep(10)
-        assert world.held() == 0
+        assert world.entry_count() == 0
 
     virtual.run(scenario())
 
 
-def test_one_way_cut_from_the_leader() -> None:
-    """Answers vanish: another failure domain serves, no slot stays taken."""
+def test_one_way_partition_from_the_leader() -> None:
+    """Answers are lost: another failure domain serves; slots are freed."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (2, 1), 'b': (1, 1)})
@@ -145,16 +145,16 @@
         world.network.cut(leader.host_id, owner.host_id)
         await world.call(owner, 'r')
         assert world.granted() == ['r']
-        assert world.most['b-server-0'] == 1
+        assert world.max_running['b-server-0'] == 1
         _check_once(world)
         await asyncio.sleep(6)
-        assert world.held() == 0
+        assert world.entry_count() == 0
 
     virtual.run(scenario())
 
 
-def test_spill_asks_each_failure_domain_once() -> None:
-    """With no server anywhere the refusal comes after one ask to each."""
+def test_spill_requests_each_failure_domain_once() -> None:
+    """Without any server the denial comes after one slot request to each."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (1, 0), 'b': (1, 0), 'c': (2, 0)})
@@ -177,7 +177,7 @@
 
 
 def test_spill_goes_to_the_best_summary_first() -> None:
-    """Free capacity is asked before a queue."""
+    """A pool with free capacity precedes one with a queue."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (1, 0), 'b': (1, 1), 'c': (1, 1)})
@@ -185,13 +185,13 @@
         summary = requests.PoolSummary(worlds.POOL, capacity=(free,))
         world.summaries['c'] = summary
         await world.call(world.leader_of('a'), 'r')
-        assert world.most == {'c-server-0': 1}
+        assert world.max_running == {'c-server-0': 1}
 
     virtual.run(scenario())
 
 
-def test_caller_gone_while_waiting() -> None:
-    """A withdrawn or cancelled ask leaves nothing at the leader."""
+def test_caller_disconnects_while_waiting() -> None:
+    """A withdrawn or cancelled slot request leaves nothing at the leader."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (2, 1)})
@@ -207,15 +207,15 @@
         cancelled.cancel()
         await withdrawn
         await asyncio.sleep(0.1)
-        assert world.held() == 2
+        assert world.entry_count() == 2
         await _all(first)
         assert sorted(world.granted()) == ['r0', 'r1']
 
     virtual.run(scenario())
 
 
-def test_owner_dies() -> None:
-    """What a dead entry host had at the leader is given to others."""
+def test_owner_crashes() -> None:
+    """The slots of a crashed entry host are granted to others."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (3, 1)})
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
@@ -76,7 +76,7 @@
         prompt_tokens=st.sampled_from([10, 50, 400, 600]),
         idempotent=st.booleans(),
     )
-    def request_slot(
+    def ask(
         self,
         tier: ids.Tier,
         customer: str,
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_notices.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_notices.py
@@ -1,4 +1,4 @@
-"""Which of the things that a server said holds."""
+"""Tests of which notice of a server holds."""
 
 import asyncio
 import typing
@@ -12,7 +12,7 @@
 _HOST = ids.HostId('entry')
 
 
-def _said(
+def _notice(
     per_second: float | None,
     received_at: float,
     sent_at: float | None = None,
@@ -23,12 +23,12 @@
 
 
 def _known(
-    *heard: notices.Notice,
+    *received: notices.Notice,
 ) -> notices.Notices:
     async def work() -> notices.Notices:
         await asyncio.sleep(0)
         known = notices.Notices(timers.TimerService())
-        for said in heard:
+        for said in received:
             known.apply(said)
         return known
 
@@ -36,56 +36,56 @@
 
 
 @pytest.mark.parametrize(
-    ('heard', 'holds'),
+    ('received', 'holds'),
     [
-        ([_said(2, 10)], 2),
-        ([_said(2, 10), _said(3, 11)], 3),
-        ([_said(3, 11), _said(2, 10)], 3),
-        ([_said(2, 10), _said(None, 12, sent_at=11)], None),
-        ([_said(2, 10), _said(None, 12, sent_at=9)], 2),
-        ([_said(2, 10), _said(2, 13), _said(None, 14, sent_at=12)], 2),
-        ([_said(2, 10), _said(None, 12), _said(1, 13)], 1),
-        ([_said(0, 10)], 0),
-        ([_said(None, 10)], None),
+        ([_notice(2, 10)], 2),
+        ([_notice(2, 10), _notice(3, 11)], 3),
+        ([_notice(3, 11), _notice(2, 10)], 3),
+        ([_notice(2, 10), _notice(None, 12, sent_at=11)], None),
+        ([_notice(2, 10), _notice(None, 12, sent_at=9)], 2),
+        ([_notice(2, 10), _notice(2, 13), _notice(None, 14, sent_at=12)], 2),
+        ([_notice(2, 10), _notice(None, 12), _notice(1, 13)], 1),
+        ([_notice(0, 10)], 0),
+        ([_notice(None, 10)], None),
     ],
 )
-def test_newest_word_of_a_server_counts(
-    heard: typing.Sequence[notices.Notice],
+def test_newest_limit_of_a_server_holds(
+    received: typing.Sequence[notices.Notice],
     holds: float | None,
 ) -> None:
-    """An answer to what was sent before a limit was named lifts none."""
-    assert _known(*heard).limits().get(_START) == holds
+    """An answer to a request sent before the limit does not lift it."""
+    assert _known(*received).limits().get(_START) == holds
 
 
-def test_word_that_changes_nothing_is_told_to_nobody() -> None:
-    """Each answer names the limit; hosts are told of it once."""
-    known = _known(_said(2, 10), _said(2, 11), _said(2, 12))
+def test_notice_without_a_change_is_not_published() -> None:
+    """Each answer contains the limit; hosts are notified once."""
+    known = _known(_notice(2, 10), _notice(2, 11), _notice(2, 12))
     assert known.revision == 1
     assert len(known.since(0)) == 1
     assert not known.since(1)
 
 
-def test_another_start_of_a_server_has_no_limit() -> None:
-    """It is in no need until it says so."""
-    known = _known(_said(2, 10))
+def test_another_incarnation_of_a_server_has_no_limit() -> None:
+    """It has none until it sets one itself."""
+    known = _known(_notice(2, 10))
     assert (_SERVER, ids.Incarnation(2)) not in known.limits()
 
 
-def test_leaving_holds_whatever_the_server_says_later() -> None:
-    """Of its start, and of no other."""
+def test_shutdown_holds_whatever_the_server_sends_later() -> None:
+    """It holds for its incarnation, and for no other."""
     leaving = notices.Notice(*_START, notices.Leaving(), _HOST, 9, 10)
-    known = _known(leaving, _said(None, 12, sent_at=11))
+    known = _known(leaving, _notice(None, 12, sent_at=11))
     assert known.is_leaving(_START)
     assert not known.is_leaving((_SERVER, ids.Incarnation(2)))
 
 
 def _pauses(
     host_id: ids.HostId,
-    *heard: notices.Notice,
+    *received: notices.Notice,
 ) -> dict[notices.ServerIncarnation, float]:
     async def work() -> dict[notices.ServerIncarnation, float]:
         known = notices.Notices(timers.TimerService())
-        for notice in heard:
+        for notice in received:
             known.apply(notice)
         return known.pauses(host_id)
 
@@ -98,25 +98,25 @@
 
 
 @pytest.mark.parametrize(
-    ('heard', 'until'),
+    ('received', 'until'),
     [
         ([_pause(3, 0)], 3),
         ([_pause(3, 0), _pause(1, 1)], 3),
         ([_pause(3, 0), _pause(3, 0.01)], 3.01),
         ([_pause(3, 0), _pause(0, 1)], 3),
-        ([_pause(300, 0), _said(2, 1)], 300),
+        ([_pause(300, 0), _notice(2, 1)], 300),
         ([_pause(0, 0)], None),
         ([_pause(1, -2), _pause(0, 0)], None),
     ],
 )
-def test_pause_lasts_to_the_latest_end_that_was_asked_for(
-    heard: typing.Sequence[notices.Notice],
+def test_pause_lasts_to_the_latest_requested_end(
+    received: typing.Sequence[notices.Notice],
     until: float | None,
 ) -> None:
-    """Nothing that comes later makes it shorter."""
-    assert _pauses(_HOST, *heard).get(_START) == until
+    """No later notice shortens it."""
+    assert _pauses(_HOST, *received).get(_START) == until
 
 
-def test_pause_concerns_only_the_host_that_was_asked() -> None:
-    """The others go on."""
+def test_pause_concerns_only_the_host_that_was_answered() -> None:
+    """Other hosts are not paused."""
     assert not _pauses(ids.HostId('other'), _pause(3, 0))
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_once.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_once.py
@@ -1,4 +1,4 @@
-"""A state machine: whatever happens, a request is dispatched at most once."""
+"""Stateful test that a request is dispatched at most once under any faults."""
 
 import asyncio
 import typing
@@ -17,7 +17,7 @@
 
 
 class AtMostOnce(stateful.RuleBasedStateMachine):
-    """Hosts in two failure domains with all that befalls them."""
+    """Hosts in two failure domains with failures of all kinds."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -36,9 +36,7 @@
         tier=st.sampled_from(ids.Tier),
         seconds=st.sampled_from((0.01, 0.5, 3)),
     )
-    def request_slot(
-        self, host_id: ids.HostId, tier: ids.Tier, seconds: float
-    ) -> None:
+    def ask(self, host_id: ids.HostId, tier: ids.Tier, seconds: float) -> None:
         host = self.world.hosts.get(host_id)
         if host is None:
             return
@@ -77,7 +75,7 @@
 
     @stateful.rule(host_id=_hosts, seen=st.sets(st.sampled_from(_NAMES[:3])))
     def see(self, host_id: ids.HostId, seen: set[str]) -> None:
-        """One host changes its mind about who is alive."""
+        """Change one host's view of the live hosts."""
         host = self.world.hosts.get(host_id)
         live = [ids.HostId(name) for name in sorted(seen)]
 
@@ -109,7 +107,7 @@
         assert set(self.world.dispatched.values()) <= {1}
 
     def teardown(self) -> None:
-        """Once all is well again, every call ends and no slot is taken."""
+        """Check that all calls end and free their slots after recovery."""
         self.disturb(0, 0)
         self.heal()
         self.run(self.agree())
@@ -117,7 +115,7 @@
         assert all(call.done() for call in self.calls.values())
         for name, call in self.calls.items():
             assert call.cancelled() or name in self.world.answers
-        assert self.world.held() == 0
+        assert self.world.entry_count() == 0
         assert self.world.running.total() == 0
         self.runner.close()
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_over_tcp.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_over_tcp.py
@@ -1,4 +1,4 @@
-"""The broker and the leader's service over real sockets."""
+"""Tests of the broker and the leader service over real sockets."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
 
 
 class _Node:
-    """An entry host with sockets; at the start the first one leads."""
+    """Entry host with sockets; the first one leads initially."""
 
     def __init__(self, host_id: ids.HostId) -> None:
         self.peers = tcp.TcpPeers(host_id, _ANY)
@@ -51,7 +51,7 @@
         )
 
     async def serve(self, name: str, go_on: asyncio.Event) -> requests.Grant:
-        """Ask, hold the grant until told, release."""
+        """Request a slot, use it until the event is set, release it."""
         deadline = self.clock.now() + 30
         request = worlds.slot_request(self.peers.host_id, name, deadline)
         grant = await self.broker.request_slot(request)
@@ -90,7 +90,7 @@
 
 
 def test_leader_moves_with_grants_open_and_requests_waiting() -> None:
-    """Each message there is goes over sockets and is understood."""
+    """Every message type is sent over sockets and decoded."""
 
     async def scenario() -> None:
         async with _nodes() as (first, second):
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_quotas.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_quotas.py
@@ -24,7 +24,7 @@
     )
 
 
-def _unused_at(now: float) -> quotas.Quotas:
+def _full_at(now: float) -> quotas.Quotas:
     """Return the quotas of a coordinator that has served for a long time."""
     counted = _quotas()
     counted.take(_NAME, 1, now - 10 * _SECONDS)
@@ -40,7 +40,7 @@
 def test_no_window_holds_more_than_the_quota(
     asks: list[tuple[float, int, int]],
 ) -> None:
-    """Whatever comes when, and of whatever rank."""
+    """It holds for all arrival times, costs and ranks."""
     counted = _quotas()
     now = float(100)
     taken: collections.deque[tuple[float, int]] = collections.deque()
@@ -55,7 +55,7 @@
 
 
 def test_new_coordinator_grants_no_second_window() -> None:
-    """It takes the time before its start as used."""
+    """It assumes full usage for the time before its start."""
     before, after = _quotas(start=100), _quotas(start=110)
     granted = 0
     for now in range(100, 120):
@@ -66,16 +66,16 @@
     assert granted <= 18 * _RATE + 2 * (_BURST + _RATE)
 
 
-def test_customer_that_comes_late_has_its_whole_window() -> None:
-    """What it used since the host coordinates is known: nothing."""
+def test_customer_that_starts_late_has_its_full_window() -> None:
+    """Its usage since the host coordinates is known to be zero."""
     counted = _quotas(start=100)
-    whole = _RATE * _SECONDS + _BURST
-    assert not counted.take(_NAME, whole, 100 + _SECONDS)
+    full_window = _RATE * _SECONDS + _BURST
+    assert not counted.take(_NAME, full_window, 100 + _SECONDS)
     assert counted.take(_NAME, 1, 100 + _SECONDS)
 
 
-def test_each_side_of_a_cut_grants_its_part() -> None:
-    """The parts add up to the whole."""
+def test_each_side_of_a_partition_grants_its_share() -> None:
+    """The shares add up to the full quota."""
     side, other = _quotas(0.25), _quotas(0.75)
     granted = 0
     for now in range(100, 140):
@@ -85,32 +85,32 @@
     assert granted <= 40 * _RATE + 2 * _BURST + _SLACK
 
 
-def test_last_of_a_quota_is_kept_for_the_important() -> None:
-    """Small requests of little worth would else leave none of it."""
-    counted = _unused_at(200)
+def test_last_part_of_a_quota_is_reserved_for_high_ranks() -> None:
+    """Small requests of low rank would otherwise use up the quota."""
+    counted = _full_at(200)
     taken = [not counted.take(_NAME, 1, 200, 2) for _ in range(1000)]
     assert not all(taken)
     assert not counted.take(_NAME, 100, 200, 0)
 
 
-def test_what_was_not_served_is_given_back() -> None:
+def test_request_that_was_not_served_is_refunded() -> None:
     """A refused request costs its customer nothing."""
-    counted = _unused_at(200)
-    whole = _RATE * _SECONDS + _BURST
-    assert not counted.take(_NAME, whole, 200)
+    counted = _full_at(200)
+    full_window = _RATE * _SECONDS + _BURST
+    assert not counted.take(_NAME, full_window, 200)
     assert counted.take(_NAME, 1, 200)
-    counted.refund(_NAME, whole, 200)
+    counted.refund(_NAME, full_window, 200)
     assert not counted.take(_NAME, 1, 200)
 
 
-def test_what_is_given_back_late_is_no_credit() -> None:
-    """A charge that was undone after some waiting allows nothing later."""
-    counted = _unused_at(200)
-    whole = _RATE * _SECONDS + _BURST
-    assert not counted.take(_NAME, whole - 10, 200)
+def test_late_refund_gives_no_credit() -> None:
+    """A charge that is refunded after a wait allows no excess later."""
+    counted = _full_at(200)
+    full_window = _RATE * _SECONDS + _BURST
+    assert not counted.take(_NAME, full_window - 10, 200)
     assert not counted.take(_NAME, 10, 207)
-    counted.refund(_NAME, whole - 10, 200)
+    counted.refund(_NAME, full_window - 10, 200)
     granted = 10
     while not counted.take(_NAME, 10, 208.5):
         granted += 10
-    assert granted <= whole
+    assert granted <= full_window
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_ratelimits.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_ratelimits.py
@@ -1,4 +1,4 @@
-"""What hosts make of a limit that a server names."""
+"""Tests of the division of a server's rate limit among hosts."""
 
 import pytest
 from geraniumweir.common import ids
@@ -8,8 +8,8 @@
 
 
 @pytest.mark.parametrize('hosts', [1, 6, 40, 195])
-def test_hosts_that_are_alone_keep_a_limit_together(hosts: int) -> None:
-    """Each has saved up all that it may when requests come."""
+def test_partitioned_hosts_observe_a_limit_together(hosts: int) -> None:
+    """Each has the maximum of tokens when requests arrive."""
     limit = 1.9
     throttles = [
         ratelimits.Throttle(
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_recent_usage.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_recent_usage.py
@@ -1,4 +1,4 @@
-"""An entry host tells what it was granted, and nothing else."""
+"""Tests that an entry host reports what it was granted, and nothing else."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class _Scheduler:
-    """Grants everything, or nothing."""
+    """Scheduler that grants everything or nothing."""
 
     def __init__(self) -> None:
         self.grants = True
@@ -24,7 +24,7 @@
         self,
         slot_request: requests.SlotRequest,
     ) -> requests.Grant | requests.Denial:
-        """Answer at once."""
+        """Answer immediately."""
         if not self.grants:
             reason = requests.DenialReason.shed
             return requests.Denial(slot_request.request_id, reason)
@@ -36,11 +36,11 @@
         )
 
     def release(self, _release: requests.Release) -> None:
-        """Take a grant back."""
+        """Release a grant."""
 
 
 class _Bed:
-    """What an entry host counts."""
+    """Entry host with its usage recorder."""
 
     def __init__(self) -> None:
         self.scheduler = _Scheduler()
@@ -58,7 +58,7 @@
         )
 
     async def request_slot(self, name: str, cost: float) -> None:
-        """Ask for a request of the customer."""
+        """Request a slot for a request of the customer."""
         await self.recent_usage.request_slot(
             requests.SlotRequest(
                 request_id=ids.RequestId(name),
@@ -78,13 +78,13 @@
         self.recent_usage.release(requests.Release(request_id, outcome))
 
     def total(self) -> float:
-        """Give all that is told of the customer."""
-        told = self.recent_usage.usage_for(_NEXT).customers
-        return sum(told.get(_NAME, {}).values())
+        """Return the reported total of the customer."""
+        reported = self.recent_usage.usage_for(_NEXT).customers
+        return sum(reported.get(_NAME, {}).values())
 
 
-def test_grants_are_told_for_a_window() -> None:
-    """And not longer."""
+def test_grants_are_reported_for_a_window() -> None:
+    """They are not reported for longer."""
 
     async def work() -> None:
         bed = _Bed()
@@ -103,10 +103,10 @@
 
 
 @pytest.mark.parametrize('outcome', sorted(recent_usage.NOT_SERVED, key=str))
-def test_denials_and_what_was_not_served_are_not_told(
+def test_denials_and_requests_not_served_are_not_reported(
     outcome: requests.Outcome,
 ) -> None:
-    """They take nothing of a quota."""
+    """They use nothing of a quota."""
 
     async def work() -> None:
         bed = _Bed()
@@ -123,8 +123,8 @@
     virtual.run(work())
 
 
-def test_change_of_coordinators_refuses_no_usual_customer() -> None:
-    """One that uses 55 in 100 of its rate from two hosts; others get all."""
+def test_new_coordinator_refuses_no_usual_customer() -> None:
+    """The customer uses 55 % of its rate from two hosts."""
 
     async def work() -> None:
         beds = [_Bed(), _Bed()]
@@ -141,8 +141,8 @@
         )
         assert after.take(_NAME, 2 * _BURST, clock.now())
         for name, bed in zip('ab', beds):
-            told = bed.recent_usage.usage_for(_NEXT)
-            after.apply_report(ids.HostId(name), told, clock.now())
+            reported = bed.recent_usage.usage_for(_NEXT)
+            after.apply_report(ids.HostId(name), reported, clock.now())
         usual = 0.55 * _RATE * _SECONDS
         assert not after.take(_NAME, _WHOLE - usual - 10, clock.now())
         assert after.take(_NAME, 20, clock.now())
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_tolerance.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_tolerance.py
@@ -1,4 +1,4 @@
-"""Hosts that lost what was used before: what they let through, and no more."""
+"""Tests of what hosts with unknown earlier usage admit, and of its bound."""
 
 import random
 import typing
@@ -10,18 +10,18 @@
 _HOSTS = 8
 _SECONDS = 8
 _ALLOWED = quotas.Allowance(47_000, 65_520)
-_WHOLE = _ALLOWED.per_second * _SECONDS + _ALLOWED.burst
+_FULL_WINDOW = _ALLOWED.per_second * _SECONDS + _ALLOWED.burst
 _TOLERANCE = quotas.Tolerance(0.1, 190_000)
 _START = 100.0
-# Of the requests in the first 3 s, those in 100 that hosts alone let through:
-# measured as 98, without the tolerance as 93.
-_LEAST_PASSED = 96
+# Least percentage of the requests in the first 3 s that partitioned hosts
+# admit: measured as 98, without the tolerance as 93.
+_MIN_PASSED_PERCENT = 96
 _SEEDS = 20
 _NUMBER = 20
 
 
 def _alone(tolerance: quotas.Tolerance) -> list[quotas.Quotas]:
-    """Make hosts that share a quota evenly and know nothing of before."""
+    """Return hosts that share a quota evenly, with unknown earlier usage."""
     return [_host(tolerance) for _ in range(_HOSTS)]
 
 
@@ -36,7 +36,7 @@
 
 
 def _passed(tolerance: quotas.Tolerance, seed: int) -> int:
-    """Play a customer that uses about half of its quota, as usual."""
+    """Simulate a customer that uses about half of its quota, as usual."""
     chance = random.Random(seed)
     hosts = _alone(tolerance)
     passed = 0
@@ -52,15 +52,15 @@
     return 100 * passed / (_SEEDS * _NUMBER)
 
 
-def test_tolerance_lets_usual_requests_through() -> None:
-    """An eighth of what is left of a quota is less than many of them."""
-    assert _share_passed(_TOLERANCE) >= _LEAST_PASSED
+def test_tolerance_admits_usual_requests() -> None:
+    """An eighth of the remaining quota is less than many of them cost."""
+    assert _share_passed(_TOLERANCE) >= _MIN_PASSED_PERCENT
 
 
-def test_all_that_is_granted_stays_within_the_tolerance() -> None:
-    """Though the customer had used all that its quota allowed before."""
+def test_total_granted_amount_stays_within_the_tolerance() -> None:
+    """It does so after the customer used its full quota before."""
     hosts = _alone(_TOLERANCE)
-    each = _WHOLE / _SECONDS / 10
+    each = _FULL_WINDOW / _SECONDS / 10
     before = [(_START - tick / 10, each) for tick in range(1, 81)]
     granted = _greedy(hosts)
     events = before + granted
@@ -68,11 +68,11 @@
         sum(cost for at, cost in events if since <= at < since + _SECONDS)
         for since, _ in events
     )
-    assert most <= _WHOLE * (1 + _TOLERANCE.part) + _TOLERANCE.amount
+    assert most <= _FULL_WINDOW * (1 + _TOLERANCE.part) + _TOLERANCE.amount
 
 
 def _greedy(hosts: typing.Sequence[quotas.Quotas]) -> list[tuple[float, float]]:
-    """Take whatever can be had for as long as a window."""
+    """Take as much as the hosts grant for the length of a window."""
     granted = []
     for tick in range(_SECONDS * 10):
         now = _START + tick / 10
--- a/libs/scheduling/geraniumweir/scheduling/tests/world.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/world.py
@@ -1,4 +1,4 @@
-"""A few hosts in virtual time, with the true count of what was dispatched."""
+"""Hosts in virtual time, with an exact count of dispatched requests."""
 
 import asyncio
 import collections
@@ -26,7 +26,7 @@
 
 
 class View:
-    """The live hosts, as a test tells one host."""
+    """View of the live hosts on one host, set by the test."""
 
     def __init__(
         self, hosts: dict[ids.FailureDomain, list[ids.HostId]]
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass
 class Host:
-    """One entry host with its broker and its pool leaders."""
+    """Entry host with its broker and its pool leaders."""
 
     host_id: ids.HostId
     domain: ids.FailureDomain
@@ -61,12 +61,12 @@
 
 
 class World:
-    """Hosts, servers and what happened.
+    """Hosts, servers and counts of the requests.
 
-    :ivar answers: by request id.
-    :ivar dispatched: how often, by request id.
-    :ivar running: requests on each server now.
-    :ivar most: highest number on each server at any time.
+    :ivar answers: answers by request id.
+    :ivar dispatched: number of dispatches by request id.
+    :ivar running: current number of requests on each server.
+    :ivar max_running: highest number on each server at any time.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         domains: dict[str, tuple[int, int]],
         seed: int = 1,
     ) -> None:
-        """Start hosts.
+        """Initialize and start the hosts.
 
         :param domains: number of hosts and of servers by failure domain.
         """
@@ -83,7 +83,7 @@
         self.answers: dict[str, requests.Grant | requests.Denial] = {}
         self.dispatched: collections.Counter[str] = collections.Counter()
         self.running: collections.Counter[str] = collections.Counter()
-        self.most: collections.Counter[str] = collections.Counter()
+        self.max_running: collections.Counter[str] = collections.Counter()
         self.summaries: dict[str, requests.PoolSummary] = {}
         self._clock = timers.TimerService()
         self._servers = {
@@ -103,7 +103,7 @@
                 self.start(host_id, domain)
 
     def start(self, host_id: ids.HostId, domain: ids.FailureDomain) -> Host:
-        """Start a host, or start it anew."""
+        """Start or restart a host."""
         address = ids.Address('127.0.0.1', len(self.hosts) + 1)
         link = channel.Channel(self.network.join(host_id, address))
         view = View({name: list(of) for name, of in self._names.items()})
@@ -137,7 +137,7 @@
         return host
 
     async def kill(self, host_id: ids.HostId) -> None:
-        """Stop a host without a word; its callers are gone with it."""
+        """Stop a host without notification, with its callers."""
         host = self.hosts.pop(host_id)
         self.network.leave(host_id)
         calls = tuple(host.calls)
@@ -149,12 +149,12 @@
         await host.link.close()
 
     def see(self, domain: str, hosts: list[ids.HostId]) -> None:
-        """Let every host see these live hosts in a failure domain."""
+        """Set the live hosts of a failure domain in every host's view."""
         for host in self.hosts.values():
             host.view.see(ids.FailureDomain(domain), list(hosts))
 
     def leader_of(self, domain: str) -> Host:
-        """Give the leader by the true list of hosts."""
+        """Return the leader by the actual list of hosts."""
         name = ids.FailureDomain(domain)
         live = [found for found in self._names[name] if found in self.hosts]
         found = rendezvous.leader_of(name, POOL, live)
@@ -178,7 +178,7 @@
         seconds: float = 0.5,
         deadline: float = 30,
     ) -> asyncio.Task[typing.Any]:
-        """Serve one request at a host, as the daemon would."""
+        """Serve one request at a host, as the daemon does."""
         request = slot_request(
             host.host_id,
             name,
@@ -198,8 +198,8 @@
             if isinstance(answer, requests.Grant)
         ]
 
-    def held(self) -> int:
-        """Count what all leaders still remember, granted or waiting."""
+    def entry_count(self) -> int:
+        """Return the number of entries of all leaders, granted or waiting."""
         return sum(
             len(found.entries)
             for host in self.hosts.values()
@@ -219,7 +219,7 @@
         name = answer.server_id
         self.dispatched[slot_request.request_id] += 1
         self.running[name] += 1
-        self.most[name] = max(self.most[name], self.running[name])
+        self.max_running[name] = max(self.max_running[name], self.running[name])
         try:
             await asyncio.sleep(seconds)
         finally:
@@ -236,7 +236,7 @@
 
 
 class _Directory:
-    """Pools of other failure domains, with the summaries a test sets."""
+    """Directory of other failure domains' pools, with summaries of the test."""
 
     def __init__(self, world: World, domain: ids.FailureDomain) -> None:
         self._world = world
@@ -255,7 +255,7 @@
 
 
 def server(domain: str, number: int) -> servers.Announcement:
-    """Give a backend server."""
+    """Return a backend server."""
     return servers.Announcement(
         server_id=ids.ServerId(f'{domain}-server-{number}'),
         incarnation=ids.Incarnation(1),
@@ -273,7 +273,7 @@
     deadline: float,
     tier: ids.Tier = ids.Tier.normal,
 ) -> requests.SlotRequest:
-    """Give an ask; its block hash needs all of its 64 bits."""
+    """Return a slot request with a block hash that needs all 64 bits."""
     return requests.SlotRequest(
         request_id=ids.RequestId(name),
         owner=owner,
