--- a/libs/control/geraniumweir/control/host.py
+++ b/libs/control/geraniumweir/control/host.py
@@ -265,8 +265,8 @@
             for one in self.servers.known()
             if one.pool == pool and one.state is enrolments.State.ready
         }
-        up_for = self._clock.now() - self._started
-        if versions == {to} and up_for > _MIN_UPTIME_SECONDS:
+        uptime_seconds = self._clock.now() - self._started
+        if versions == {to} and uptime_seconds > _MIN_UPTIME_SECONDS:
             raise errors.NothingToRollOutError(
                 f'{to} is already the version of all servers of {pool}'
             )
--- a/libs/control/geraniumweir/control/leadership.py
+++ b/libs/control/geraniumweir/control/leadership.py
@@ -171,9 +171,13 @@
         """
         host_count = self.count(now)
         lost = self._unseen_for(REACHABLE_SECONDS, now)
-        kept = sum(self._standalone_share(host, now) for host in lost)
-        kept += self._unseen_share(host_count, now)
-        return 1 - min(kept + self._share_used_by_returned(lost, now), 1)
+        standalone_share = sum(
+            self._standalone_share(host, now) for host in lost
+        )
+        standalone_share += self._unseen_share(host_count, now)
+        return 1 - min(
+            standalone_share + self._share_used_by_returned(lost, now), 1
+        )
 
     def _unseen_share(self, host_count: int, now: float) -> float:
         """Return the share of hosts that only another coordinator could reach.
--- a/libs/control/geraniumweir/control/tests/bed.py
+++ b/libs/control/geraniumweir/control/tests/bed.py
@@ -40,24 +40,24 @@
 class Medium:
     """The disk of a control host.
 
-    :ivar stalled_until: it answers nothing before, in seconds.
+    :ivar stalled_until: no write completes before this time, in seconds.
     """
 
     disk: memory_disk.MemoryDisk
     stalled_until: float = 0
 
     async def run(self, action: guard.Action[typing.Any]) -> typing.Any:
-        """Take as long as the disk does."""
+        """Perform an action after the disk's delay."""
         now = asyncio.get_running_loop().time()
         await asyncio.sleep(max(self.stalled_until - now, _SYNC_SECONDS))
         return action()
 
 
 class Control:
-    """The parts of a control host that keep and tell the document."""
+    """The parts of a control host that store and publish the document."""
 
     def __init__(self, bed: 'Bed', domain: str) -> None:
-        """Start nothing yet."""
+        """Initialize without starting anything."""
         self.host_id = ids.HostId(domain)
         self.link = bed.network.join(self.host_id, address(domain))
         me = card(domain)
@@ -78,7 +78,7 @@
         )
         entry_hosts = self.leadership.entry_hosts
         self.rollouts: dict[ids.PoolName, orders.Rollout] = {}
-        self.log.rollouts.subscribe(self._put)
+        self.log.rollouts.subscribe(self._set_rollout)
         self.feed = feed.Feed(
             self.link,
             self.log,
@@ -95,7 +95,7 @@
             self.presence.handle_notice
         )
 
-    def _put(self, found: orders.Rollout) -> None:
+    def _set_rollout(self, found: orders.Rollout) -> None:
         self.rollouts[found.pool] = found
         self.feed.notify()
 
@@ -105,10 +105,10 @@
 
 
 class Entry:
-    """An entry host: what it knows, and whom it would send requests to."""
+    """An entry host: its watcher, coordinator client and servers."""
 
     def __init__(self, bed: 'Bed', domain: str, name: str) -> None:
-        """Start nothing yet."""
+        """Initialize without starting anything."""
         self.host_id = ids.HostId(name)
         link = bed.network.join(self.host_id, address(name))
         self.watcher = _watcher(link, domain)
@@ -132,8 +132,10 @@
             server_notices=self.server_notices,
         )
 
-    def hear(self, start: notices.Start, content: notices.Content) -> None:
-        """Take an answer to a request that was sent a moment ago."""
+    def receive_notice(
+        self, start: notices.Start, content: notices.Content
+    ) -> None:
+        """Receive an answer to a request that was sent a moment ago."""
         now = asyncio.get_running_loop().time()
         self.server_notices.hear(
             notices.Notice(*start, content, self.host_id, now - 0.01, now),
@@ -141,13 +143,13 @@
 
 
 class Bed:
-    """Three control hosts and what an entry host sees of them.
+    """Three control hosts, and entry hosts that watch them.
 
     :ivar media: the disks, by failure domain.
     """
 
     def __init__(self) -> None:
-        """Start nothing yet."""
+        """Initialize without starting anything."""
         self.network = memory.MemoryNetwork()
         self.media = {
             domain: Medium(memory_disk.MemoryDisk()) for domain in DOMAINS
@@ -156,7 +158,7 @@
         self._running: list[asyncio.Task[typing.Any]] = []
 
     async def start(self) -> Control:
-        """Start all control hosts and give the one that leads."""
+        """Start all control hosts; return the one that leads."""
         for control in self.controls.values():
             for work in (control.log.run(), control.presence.run()):
                 self._running.append(asyncio.create_task(work))
@@ -164,13 +166,13 @@
             await asyncio.sleep(0.05)
         return next(one for one in self.controls.values() if one.leads())
 
-    def part(self, one: str, other: str) -> None:
-        """Lose all messages between two hosts."""
+    def partition(self, one: str, other: str) -> None:
+        """Drop all messages between two hosts."""
         self.network.cut(ids.HostId(one), ids.HostId(other))
         self.network.cut(ids.HostId(other), ids.HostId(one))
 
     def stop(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         for task in self._running:
             task.cancel()
 
@@ -181,10 +183,10 @@
         *,
         silent: int = 0,
     ) -> watching.Watcher:
-        """Let an entry host of a failure domain watch.
+        """Start a watcher in an entry host of a failure domain.
 
-        :param silent: number of further control hosts that it knows and that
-            never answer.
+        :param silent: number of further control hosts that it has registered
+            and that never answer.
         """
         host_id = ids.HostId(name)
         watcher = _watcher(self.network.join(host_id, address(name)), domain)
@@ -197,7 +199,7 @@
         return watcher
 
     def enter(self, domain: str, name: str) -> Entry:
-        """Let an entry host of a failure domain watch and be coordinated."""
+        """Start an entry host of a failure domain with a coordinator client."""
         entry = Entry(self, domain, name)
         for work in (entry.watcher.run(), entry.coordinator.run()):
             self._running.append(asyncio.create_task(work))
@@ -245,7 +247,7 @@
 
 
 def card(domain: str) -> hosts.ControlHost:
-    """Describe the control host of a failure domain."""
+    """Return the control host of a failure domain."""
     where = address(domain)
     return hosts.ControlHost(
         ids.HostId(domain), where, where, ids.FailureDomain(domain)
@@ -253,11 +255,11 @@
 
 
 def read(content: bytes) -> tables.Document:
-    """Read a document that is only its version."""
+    """Return a document whose content is only its version."""
     return tables.Document(ids.Version(int(content)))
 
 
 async def publish(control: Control, version: int) -> None:
-    """Store a version at a control host; it is acknowledged then."""
+    """Store a version at a control host; returns once acknowledged."""
     content = str(version).encode()
     await control.documents.publish(ids.Version(version), content)
--- a/libs/control/geraniumweir/control/tests/test_active_document.py
+++ b/libs/control/geraniumweir/control/tests/test_active_document.py
@@ -14,23 +14,23 @@
 
 # An acknowledged document is in force everywhere after so long, in seconds.
 _IN_FORCE_SECONDS = 2
-_LOOK_SECONDS = 0.05
-_AT_ONCE_SECONDS = 0.2
+_POLL_SECONDS = 0.05
+_IMMEDIATE_SECONDS = 0.2
 _BEGIN_SECONDS = 4
 _CUT_SECONDS = 6
 _SEARCHES_A_SECOND = 5
 
-Cut = typing.Callable[[bed.Bed, str], None]
+Partition = typing.Callable[[bed.Bed, str], None]
 
 
-def _mute(hosts: bed.Bed, domain: str) -> None:
+def _drop_outgoing(hosts: bed.Bed, domain: str) -> None:
     """Lose what a control host says to the others; it still hears them."""
     for other in bed.DOMAINS:
         if other != domain:
             hosts.network.cut(ids.HostId(domain), ids.HostId(other))
 
 
-def _deafen(hosts: bed.Bed, domain: str) -> None:
+def _drop_incoming(hosts: bed.Bed, domain: str) -> None:
     """Lose what the others say to a control host."""
     for other in bed.DOMAINS:
         if other != domain:
@@ -38,8 +38,8 @@
 
 
 def _isolate(hosts: bed.Bed, domain: str) -> None:
-    _mute(hosts, domain)
-    _deafen(hosts, domain)
+    _drop_outgoing(hosts, domain)
+    _drop_incoming(hosts, domain)
 
 
 async def _publish_anywhere(
@@ -69,17 +69,17 @@
     start = now()
     behind = float(0)
     while now() < start + seconds:
-        await asyncio.sleep(_LOOK_SECONDS)
+        await asyncio.sleep(_POLL_SECONDS)
         if any(one.version < version for one in watchers):
             behind = now() - start
     return behind
 
 
-@pytest.mark.parametrize('cut', [_mute, _deafen, _isolate])
+@pytest.mark.parametrize('cut', [_drop_outgoing, _drop_incoming, _isolate])
 @pytest.mark.parametrize('leads', [True, False])
 def test_watchers_of_a_control_host_that_is_cut_off_have_the_newest(
     monkeypatch: pytest.MonkeyPatch,
-    cut: Cut,
+    cut: Partition,
     leads: bool,
 ) -> None:
     """One that only hears the others goes on hearing their leader."""
@@ -123,7 +123,7 @@
         watcher = hosts.watch(frozen, silent=silent)
         await asyncio.sleep(0.2)
         assert watcher.version == 1
-        hosts.part('entry', frozen)
+        hosts.partition('entry', frozen)
         await bed.publish(leading, 2)
         behind = await _longest_behind([watcher], 2, _CUT_SECONDS)
         hosts.stop()
@@ -147,14 +147,14 @@
         )
         watcher = hosts.watch(frozen)
         await asyncio.sleep(1)
-        hosts.part('entry', frozen)
+        hosts.partition('entry', frozen)
         await asyncio.sleep(2)
         worst = float(0)
         for version in range(2, 22):
             await bed.publish(leading, version)
             worst = max(worst, await _longest_behind([watcher], version, 0.35))
         hosts.stop()
-        assert worst < _AT_ONCE_SECONDS
+        assert worst < _IMMEDIATE_SECONDS
 
     virtual.run(work())
 
@@ -171,7 +171,7 @@
         hosts.watch(bed.DOMAINS[0])
         await asyncio.sleep(1)
         for domain in bed.DOMAINS:
-            _mute(hosts, domain)
+            _drop_outgoing(hosts, domain)
         await asyncio.sleep(2)
         sent = hosts.network.sent
         key = (ids.HostId('entry'), 'Watch')
@@ -198,7 +198,7 @@
         watcher = hosts.watch(name)
         await asyncio.sleep(1)
         for domain in bed.DOMAINS:
-            hosts.part('entry', domain)
+            hosts.partition('entry', domain)
         await bed.publish(leading, 2)
         for domain in bed.DOMAINS:
             _isolate(hosts, domain)
@@ -208,7 +208,7 @@
         for domain in bed.DOMAINS:
             _isolate(hosts, domain)
             if domain != name:
-                hosts.part('entry', domain)
+                hosts.partition('entry', domain)
         behind = await _longest_behind([watcher], 2, _CUT_SECONDS)
         hosts.stop()
         assert behind < _IN_FORCE_SECONDS
--- a/libs/control/geraniumweir/control/tests/test_coordinator_client.py
+++ b/libs/control/geraniumweir/control/tests/test_coordinator_client.py
@@ -36,7 +36,7 @@
         layer.handle(ttypes.Spent, self._on_spent)
         self.spent: list[spending.Spent] = []
 
-    def says(self, *, leads: bool, stands_in: bool) -> None:
+    def answer_with(self, *, leads: bool, stands_in: bool) -> None:
         """Answer so from now on."""
         self.pong = ttypes.Pong(leads, stands_in, 6, 6, 0.25)
 
@@ -72,15 +72,15 @@
             layer.learn(control.host_id, address)
             card = hosts.ControlHost(control.host_id, address, address, _DOMAIN)
             known.register(card, 0)
-        self.said = notices.Notices(timers.TimerService())
-        self.seen = coordinator_client.CoordinatorClient(
+        self.server_notices = notices.Notices(timers.TimerService())
+        self.client = coordinator_client.CoordinatorClient(
             layer,
             _DOMAIN,
             known,
             lambda _: _SPENT,
-            self.said,
+            self.server_notices,
         )
-        self.task = asyncio.create_task(self.seen.run())
+        self.task = asyncio.create_task(self.client.run())
 
 
 def test_leader_of_the_log_goes_before_a_stand_in() -> None:
@@ -88,11 +88,11 @@
 
     async def work() -> None:
         bed = _Bed()
-        bed.first.says(leads=False, stands_in=True)
-        bed.second.says(leads=True, stands_in=False)
+        bed.first.answer_with(leads=False, stands_in=True)
+        bed.second.answer_with(leads=True, stands_in=False)
         await asyncio.sleep(1)
-        assert bed.seen.live(_AREA) == ['c2']
-        assert bed.seen.share() * 4 == 1
+        assert bed.client.live(_AREA) == ['c2']
+        assert bed.client.share() * 4 == 1
         bed.task.cancel()
 
     virtual.run(work())
@@ -103,13 +103,13 @@
 
     async def work() -> None:
         bed = _Bed()
-        bed.first.says(leads=False, stands_in=False)
-        bed.second.says(leads=True, stands_in=False)
+        bed.first.answer_with(leads=False, stands_in=False)
+        bed.second.answer_with(leads=True, stands_in=False)
         await asyncio.sleep(1)
         bed.second.pong = None
-        bed.first.says(leads=False, stands_in=True)
+        bed.first.answer_with(leads=False, stands_in=True)
         await asyncio.sleep(1)
-        assert bed.seen.live(_AREA) == ['c1']
+        assert bed.client.live(_AREA) == ['c1']
         bed.task.cancel()
 
     virtual.run(work())
@@ -123,13 +123,13 @@
 
     async def work() -> None:
         bed = _Bed()
-        bed.first.says(leads=False, stands_in=False)
-        bed.second.says(leads=True, stands_in=False)
+        bed.first.answer_with(leads=False, stands_in=False)
+        bed.second.answer_with(leads=True, stands_in=False)
         await asyncio.sleep(1.01)
         bed.second.pong = None
-        bed.first.says(leads=False, stands_in=True)
+        bed.first.answer_with(leads=False, stands_in=True)
         await asyncio.sleep(0.7)
-        assert bed.seen.live(_AREA) == ['c1']
+        assert bed.client.live(_AREA) == ['c1']
         bed.task.cancel()
 
     virtual.run(work())
@@ -140,12 +140,12 @@
 
     async def work() -> None:
         bed = _Bed()
-        bed.second.says(leads=True, stands_in=False)
+        bed.second.answer_with(leads=True, stands_in=False)
         await asyncio.sleep(1)
         bed.second.pong = None
         await asyncio.sleep(1.5)
-        assert bed.seen.is_alone()
-        assert bed.seen.share() * 4 == 1
+        assert bed.client.is_alone()
+        assert bed.client.share() * 4 == 1
         bed.task.cancel()
 
     virtual.run(work())
@@ -156,18 +156,18 @@
 
     async def work() -> None:
         bed = _Bed()
-        bed.first.says(leads=False, stands_in=False)
-        bed.second.says(leads=True, stands_in=False)
+        bed.first.answer_with(leads=False, stands_in=False)
+        bed.second.answer_with(leads=True, stands_in=False)
         await asyncio.sleep(1)
-        assert not bed.seen.awaits_election()
+        assert not bed.client.awaits_election()
         bed.second.pong = None
         await asyncio.sleep(1.2)
-        assert bed.seen.is_alone()
-        assert bed.seen.awaits_election()
-        bed.first.says(leads=True, stands_in=False)
+        assert bed.client.is_alone()
+        assert bed.client.awaits_election()
+        bed.first.answer_with(leads=True, stands_in=False)
         await asyncio.sleep(0.2)
-        assert bed.seen.live(_AREA) == ['c1']
-        assert not bed.seen.awaits_election()
+        assert bed.client.live(_AREA) == ['c1']
+        assert not bed.client.awaits_election()
         bed.task.cancel()
 
     virtual.run(work())
@@ -178,8 +178,8 @@
 
     async def work() -> None:
         bed = _Bed()
-        bed.first.says(leads=False, stands_in=False)
-        bed.second.says(leads=True, stands_in=False)
+        bed.first.answer_with(leads=False, stands_in=False)
+        bed.second.answer_with(leads=True, stands_in=False)
         await asyncio.sleep(1)
         pong = bed.second.pong
         bed.second.pong = None
@@ -187,10 +187,12 @@
         bed.second.pong = pong
         bed.second.delay = 0.2
         left = []
-        bed.seen.changes.subscribe(lambda _: left.append(bed.seen.is_alone()))
+        bed.client.changes.subscribe(
+            lambda _: left.append(bed.client.is_alone())
+        )
         await asyncio.sleep(2)
         assert not left
-        assert bed.seen.live(_AREA) == ['c2']
+        assert bed.client.live(_AREA) == ['c2']
         bed.task.cancel()
 
     virtual.run(work())
@@ -201,15 +203,15 @@
 
     async def work() -> None:
         bed = _Bed()
-        bed.first.says(leads=False, stands_in=False)
+        bed.first.answer_with(leads=False, stands_in=False)
         await asyncio.sleep(0.5)
-        assert bed.seen.awaits_election()
+        assert bed.client.awaits_election()
         await asyncio.sleep(2)
-        assert bed.seen.is_alone()
-        assert not bed.seen.awaits_election()
+        assert bed.client.is_alone()
+        assert not bed.client.awaits_election()
         bed.first.pong = None
         await asyncio.sleep(1)
-        assert not bed.seen.awaits_election()
+        assert not bed.client.awaits_election()
         bed.task.cancel()
 
     virtual.run(work())
@@ -220,8 +222,8 @@
 
     async def work() -> None:
         bed = _Bed()
-        bed.first.says(leads=False, stands_in=False)
-        bed.second.says(leads=True, stands_in=False)
+        bed.first.answer_with(leads=False, stands_in=False)
+        bed.second.answer_with(leads=True, stands_in=False)
         await asyncio.sleep(2)
         assert bed.second.spent == [_SPENT]
         assert not bed.first.spent
--- a/libs/control/geraniumweir/control/tests/test_crash_cases.py
+++ b/libs/control/geraniumweir/control/tests/test_crash_cases.py
@@ -1,4 +1,4 @@
-"""Control hosts know of the crashes that another coordinator saw."""
+"""Control hosts receive the crash cases of another coordinator."""
 
 import asyncio
 import typing
@@ -31,24 +31,24 @@
         self.crash_cases.leaders = lambda: self.led
 
     def meet(self, other: '_Control') -> None:
-        """Learn of another one."""
+        """Register another control host."""
         self.link.learn(other.host_id, other.address)
         found = hosts.seed(other.host_id, other.address)
         self.known.register(found, self.clock.now())
 
     def coordinate(self) -> None:
-        """Lead the pool, with what is known here."""
+        """Lead the pool, with the crash cases received here."""
         cfg = settings.LeaderSettings(_POOL, f'{self.host_id}/{_POOL}')
         made = leader.OnTimeLeader(cfg, self.clock.now, list)
         self.crash_cases.apply_to(made)
         self.led = [made]
 
     def crash(self) -> None:
-        """See a server crash under the request, which ran alone."""
+        """Record the crash of a server that ran only the request."""
         self.led[0].suspects.crashed([_REQUEST], self.clock.now())
 
     def verdict(self) -> suspects.Verdict:
-        """Tell what is thought of the request."""
+        """Return the verdict about the request."""
         return self.led[0].suspects.verdict(_REQUEST, self.clock.now())
 
 
@@ -65,8 +65,10 @@
     virtual.run(on_bed())
 
 
-def test_second_crash_behind_a_new_coordinator_condemns_the_request() -> None:
-    """It isn't the first that is known."""
+def test_second_crash_after_a_coordinator_change_quarantines_the_request() -> (
+    None
+):
+    """The first crash was seen by the previous coordinator."""
 
     async def work(one: _Control, other: _Control) -> None:
         one.coordinate()
@@ -81,8 +83,8 @@
     _run(work)
 
 
-def test_condemned_request_stays_so_behind_a_new_coordinator() -> None:
-    """Also where the new one led the pool already."""
+def test_request_stays_quarantined_after_a_coordinator_change() -> None:
+    """Also where the new coordinator already led the pool."""
 
     async def work(one: _Control, other: _Control) -> None:
         one.coordinate()
@@ -95,8 +97,8 @@
     _run(work)
 
 
-def test_crash_that_is_told_again_counts_once() -> None:
-    """By both, and to one that led before."""
+def test_crash_that_is_published_twice_counts_once() -> None:
+    """Published by both, also to one that led before."""
 
     async def work(one: _Control, other: _Control) -> None:
         one.coordinate()
@@ -112,10 +114,8 @@
     _run(work)
 
 
-def test_request_that_ended_well_since_is_clear_behind_a_new_coordinator() -> (
-    None
-):
-    """The others are told when a case is cleared."""
+def test_cleared_request_is_clear_after_a_coordinator_change() -> None:
+    """The others are notified when a case is cleared."""
 
     async def work(one: _Control, other: _Control) -> None:
         one.coordinate()
--- a/libs/control/geraniumweir/control/tests/test_demand.py
+++ b/libs/control/geraniumweir/control/tests/test_demand.py
@@ -1,4 +1,4 @@
-"""The sum that is kept is the sum of all counts."""
+"""The stored sum of demand equals the sum of all counts."""
 
 import math
 
@@ -10,7 +10,7 @@
 
 _NAMES = ('a', 'b', 'c')
 _DECAY_SECONDS = 20
-_LEAST = 0.25
+_MIN_EVEN_RATIO = 0.25
 
 
 @given(
@@ -23,29 +23,29 @@
         max_size=30,
     ),
 )
-def test_parts_go_by_all_that_was_noted(
+def test_shares_follow_all_recorded_demand(
     steps: list[tuple[str, float, float | None]],
 ) -> None:
-    """Whatever was noted when, and whoever was forgotten."""
+    """For any times of records and any removed hosts."""
     counted = demand.Demand()
-    noted: dict[str, list[tuple[float, float]]] = {}
+    recorded: dict[str, list[tuple[float, float]]] = {}
     now: float = 0
     for name, pause, amount in steps:
         now += pause
         if amount is None:
             counted.remove(ids.HostId(name))
-            noted.pop(name, None)
+            recorded.pop(name, None)
         else:
             counted.record(ids.HostId(name), amount, now)
-            noted.setdefault(name, []).append((amount, now))
-    left = {host: _decayed(notes, now) for host, notes in noted.items()}
+            recorded.setdefault(name, []).append((amount, now))
+    left = {host: _decayed(records, now) for host, records in recorded.items()}
     for one, used in left.items():
-        part = max(used / sum(left.values()), _LEAST / len(_NAMES))
+        part = max(used / sum(left.values()), _MIN_EVEN_RATIO / len(_NAMES))
         found = counted.share(ids.HostId(one), len(_NAMES), now)
         assert found == pytest.approx(part)
 
 
-def _decayed(notes: list[tuple[float, float]], now: float) -> float:
+def _decayed(records: list[tuple[float, float]], now: float) -> float:
     return sum(
-        amount * math.exp((at - now) / _DECAY_SECONDS) for amount, at in notes
+        amount * math.exp((at - now) / _DECAY_SECONDS) for amount, at in records
     )
--- a/libs/control/geraniumweir/control/tests/test_lagging_control_host.py
+++ b/libs/control/geraniumweir/control/tests/test_lagging_control_host.py
@@ -12,21 +12,21 @@
 
 # An acknowledged document is in force everywhere after so long, in seconds.
 _IN_FORCE_SECONDS = 2
-_HURT_SECONDS = 6
+_FAULT_SECONDS = 6
 
-Hurt = typing.Callable[[bed.Medium], None]
+DiskFault = typing.Callable[[bed.Medium], None]
 
 
 def _stall(medium: bed.Medium) -> None:
     now = asyncio.get_running_loop().time()
-    medium.stalled_until = now + _HURT_SECONDS
+    medium.stalled_until = now + _FAULT_SECONDS
 
 
 def _fill(medium: bed.Medium) -> None:
     medium.disk.failing = errno.ENOSPC
 
 
-def _is_sound(_medium: bed.Medium) -> None:
+def _no_fault(_medium: bed.Medium) -> None:
     """Leave the disk as it is."""
 
 
@@ -42,9 +42,9 @@
     leading: bed.Control
     domain: str
 
-    async def hurt_and_publish(self, hurt: Hurt) -> None:
+    async def fail_disk_and_publish(self, disk_fault: DiskFault) -> None:
         """Hurt a disk that isn't the leader's, and store version 2."""
-        hurt(self.hosts.media[self.domain])
+        disk_fault(self.hosts.media[self.domain])
         await bed.publish(self.leading, 2)
 
 
@@ -60,19 +60,19 @@
     return _Scene(some, leading, followers[0])
 
 
-async def _seconds_behind(
+async def _measure_lag(
     monkeypatch: pytest.MonkeyPatch,
-    hurt: Hurt,
+    disk_fault: DiskFault,
 ) -> float:
     """Hurt the disk of a control host that its domain watches."""
     scene = await _scene(monkeypatch)
     watcher = scene.hosts.watch(scene.domain)
     await asyncio.sleep(1)
     assert watcher.version == 1
-    await scene.hurt_and_publish(hurt)
+    await scene.fail_disk_and_publish(disk_fault)
     now = asyncio.get_running_loop().time
     acknowledged = now()
-    while watcher.version < 2 and now() < acknowledged + 2 * _HURT_SECONDS:
+    while watcher.version < 2 and now() < acknowledged + 2 * _FAULT_SECONDS:
         await asyncio.sleep(0.01)
     scene.hosts.stop()
     return now() - acknowledged
@@ -83,8 +83,10 @@
 ) -> None:
     """Entry hosts turn to a control host that follows."""
     behind = {}
-    for hurt in (_is_sound, _stall, _fill):
-        behind[hurt.__name__] = virtual.run(_seconds_behind(monkeypatch, hurt))
+    for disk_fault in (_no_fault, _stall, _fill):
+        behind[disk_fault.__name__] = virtual.run(
+            _measure_lag(monkeypatch, disk_fault)
+        )
     assert max(behind.values()) < _IN_FORCE_SECONDS, behind
 
 
@@ -95,7 +97,7 @@
 
     async def work() -> None:
         scene = await _scene(monkeypatch)
-        await scene.hurt_and_publish(_stall)
+        await scene.fail_disk_and_publish(_stall)
         await asyncio.sleep(1)
         watcher = scene.hosts.watch(scene.domain)
         served_by = set()
@@ -118,11 +120,11 @@
         scene = await _scene(monkeypatch)
         log = scene.hosts.controls[scene.domain].log
         assert log.is_current()
-        await scene.hurt_and_publish(_stall)
+        await scene.fail_disk_and_publish(_stall)
         await asyncio.sleep(1)
         assert log.leader()
         assert not log.is_current()
-        await asyncio.sleep(_HURT_SECONDS)
+        await asyncio.sleep(_FAULT_SECONDS)
         assert log.is_current()
         scene.hosts.stop()
 
--- a/libs/control/geraniumweir/control/tests/test_leadership.py
+++ b/libs/control/geraniumweir/control/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Both sides of a cut grant parts that add up to the whole."""
+"""Shares that both sides of a partition grant add up to the whole."""
 
 import pytest
 from geraniumweir.common import ids
@@ -21,8 +21,8 @@
 
 
 @pytest.mark.parametrize('seconds', range(2, _CUT_SECONDS + 1))
-def test_parts_add_up_while_one_host_is_lost(seconds: int) -> None:
-    """However much comes by the others meanwhile."""
+def test_shares_add_up_while_one_host_is_unreachable(seconds: int) -> None:
+    """Independent of what arrives at the others meanwhile."""
     hosts, share = _at_cut()
     for now in range(1, seconds + 1):
         hosts.heard(_NEAR, now)
@@ -30,8 +30,8 @@
     assert hosts.reachable_share(seconds) + share == pytest.approx(1)
 
 
-def test_hosts_that_only_another_heard_keep_their_part() -> None:
-    """A cut took them along with the coordinator before."""
+def test_hosts_seen_only_by_the_previous_coordinator_keep_their_share() -> None:
+    """A partition separated them with the previous coordinator."""
     hosts = leadership.EntryHosts(quota_seconds=8)
     hosts.set_reported_count(4, 10)
     hosts.start_term(10)
@@ -43,8 +43,8 @@
     assert hosts.reachable_share(11.2) == pytest.approx(0.6)
 
 
-def test_only_silent_hosts_count_as_such() -> None:
-    """In whatever order they were heard, first and last."""
+def test_only_silent_hosts_count_as_unreachable() -> None:
+    """In whatever order their first and last messages arrived."""
     hosts = leadership.EntryHosts(quota_seconds=8)
     first, second, third = map(ids.HostId, ('first', 'second', 'third'))
     for now, name in ((0, first), (0.5, second), (1, third), (2, first)):
--- a/libs/control/geraniumweir/control/tests/test_leaving.py
+++ b/libs/control/geraniumweir/control/tests/test_leaving.py
@@ -17,11 +17,11 @@
 
 # An acknowledged leave is known everywhere after so long, in seconds.
 _KNOWN_SECONDS = 2
-_LOOK_SECONDS = 0.05
+_POLL_SECONDS = 0.05
 _CUT_SECONDS = 6
 _SERVER = ids.ServerId('s')
 _START = (_SERVER, ids.Incarnation(0))
-_AT_ONCE_SECONDS = 0.2
+_IMMEDIATE_SECONDS = 0.2
 # Known once another control host leads, at the latest.
 _ELECTED_SECONDS = 4
 
@@ -57,14 +57,14 @@
     control.feed.notify()
 
 
-def _part_controls(hosts: bed.Bed, domain: str) -> None:
+def _partition_control_host(hosts: bed.Bed, domain: str) -> None:
     """Cut a control host off from the others; entry hosts reach all."""
     for other in bed.DOMAINS:
         if other != domain:
-            hosts.part(domain, other)
+            hosts.partition(domain, other)
 
 
-async def _longest_sent_to(
+async def _seconds_taken_for_ready(
     entries: typing.Sequence[bed.Entry],
     seconds: float,
 ) -> float:
@@ -73,7 +73,7 @@
     start = now()
     last = float(0)
     while now() < start + seconds:
-        await asyncio.sleep(_LOOK_SECONDS)
+        await asyncio.sleep(_POLL_SECONDS)
         if not all(one.pool_servers.is_leaving(_START) for one in entries):
             last = now() - start
     return last
@@ -107,10 +107,10 @@
 
     async def work() -> None:
         hosts, entries = await _started(monkeypatch)
-        entries[1].hear(_START, notices.Leaving())
+        entries[1].receive_notice(_START, notices.Leaving())
         _report(hosts, bed.DOMAINS[0], enrolments.State.ready, 2)
-        sent_to = await _longest_sent_to(entries, 2)
-        assert sent_to < _AT_ONCE_SECONDS
+        ready_seconds = await _seconds_taken_for_ready(entries, 2)
+        assert ready_seconds < _IMMEDIATE_SECONDS
         for control in hosts.controls.values():
             found = control.table.get(_SERVER)
             assert found and found.state is enrolments.State.leaving
@@ -128,15 +128,15 @@
         hosts, entries = await _started(monkeypatch)
         alone, *others = entries
         for domain in bed.DOMAINS:
-            hosts.part(alone.host_id, domain)
+            hosts.partition(alone.host_id, domain)
         await asyncio.sleep(3)
         assert alone.coordinator.is_alone()
-        alone.hear(_START, notices.Leaving())
+        alone.receive_notice(_START, notices.Leaving())
         assert alone.pool_servers.is_leaving(_START)
         await asyncio.sleep(3)
         assert not any(one.pool_servers.is_leaving(_START) for one in others)
         hosts.network.heal()
-        assert await _longest_sent_to(others, 4) < _KNOWN_SECONDS
+        assert await _seconds_taken_for_ready(others, 4) < _KNOWN_SECONDS
         hosts.stop()
 
     virtual.run(work())
@@ -150,13 +150,13 @@
     async def work() -> None:
         hosts, entries = await _started(monkeypatch)
         for domain in bed.DOMAINS:
-            hosts.part(entries[0].host_id, domain)
+            hosts.partition(entries[0].host_id, domain)
         await asyncio.sleep(3)
-        entries[1].hear(_START, notices.Leaving())
+        entries[1].receive_notice(_START, notices.Leaving())
         await asyncio.sleep(3)
         assert not entries[0].pool_servers.is_leaving(_START)
         hosts.network.heal()
-        assert await _longest_sent_to(entries, 4) < _KNOWN_SECONDS
+        assert await _seconds_taken_for_ready(entries, 4) < _KNOWN_SECONDS
         hosts.stop()
 
     virtual.run(work())
@@ -172,11 +172,14 @@
         leading = next(one for one in hosts.controls.values() if one.leads())
         others = [one for one in bed.DOMAINS if one != leading.host_id]
         for other in others:
-            hosts.part(leading.host_id, other)
-        entries[0].hear(_START, notices.Leaving())
+            hosts.partition(leading.host_id, other)
+        entries[0].receive_notice(_START, notices.Leaving())
         await asyncio.sleep(0.1)
         hosts.network.leave(leading.host_id)
-        assert await _longest_sent_to(entries, _CUT_SECONDS) < _ELECTED_SECONDS
+        assert (
+            await _seconds_taken_for_ready(entries, _CUT_SECONDS)
+            < _ELECTED_SECONDS
+        )
         for other in others:
             found = hosts.controls[other].table.get(_SERVER)
             assert found and found.state is enrolments.State.leaving
@@ -229,11 +232,11 @@
         _report(hosts, domain, enrolments.State.ready, 1)
         await asyncio.sleep(1)
         assert all(one.watcher.servers.get(_SERVER) for one in entries)
-        _part_controls(hosts, domain)
+        _partition_control_host(hosts, domain)
         await asyncio.sleep(3)
         _report(hosts, domain, enrolments.State.leaving, 2)
-        sent_to = await _longest_sent_to(entries, _CUT_SECONDS)
+        ready_seconds = await _seconds_taken_for_ready(entries, _CUT_SECONDS)
         hosts.stop()
-        assert sent_to < _KNOWN_SECONDS
+        assert ready_seconds < _KNOWN_SECONDS
 
     virtual.run(work())
--- a/libs/control/geraniumweir/control/tests/test_notice_exchange.py
+++ b/libs/control/geraniumweir/control/tests/test_notice_exchange.py
@@ -27,8 +27,8 @@
         self._notice_receiver = notice_exchange.NoticeReceiver(
             link, self.known, timers.TimerService()
         )
-        self.before_asks: dict[notices.Start, float] = {}
-        self.paused_before_asks: dict[notices.Start, float] = {}
+        self.limits_at_usage_report: dict[notices.Start, float] = {}
+        self.pauses_at_usage_report: dict[notices.Start, float] = {}
         link.handle(ttypes.Ping, self._on_ping)
         link.handle(ttypes.Spent, self._on_spent)
 
@@ -48,8 +48,8 @@
         _message: ttypes.Spent,
     ) -> None:
         await asyncio.sleep(0.002)
-        self.before_asks = self.known.limits()
-        self.paused_before_asks.update(self.known.pauses(sender))
+        self.limits_at_usage_report = self.known.limits()
+        self.pauses_at_usage_report.update(self.known.pauses(sender))
 
 
 class _Entry:
@@ -63,20 +63,20 @@
         for control in bed.controls:
             known.register(control.card, 0)
         self.known = notices.Notices(timers.TimerService())
-        self.seen = coordinator_client.CoordinatorClient(
+        self.client = coordinator_client.CoordinatorClient(
             link,
             _DOMAIN,
             known,
             lambda _: spending.Spent(0, {}),
             self.known,
         )
-        self.task = asyncio.create_task(self.seen.run())
+        self.task = asyncio.create_task(self.client.run())
 
-    def hear(self, per_second: float | None) -> None:
+    def receive_limit(self, per_second: float | None) -> None:
         """Take an answer that names a limit, or none."""
-        self.hear_all(notices.RateLimit(per_second))
+        self.receive(notices.RateLimit(per_second))
 
-    def hear_all(self, content: notices.Content) -> None:
+    def receive(self, content: notices.Content) -> None:
         """Take an answer to a request that was sent a moment ago."""
         now = asyncio.get_running_loop().time()
         self.known.hear(
@@ -112,7 +112,7 @@
         first, second = bed.entries
         await asyncio.sleep(1)
         for limit, expected in ((2, {_START: 2}), (3, {_START: 3}), (None, {})):
-            first.hear(limit)
+            first.receive_limit(limit)
             await asyncio.sleep(0.02)
             assert bed.controls[0].known.limits() == expected
             await asyncio.sleep(_KNOWN_SECONDS)
@@ -129,13 +129,13 @@
     async def work() -> None:
         bed = _Bed()
         await asyncio.sleep(1)
-        bed.entries[0].hear(2)
+        bed.entries[0].receive_limit(2)
         await asyncio.sleep(1)
         lost, taking_over = bed.controls
         bed.network.leave(lost.host_id)
         taking_over.leads = True
         await asyncio.sleep(2)
-        assert taking_over.before_asks == {_START: 2}
+        assert taking_over.limits_at_usage_report == {_START: 2}
         bed.stop()
 
     virtual.run(work())
@@ -148,7 +148,7 @@
         bed = _Bed()
         await asyncio.sleep(1)
         bed.network.cut(ids.HostId('e1'), ids.HostId('c1'))
-        bed.entries[0].hear(2)
+        bed.entries[0].receive_limit(2)
         await asyncio.sleep(0.1)
         bed.network.heal()
         await asyncio.sleep(1)
@@ -167,10 +167,10 @@
         first, second = bed.entries
         await asyncio.sleep(1)
         for limit in (2, 3, 4):
-            first.hear(limit)
+            first.receive_limit(limit)
             await asyncio.sleep(0.5)
         bed.controls[0] = _Coordinator(bed, 'c1')
-        first.hear(5)
+        first.receive_limit(5)
         await asyncio.sleep(1)
         assert second.known.limits() == {_START: 5}
         bed.stop()
@@ -186,7 +186,7 @@
         first, second = bed.entries
         lost, taking_over = bed.controls
         await asyncio.sleep(1)
-        first.hear_all(notices.Pause(9))
+        first.receive(notices.Pause(9))
         until = asyncio.get_running_loop().time() + 9
         await asyncio.sleep(0.02)
         known = lost.known.pauses(first.host_id)
@@ -197,7 +197,7 @@
         bed.network.leave(lost.host_id)
         taking_over.leads = True
         await asyncio.sleep(2)
-        assert list(taking_over.paused_before_asks) == [_START]
+        assert list(taking_over.pauses_at_usage_report) == [_START]
         bed.stop()
 
     virtual.run(work())
--- a/libs/control/geraniumweir/control/tests/test_pool_coordination.py
+++ b/libs/control/geraniumweir/control/tests/test_pool_coordination.py
@@ -1,4 +1,4 @@
-"""How a host counts quotas when it begins to coordinate."""
+"""How a host counts quotas when it becomes the coordinator."""
 
 import asyncio
 import dataclasses
@@ -28,18 +28,18 @@
 
 
 class _View:
-    """Sees whatever the test says; the coordinator here."""
+    """A host view whose coordinator the test sets; first this host."""
 
     def __init__(self) -> None:
         self.changes: subject.Subject[None] = subject.Subject()
         self.coordinator = _HERE
 
     def live(self, _domain: ids.FailureDomain) -> list[ids.HostId]:
-        """List the coordinator."""
+        """Return the coordinator."""
         return [self.coordinator]
 
     def owners(self, _domain: ids.FailureDomain) -> list[ids.HostId]:
-        """List nobody."""
+        """Return no host."""
         return []
 
 
@@ -68,13 +68,13 @@
 
 
 def _spent(amount: float) -> ttypes.Spent:
-    """Tell what was granted a second ago."""
+    """Return the report of an amount that was granted a second ago."""
     told = spending.Spent(_SECONDS, {_NAME: {5: amount}})
     return usage_codec.pack(told)
 
 
 class _Bed:
-    """A host that counts quotas, and an entry host that tells it."""
+    """A host that counts quotas, and an entry host that reports usage."""
 
     def __init__(self) -> None:
         self.view = _View()
@@ -94,22 +94,22 @@
         self._entry = network.join(_ENTRY, ids.Address('10.0.0.2', 1))
         self._entry.learn(_HERE, here)
 
-    async def tell(self, amount: float) -> None:
-        """Let the entry host tell what it was granted."""
+    async def report_usage(self, amount: float) -> None:
+        """Let the entry host report what it was granted."""
         self._entry.send(_HERE, _spent(amount))
         await asyncio.sleep(0.1)
 
     def retry(self) -> bool:
-        """Ask to send a request once more."""
+        """Return whether a retry is granted."""
         return self.retries.take(_POOL, self.clock.now())
 
     def coordinates(self, host: ids.HostId) -> None:
-        """Let a host coordinate."""
+        """Make a host the coordinator."""
         self.view.coordinator = host
         self.view.changes.on_next(None)
 
     def takes(self, part: float) -> bool:
-        """Ask for a part of the whole quota."""
+        """Return whether a part of the whole quota is granted."""
         return not self.quotas.take(_NAME, _WHOLE * part, self.clock.now())
 
 
@@ -120,8 +120,8 @@
     virtual.run(on_bed())
 
 
-def test_what_nobody_tells_counts_as_used() -> None:
-    """A host that coordinates again doesn't go by its old windows."""
+def test_unreported_usage_counts_as_used() -> None:
+    """A host that coordinates again does not use its old windows."""
 
     async def work(bed: _Bed) -> None:
         assert not bed.takes(0.5)
@@ -135,27 +135,27 @@
     _run(work)
 
 
-def test_what_is_told_counts_instead() -> None:
+def test_reported_usage_counts_instead() -> None:
     """As much as the entry host was granted, and no more."""
 
     async def work(bed: _Bed) -> None:
         bed.coordinates(_OTHER)
         await asyncio.sleep(_SECONDS + 1)
         bed.coordinates(_HERE)
-        await bed.tell(_WHOLE / 4)
+        await bed.report_usage(_WHOLE / 4)
         assert not bed.takes(0.8)
         assert bed.takes(0.7)
 
     _run(work)
 
 
-def test_entry_host_may_know_the_coordinator_first() -> None:
-    """What it told then counts as well."""
+def test_usage_reported_before_this_host_coordinates_counts() -> None:
+    """Its earlier report counts as well."""
 
     async def work(bed: _Bed) -> None:
         bed.coordinates(_OTHER)
         await asyncio.sleep(_SECONDS + 1)
-        await bed.tell(_WHOLE / 4)
+        await bed.report_usage(_WHOLE / 4)
         bed.coordinates(_HERE)
         assert bed.takes(0.7)
         assert not bed.takes(0.1)
@@ -163,22 +163,22 @@
     _run(work)
 
 
-def test_what_is_told_again_was_granted_here() -> None:
-    """A short cut makes no charge count twice."""
+def test_usage_that_is_reported_twice_counts_once() -> None:
+    """A short partition makes no charge count twice."""
 
     async def work(bed: _Bed) -> None:
         bed.coordinates(_OTHER)
         await asyncio.sleep(_SECONDS + 1)
         bed.coordinates(_HERE)
-        await bed.tell(_WHOLE / 4)
-        await bed.tell(_WHOLE / 4)
+        await bed.report_usage(_WHOLE / 4)
+        await bed.report_usage(_WHOLE / 4)
         assert bed.takes(0.7)
 
     _run(work)
 
 
-def test_leader_that_stood_in_goes_on_counting() -> None:
-    """Its own windows stay."""
+def test_leader_that_stood_in_continues_its_windows() -> None:
+    """Its own windows stay valid."""
 
     async def work(bed: _Bed) -> None:
         await asyncio.sleep(_SECONDS + 1)
@@ -191,7 +191,7 @@
 
 
 def test_fixed_number_of_retries_is_granted_by_the_leader_only() -> None:
-    """One that stands in for it counts anew when it comes to lead."""
+    """A stand-in counts afresh when it becomes the leader."""
 
     async def work(bed: _Bed) -> None:
         await asyncio.sleep(_SECONDS + 1)
--- a/libs/control/geraniumweir/control/tests/test_pool_servers.py
+++ b/libs/control/geraniumweir/control/tests/test_pool_servers.py
@@ -1,8 +1,8 @@
-"""Which servers a host uses alone.
+"""Servers and slots that a host uses by itself, without a coordinator.
 
-While a coordinator was replaced, 195 entry hosts were alone for a moment. Each
-used a slot of each server, as that is the least: 195 on a server of nine. The
-servers queued what they couldn't run, and its first tokens came late for
+While a coordinator was replaced, 195 entry hosts were without one for a moment.
+Each used one slot of each server, the minimum: 195 on a server with nine. The
+servers queued what they could not run, and their first tokens were late for
 seconds after the next coordinator had taken over.
 """
 
@@ -42,7 +42,7 @@
 def _used(
     hosts: int, servers: int, slots: int, first: int = 0
 ) -> collections.Counter[str]:
-    """Count the slots that some hosts use by server, each alone."""
+    """Return the slots by server that some hosts use, each by itself."""
     table = _table(servers, slots)
     used: collections.Counter[str] = collections.Counter()
     for number in range(first, hosts):
@@ -62,22 +62,24 @@
     ('hosts', 'servers', 'slots'),
     [(195, 39, 9), (195, 5, 6), (390, 1400, 8), (6, 6, 10)],
 )
-def test_hosts_alone_use_about_as_many_slots_as_there_are(
+def test_standalone_hosts_use_about_as_many_slots_as_there_are(
     hosts: int,
     servers: int,
     slots: int,
 ) -> None:
-    """Whatever their number, and no server gets many times its slots."""
+    """For any number of hosts, no server gets many times its slots."""
     used = _used(hosts, servers, slots)
     there_are = servers * slots
-    # A host uses one slot at least, also where it has a part of one.
+    # A host uses at least one slot, also if its share is less.
     assert (
         0.5 * there_are < sum(used.values()) < max(1.3 * there_are, 2 * hosts)
     )
 
 
-def test_host_alone_uses_its_own_failure_domain() -> None:
-    """Which it reaches most surely, and by the part of all hosts there."""
+def test_standalone_host_uses_its_own_failure_domain() -> None:
+    """Servers there are most likely reachable; the share is that of all hosts
+    there.
+    """
     used = _used(195, 40, 9, first=190)
     assert 5 <= sum(used.values()) <= 20
 
--- a/libs/control/geraniumweir/control/tests/test_quota_over_changes.py
+++ b/libs/control/geraniumweir/control/tests/test_quota_over_changes.py
@@ -17,7 +17,7 @@
 _CUSTOMER = ids.CustomerName('customer')
 _SECONDS = 8
 _ALLOWANCE = quotas.Allowance(per_second=100, burst=200)
-_WHOLE = _ALLOWANCE.per_second * _SECONDS + _ALLOWANCE.burst
+_QUOTA = _ALLOWANCE.per_second * _SECONDS + _ALLOWANCE.burst
 _COST = 10
 _STEP = 0.2
 _MISSED_SECONDS = 0.4
@@ -25,23 +25,23 @@
 # What may be granted beyond a quota, as part of it. Each cut and each change
 # lets both sides grant for up to a second, and hosts that begin to grant by
 # themselves have their part of the burst, of 0.2 here.
-_OVER = 0.4
+_EXCESS_RATIO = 0.4
 
 
 @dataclasses.dataclass
 class _Entry:
     """An entry host.
 
-    :ivar cut_at: since when it is cut off, None in touch.
-    :ivar turned_to: the coordinator that it told what it was granted.
+    :ivar partitioned_at: since when it is cut off, None in touch.
+    :ivar reported_to: the coordinator that it told what it was granted.
     """
 
     host_id: ids.HostId
     started: float
-    alone: quotas.Quotas = dataclasses.field(init=False)
-    told: float = 1 / 3
-    cut_at: float | None = None
-    turned_to: int | None = None
+    standalone_quotas: quotas.Quotas = dataclasses.field(init=False)
+    share: float = 1 / 3
+    partitioned_at: float | None = None
+    reported_to: int | None = None
     granted: windows.Window = dataclasses.field(
         default_factory=lambda: windows.Window(_SECONDS),
     )
@@ -83,7 +83,7 @@
         self.leader = 0
         self.controls[0].hosts.start_term(self.now)
         self.entries = [self._started(name) for name in _NAMES]
-        self.most: float = 0
+        self.max_granted: float = 0
         self.let_pass(1)
 
     @stateful.rule(seconds=st.floats(0.4, 6))
@@ -94,23 +94,23 @@
             self._step()
 
     @stateful.rule(number=st.integers(0, 2))
-    def cut_off(self, number: int) -> None:
+    def make_unreachable(self, number: int) -> None:
         """Cut an entry host off, unless it is."""
         entry = self.entries[number]
-        if entry.cut_at is None:
-            entry.cut_at = self.now
-            entry.turned_to = None
-            entry.alone.begin(self.now + _MISSED_SECONDS)
+        if entry.partitioned_at is None:
+            entry.partitioned_at = self.now
+            entry.reported_to = None
+            entry.standalone_quotas.begin(self.now + _MISSED_SECONDS)
 
     @stateful.rule(number=st.integers(0, 2))
-    def come_back(self, number: int) -> None:
+    def make_reachable(self, number: int) -> None:
         """Let an entry host be in touch again."""
-        self.entries[number].cut_at = None
+        self.entries[number].partitioned_at = None
 
     @stateful.rule(number=st.integers(0, 2))
     def restart(self, number: int) -> None:
         """Let an entry host forget all, while it is in touch."""
-        if self.entries[number].cut_at is None:
+        if self.entries[number].partitioned_at is None:
             self.entries[number] = self._started(_NAMES[number])
 
     @stateful.rule()
@@ -126,16 +126,16 @@
     @stateful.invariant()
     def no_window_holds_much_more(self) -> None:
         """Whatever happened."""
-        assert self.most <= _WHOLE * (1 + _OVER)
+        assert self.max_granted <= _QUOTA * (1 + _EXCESS_RATIO)
 
     def _clock(self) -> float:
         return self.now
 
     def _started(self, name: str) -> _Entry:
         entry = _Entry(ids.HostId(name), self.now)
-        entry.alone = quotas.Quotas(
+        entry.standalone_quotas = quotas.Quotas(
             lambda _: _ALLOWANCE,
-            lambda: entry.told,
+            lambda: entry.share,
             _SECONDS,
             self.now,
         )
@@ -143,27 +143,29 @@
 
     def _step(self) -> None:
         found = self.controls[self.leader]
-        near = [entry for entry in self.entries if entry.cut_at is None]
+        near = [entry for entry in self.entries if entry.partitioned_at is None]
         for entry in near:
-            self._meet(found, entry)
-        self._take_in_turn(found, near)
+            self._exchange(found, entry)
+        self._take_round_robin(found, near)
         for entry in self.entries:
-            if entry.cut_at is None:
+            if entry.partitioned_at is None:
                 continue
-            if self.now - entry.cut_at >= _MISSED_SECONDS:
-                while not entry.alone.take(_CUSTOMER, _COST, self.now):
+            if self.now - entry.partitioned_at >= _MISSED_SECONDS:
+                while not entry.standalone_quotas.take(
+                    _CUSTOMER, _COST, self.now
+                ):
                     self._grant(entry)
 
-    def _meet(self, found: _Control, entry: _Entry) -> None:
+    def _exchange(self, found: _Control, entry: _Entry) -> None:
         found.hosts.heard(entry.host_id, self.now)
-        found.hosts.set_share(entry.host_id, entry.told)
-        if entry.turned_to != self.leader:
-            entry.turned_to = self.leader
-            told = entry.spent(self.now)
-            found.quotas.learn(entry.host_id, told, self.now)
-        entry.told = found.hosts.standalone_share_for(entry.host_id, self.now)
-
-    def _take_in_turn(self, found: _Control, near: list[_Entry]) -> None:
+        found.hosts.set_share(entry.host_id, entry.share)
+        if entry.reported_to != self.leader:
+            entry.reported_to = self.leader
+            usage = entry.spent(self.now)
+            found.quotas.learn(entry.host_id, usage, self.now)
+        entry.share = found.hosts.standalone_share_for(entry.host_id, self.now)
+
+    def _take_round_robin(self, found: _Control, near: list[_Entry]) -> None:
         """Take all that may be had, by the hosts in turn."""
         while near:
             if found.quotas.take(_CUSTOMER, _COST, self.now):
@@ -176,7 +178,7 @@
     def _grant(self, entry: _Entry) -> None:
         entry.granted.add(_COST, self.now)
         self.grants.add(_COST, self.now)
-        self.most = max(self.most, self.grants.used(self.now))
+        self.max_granted = max(self.max_granted, self.grants.used(self.now))
 
 
 TestQuotaOverChanges = QuotaOverChanges.TestCase
@@ -192,8 +194,8 @@
     """Two of three hosts are cut off, the coordinator changes back and on."""
     hosts = QuotaOverChanges()
     hosts.change()
-    hosts.cut_off(0)
-    hosts.cut_off(2)
+    hosts.make_unreachable(0)
+    hosts.make_unreachable(2)
     hosts.let_pass(4)
     hosts.change()
     hosts.change()
--- a/libs/control/geraniumweir/control/tests/test_quota_over_partitions.py
+++ b/libs/control/geraniumweir/control/tests/test_quota_over_partitions.py
@@ -14,15 +14,15 @@
 from hypothesis import strategies as st
 
 _CUSTOMER = ids.CustomerName('customer')
-_CUT_OFF = ids.HostId('cut-off')
+_UNREACHABLE = ids.HostId('cut-off')
 _NEAR = ids.HostId('near')
 _SECONDS = 8
 _ALLOWANCE = quotas.Allowance(per_second=100, burst=200)
-_WHOLE = _ALLOWANCE.per_second * _SECONDS + _ALLOWANCE.burst
+_QUOTA = _ALLOWANCE.per_second * _SECONDS + _ALLOWANCE.burst
 # What may be granted beyond a quota, as part of it: both sides grant from
 # when the host misses an answer till the coordinator misses the host, 0.8 s
 # of 8 s, and a host that begins to grant has its part of the burst.
-_OVER = 0.2
+_EXCESS_RATIO = 0.2
 _STEP = 0.2
 _COST = 5
 # A host misses its coordinator's answer after so long, in seconds.
@@ -34,8 +34,8 @@
     """A coordinator and an entry host that may be cut off from it."""
 
     now: float = 100
-    told: float = 0
-    cut_at: float | None = None
+    granted_share: float = 0
+    partitioned_at: float | None = None
 
     def __post_init__(self) -> None:
         self.hosts = leadership.EntryHosts(_SECONDS)
@@ -44,20 +44,20 @@
         self.central = self._quotas(
             lambda: self.hosts.reachable_share(self.now),
         )
-        self.alone = self._quotas(lambda: self.told)
+        self.standalone_quotas = self._quotas(lambda: self.granted_share)
 
     def play(self, seconds: float, *, cut: bool) -> None:
         """Let time pass with the host in touch or cut off."""
-        self.cut_at = self.now if cut else None
+        self.partitioned_at = self.now if cut else None
         if cut:
-            self.alone.begin(self.now + _MISSED_SECONDS)
+            self.standalone_quotas.begin(self.now + _MISSED_SECONDS)
         for _ in range(round(seconds / _STEP)):
             self.now += _STEP
             self._step()
 
-    def most_in_a_window(self) -> float:
+    def max_in_a_window(self) -> float:
         """Return the most that was granted in any window."""
-        most: float = 0
+        max_granted: float = 0
         within: float = 0
         oldest = 0
         for at, cost in self.granted:
@@ -65,33 +65,33 @@
             while self.granted[oldest][0] <= at - _SECONDS:
                 within -= self.granted[oldest][1]
                 oldest += 1
-            most = max(most, within)
-        return most
+            max_granted = max(max_granted, within)
+        return max_granted
 
     def _step(self) -> None:
         self.hosts.heard(_NEAR, self.now)
-        if self.cut_at is None:
-            self._meet()
-            self._take_all(self.central, (_NEAR, _CUT_OFF))
+        if self.partitioned_at is None:
+            self._exchange()
+            self._take_all(self.central, (_NEAR, _UNREACHABLE))
             return
         self._take_all(self.central, (_NEAR,))
-        if self.now - self.cut_at >= _MISSED_SECONDS:
-            self._take_all(self.alone, ())
+        if self.now - self.partitioned_at >= _MISSED_SECONDS:
+            self._take_all(self.standalone_quotas, ())
 
-    def _meet(self) -> None:
-        self.hosts.heard(_CUT_OFF, self.now)
-        self.told = self.hosts.share_of(_CUT_OFF, self.now)
-        self.hosts.set_share(_CUT_OFF, self.told)
+    def _exchange(self) -> None:
+        self.hosts.heard(_UNREACHABLE, self.now)
+        self.granted_share = self.hosts.share_of(_UNREACHABLE, self.now)
+        self.hosts.set_share(_UNREACHABLE, self.granted_share)
 
     def _take_all(
         self,
         counted: quotas.Quotas,
-        askers: tuple[ids.HostId, ...],
+        requesters: tuple[ids.HostId, ...],
     ) -> None:
         while not counted.take(_CUSTOMER, _COST, self.now):
             self.granted.append((self.now, _COST))
-            for host_id in askers:
-                part = _COST / len(askers)
+            for host_id in requesters:
+                part = _COST / len(requesters)
                 self.hosts.demand.record(host_id, part, self.now)
 
     def _quotas(self, share: quotas.Share) -> quotas.Quotas:
@@ -116,7 +116,7 @@
     for cut, whole in phases:
         bed.play(cut, cut=True)
         bed.play(whole, cut=False)
-    assert bed.most_in_a_window() <= _WHOLE * (1 + _OVER)
+    assert bed.max_in_a_window() <= _QUOTA * (1 + _EXCESS_RATIO)
 
 
 @pytest.mark.parametrize('cut', [3, 7, 12])
--- a/libs/control/geraniumweir/control/tests/test_quota_shares.py
+++ b/libs/control/geraniumweir/control/tests/test_quota_shares.py
@@ -1,4 +1,4 @@
-"""The part of the quotas that a control host grants, from pings alone."""
+"""The share of the quotas that a control host grants, from pings alone."""
 
 import asyncio
 
@@ -15,21 +15,21 @@
 
 
 class _Log:
-    """A log whose leader the test says."""
+    """A log whose leader the test sets."""
 
     def __init__(self, leader: ids.HostId) -> None:
-        self.told = leader
+        self.leader_id = leader
 
     def leader(self) -> ids.HostId:
-        """Return who leads."""
-        return self.told
+        """Return the leader."""
+        return self.leader_id
 
     def is_leading(self) -> bool:
         """Return whether it is this host."""
-        return self.told == _HERE
+        return self.leader_id == _HERE
 
     def leads_since(self, _at: float) -> bool:
-        """Tell the same."""
+        """Return whether this host leads."""
         return self.is_leading()
 
 
@@ -57,7 +57,7 @@
             self._links[name] = link
 
     async def let_ping(self, seconds: float, *names: str) -> None:
-        """Let some of the entry hosts ping for a while."""
+        """Let some of the entry hosts ping for some seconds."""
         end = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < end:
             for name in names:
@@ -67,13 +67,13 @@
 
 
 @pytest.mark.parametrize('first', [_HERE, ''])
-def test_part_granted_during_a_cut_comes_back_slowly(first: str) -> None:
-    """Whether the host leads from its start or stands in before."""
+def test_share_granted_during_a_partition_returns_gradually(first: str) -> None:
+    """Whether the host leads from its start or stands in first."""
 
     async def work() -> None:
         bed = _Bed(first)
         await bed.let_ping(2, *_ENTRY_HOSTS)
-        bed.log.told = _HERE
+        bed.log.leader_id = _HERE
         await bed.let_ping(2, *_ENTRY_HOSTS)
         assert bed.leadership.share() == 1
         await bed.let_ping(6, 'e1')
@@ -87,14 +87,14 @@
     virtual.run(work())
 
 
-def test_host_that_begins_to_coordinate_grants_all() -> None:
-    """Entry hosts that turn to it were not cut off from each other."""
+def test_new_coordinator_grants_whole_quotas() -> None:
+    """Entry hosts that move to it were not partitioned from each other."""
 
     async def work() -> None:
         bed = _Bed('another')
         await bed.let_ping(1, *_ENTRY_HOSTS)
         await asyncio.sleep(3)
-        bed.log.told = _HERE
+        bed.log.leader_id = _HERE
         await asyncio.sleep(0.2)
         await bed.let_ping(0.4, *_ENTRY_HOSTS)
         assert bed.leadership.share() == 1
--- a/libs/control/geraniumweir/control/tests/test_retries_over_changes.py
+++ b/libs/control/geraniumweir/control/tests/test_retries_over_changes.py
@@ -26,8 +26,8 @@
 _MISSED_SECONDS = 0.4
 _NAMES = ('e1', 'e2', 'e3')
 # Requests of each entry host in a step.
-_USUAL = 2
-_MOST = 6
+_USUAL_RATE = 2
+_MAX_RATE = 6
 _ASK = requests.Ask(
     request_id=ids.RequestId('request'),
     owner=ids.HostId('owner'),
@@ -50,21 +50,21 @@
 class _Entry:
     """An entry host.
 
-    :ivar cut_at: since when it is cut off, None in touch.
+    :ivar partitioned_at: since when it is cut off, None in touch.
     :ivar stays: with the control host that doesn't lead, cut off with it.
-    :ivar turned_to: the coordinator that it told what it was granted.
+    :ivar reported_to: the coordinator that it told what it was granted.
     """
 
     host_id: ids.HostId
     counting: retrycounts.Counting = dataclasses.field(init=False)
-    alone: retrybudget.RetryBudgets = dataclasses.field(init=False)
-    cut_at: float | None = None
+    standalone_budgets: retrybudget.RetryBudgets = dataclasses.field(init=False)
+    partitioned_at: float | None = None
     stays: bool = False
-    turned_to: typing.Optional['_Control'] = None
+    reported_to: typing.Optional['_Control'] = None
 
     def granter(self) -> ids.HostId:
         """Tell who answers its asks."""
-        found = self.turned_to
+        found = self.reported_to
         return self.host_id if found is None else found.host_id
 
 
@@ -97,7 +97,7 @@
         """Start with all hosts in touch."""
         super().__init__()
         self.now: float = 100
-        self.rate = _USUAL
+        self.rate = _USUAL_RATE
         self.fails = True
         self.asked: list[float] = []
         self.sent: list[float] = []
@@ -115,7 +115,7 @@
             self.now += _STEP
             self._step()
 
-    @stateful.rule(rate=st.integers(0, _MOST))
+    @stateful.rule(rate=st.integers(0, _MAX_RATE))
     def turn_to_rate(self, rate: int) -> None:
         """Let more or fewer callers come."""
         self.rate = rate
@@ -126,25 +126,25 @@
         self.fails = fails
 
     @stateful.rule(number=st.integers(0, 2))
-    def cut_off(self, number: int) -> None:
+    def make_unreachable(self, number: int) -> None:
         """Cut an entry host off, unless it is."""
         entry = self.entries[number]
-        if entry.cut_at is None:
-            entry.cut_at = self.now
-            entry.turned_to = None
-            entry.alone.begin(self.now + _MISSED_SECONDS)
+        if entry.partitioned_at is None:
+            entry.partitioned_at = self.now
+            entry.reported_to = None
+            entry.standalone_budgets.begin(self.now + _MISSED_SECONDS)
 
     @stateful.rule(number=st.integers(0, 2))
-    def come_back(self, number: int) -> None:
+    def make_reachable(self, number: int) -> None:
         """Let an entry host be in touch again."""
-        self.entries[number].cut_at = None
+        self.entries[number].partitioned_at = None
 
     @stateful.rule(number=st.integers(0, 2))
     def restart(self, number: int) -> None:
         """Let an entry host forget all."""
         before = self.entries[number]
         self.entries[number] = self._started(_NAMES[number])
-        self.entries[number].cut_at = before.cut_at
+        self.entries[number].partitioned_at = before.partitioned_at
         self.entries[number].stays = before.stays
 
     @stateful.rule()
@@ -205,7 +205,7 @@
             self.now,
             entry.granter,
         )
-        entry.alone = retrybudget.RetryBudgets(
+        entry.standalone_budgets = retrybudget.RetryBudgets(
             _BUDGET,
             retrybudget.ALONE,
             self.now,
@@ -215,16 +215,16 @@
     def _step(self) -> None:
         for entry in self.entries:
             found = self.controls[self.leader ^ entry.stays]
-            if entry.cut_at is None:
-                self._meet(found, entry)
+            if entry.partitioned_at is None:
+                self._exchange(found, entry)
                 self._offer(entry, found.budgets)
-            elif self.now - entry.cut_at >= _MISSED_SECONDS:
-                self._offer(entry, entry.alone)
+            elif self.now - entry.partitioned_at >= _MISSED_SECONDS:
+                self._offer(entry, entry.standalone_budgets)
 
-    def _meet(self, found: _Control, entry: _Entry) -> None:
+    def _exchange(self, found: _Control, entry: _Entry) -> None:
         found.hosts.heard(entry.host_id, self.now)
-        if entry.turned_to is not found:
-            entry.turned_to = found
+        if entry.reported_to is not found:
+            entry.reported_to = found
             counts = entry.counting.told_to(found.host_id, self.now)
             found.budgets.learn(entry.host_id, counts, self.now)
 
@@ -279,7 +279,7 @@
     hosts = RetriesOverChanges()
     hosts.let_pass(2 * _BUDGET.window)
     sent = sum(hosts.now - _BUDGET.window < at for at in hosts.sent)
-    asked = len(_NAMES) * _USUAL * _BUDGET.window / _STEP
+    asked = len(_NAMES) * _USUAL_RATE * _BUDGET.window / _STEP
     allowed = _BUDGET.ratio * asked + _BUDGET.slack
     assert sent > 0.75 * allowed
 
@@ -291,7 +291,7 @@
     hosts.change_to_one_that_forgot()
     hosts.let_pass(_BUDGET.window / 2)
     sent = sum(hosts.now - _BUDGET.window < at for at in hosts.sent)
-    asked = len(_NAMES) * _USUAL * _BUDGET.window / _STEP
+    asked = len(_NAMES) * _USUAL_RATE * _BUDGET.window / _STEP
     allowed = _BUDGET.ratio * asked + _BUDGET.slack
     assert sent > 0.6 * allowed
 
@@ -300,10 +300,10 @@
     """The others leave it that part while it is cut off, and after it."""
     hosts = RetriesOverChanges()
     hosts.let_pass(2 * _BUDGET.window)
-    hosts.cut_off(0)
+    hosts.make_unreachable(0)
     hosts.turn_to_rate(0)
     hosts.let_pass(3.4 * _BUDGET.window)
     hosts.restart(0)
-    hosts.come_back(0)
+    hosts.make_reachable(0)
     hosts.let_pass(_BUDGET.window)
     hosts.no_window_holds_more_than_the_budget()
--- a/libs/control/geraniumweir/control/tests/test_stall_detector.py
+++ b/libs/control/geraniumweir/control/tests/test_stall_detector.py
@@ -1,4 +1,4 @@
-"""A coordinator that froze coordinates nothing until it is followed again."""
+"""A coordinator that stalled coordinates nothing until it is confirmed."""
 
 import asyncio
 import typing
@@ -12,29 +12,29 @@
 _HERE = ids.HostId('control')
 _OTHER = ids.HostId('other')
 _ENTRY = ids.HostId('entry')
-_NOBODY = ids.HostId('')
+_NO_HOST = ids.HostId('')
 _DOMAIN = ids.FailureDomain('x')
 _ADDRESS = ids.Address('10.0.0.1', 1)
 
 
 class _Log:
-    """A log as a host that froze sees it."""
+    """The log as a stalled host sees it."""
 
     def __init__(self) -> None:
-        self.told = _HERE
+        self.leader_id = _HERE
         self.contact = float('inf')
 
     def leader(self) -> ids.HostId:
-        """Return who leads."""
-        return self.told
+        """Return the leader."""
+        return self.leader_id
 
     def is_leading(self) -> bool:
-        """Return whether it is this host, as far as it knows."""
-        return self.told == _HERE
+        """Return whether this host leads, by its own state."""
+        return self.leader_id == _HERE
 
-    def leads_since(self, at: float) -> bool:
+    def leads_since(self, since: float) -> bool:
         """Return whether a majority followed since then."""
-        return self.is_leading() and self.contact >= at
+        return self.is_leading() and self.contact >= since
 
 
 class _Bed:
@@ -53,7 +53,7 @@
         self._entry.learn(_HERE, _ADDRESS)
 
     def freeze(self, seconds: float) -> None:
-        """Freeze the machine; nothing is known of the log since."""
+        """Stall the machine; the log has had no contact since."""
         loop = asyncio.get_running_loop()
         self.log.contact = loop.time()
         typing.cast(virtual.VirtualTimeLoop, loop).freeze(seconds)
@@ -64,7 +64,7 @@
         return await self._entry.call(_HERE, ping, 1)
 
     def coordinator(self) -> ids.HostId:
-        """Return whom the control host takes for the coordinator."""
+        """Return the coordinator as the control host sees it."""
         return self.leadership.live(pool_coordination.ALL_DOMAINS)[0]
 
 
@@ -79,14 +79,14 @@
 
 
 @pytest.mark.parametrize('seconds', [0.6, 1, 6, 60])
-def test_frozen_coordinator_grants_nothing_when_it_wakes(
+def test_coordinator_that_stalled_grants_nothing_afterwards(
     seconds: float,
 ) -> None:
-    """It knows by its own clock that it may have been replaced."""
+    """Its clock shows that it may have been replaced."""
 
     async def work(bed: _Bed) -> None:
         bed.freeze(seconds)
-        assert bed.coordinator() == _NOBODY
+        assert bed.coordinator() == _NO_HOST
         pong = await bed.ping()
         assert not pong.leads
         assert not pong.stands_in
@@ -94,12 +94,12 @@
     _run(work)
 
 
-def test_it_goes_on_once_a_majority_follows_it() -> None:
-    """It froze for less than an election took."""
+def test_stalled_coordinator_continues_once_a_majority_follows() -> None:
+    """The stall was shorter than an election."""
 
     async def work(bed: _Bed) -> None:
         bed.freeze(0.7)
-        assert bed.coordinator() == _NOBODY
+        assert bed.coordinator() == _NO_HOST
         bed.log.contact = asyncio.get_running_loop().time()
         assert bed.coordinator() == _HERE
         assert (await bed.ping()).leads
@@ -107,8 +107,8 @@
     _run(work)
 
 
-def test_its_queues_go_when_it_leads_no_more() -> None:
-    """Whoever follows it there is told so, though it hears no leader yet."""
+def test_stalled_coordinator_drops_its_queues_when_it_lost_the_lead() -> None:
+    """Subscribers are notified although it sees no leader yet."""
 
     async def work(bed: _Bed) -> None:
         seen = []
@@ -116,23 +116,23 @@
             lambda _: seen.append(bed.coordinator()),
         )
         bed.freeze(6)
-        bed.log.told = _NOBODY
+        bed.log.leader_id = _NO_HOST
         await asyncio.sleep(0.25)
         assert seen
-        assert set(seen) == {_NOBODY}
-        bed.log.told = _OTHER
+        assert set(seen) == {_NO_HOST}
+        bed.log.leader_id = _OTHER
         await asyncio.sleep(0.2)
         assert bed.coordinator() == _OTHER
 
     _run(work)
 
 
-def test_it_stands_in_where_nobody_leads_for_long() -> None:
-    """Its side of a cut is served all the same."""
+def test_stalled_host_stands_in_when_no_host_leads_for_long() -> None:
+    """Its side of a partition is served all the same."""
 
     async def work(bed: _Bed) -> None:
         bed.freeze(6)
-        bed.log.told = _NOBODY
+        bed.log.leader_id = _NO_HOST
         await asyncio.sleep(1.3)
         assert bed.coordinator() == _HERE
         assert (await bed.ping()).stands_in
@@ -140,7 +140,7 @@
     _run(work)
 
 
-def test_host_that_is_only_slow_goes_on() -> None:
+def test_short_pauses_do_not_count_as_stalls() -> None:
     """Pauses shorter than any election change nothing."""
 
     async def work(bed: _Bed) -> None:
--- a/libs/control/geraniumweir/control/usage_codec.py
+++ b/libs/control/geraniumweir/control/usage_codec.py
@@ -5,18 +5,18 @@
 from geraniumweir.wire.gen.control import ttypes
 
 
-def pack(spent: spending.Spent) -> ttypes.Spent:
+def pack(usage: spending.Spent) -> ttypes.Spent:
     """Return the message; amounts are whole tokens or requests."""
     return ttypes.Spent(
-        spent.known_seconds,
+        usage.known_seconds,
         [
             ttypes.CustomerSpent(
                 customer,
                 {ago: round(amount) for ago, amount in amounts.items()},
             )
-            for customer, amounts in spent.customers.items()
+            for customer, amounts in usage.customers.items()
         ],
-        spent.retries.known_seconds,
+        usage.retries.known_seconds,
         [
             ttypes.PoolCounts(
                 pool,
@@ -24,7 +24,7 @@
                 dict(counts.here),
                 dict(counts.elsewhere),
             )
-            for pool, counts in spent.retries.pools.items()
+            for pool, counts in usage.retries.pools.items()
         ],
     )
 
@@ -34,18 +34,18 @@
     return spending.Spent(
         message.known_seconds,
         {
-            ids.CustomerName(told.customer): told.amounts
-            for told in message.customers
+            ids.CustomerName(reported.customer): reported.amounts
+            for reported in message.customers
         },
         retrycounts.Counts(
             message.retries_known_seconds or 0,
             {
-                ids.PoolName(told.pool): retrycounts.PoolCounts(
-                    told.requests,
-                    told.here,
-                    told.elsewhere,
+                ids.PoolName(reported.pool): retrycounts.PoolCounts(
+                    reported.requests,
+                    reported.here,
+                    reported.elsewhere,
                 )
-                for told in message.pools or ()
+                for reported in message.pools or ()
             },
         ),
     )
