--- a/libs/gateway/geraniumweir/gateway/admission.py
+++ b/libs/gateway/geraniumweir/gateway/admission.py
@@ -29,11 +29,11 @@
     """Routing document of this host.
 
     :ivar index: index of the document in force, None before the first.
-    :ivar sure: whether it is up to date.
+    :ivar up_to_date: whether it is up to date.
     """
 
     index: finding.Index | None
-    sure: bool
+    up_to_date: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -116,7 +116,7 @@
     )
     if route is not None:
         return route
-    if not document_state.sure:
+    if not document_state.up_to_date:
         raise refusals.possibly_outdated()
     raise refusals.permanent(
         _NOT_FOUND, 'no_route', 'no route matches this host and path'
@@ -144,7 +144,7 @@
         return customer
     if index is None or not index.document.customers:
         return None
-    if not document_state.sure:
+    if not document_state.up_to_date:
         raise refusals.possibly_outdated()
     raise refusals.permanent(_UNAUTHORIZED, 'unknown_key', 'unknown API key')
 
--- a/libs/gateway/geraniumweir/gateway/forwarding.py
+++ b/libs/gateway/geraniumweir/gateway/forwarding.py
@@ -153,12 +153,12 @@
 
     async def _serve_until_answered(self) -> web.StreamResponse:
         while True:
-            answer = await self._acquire_grant()
-            if isinstance(answer, requests.Denial):
-                return self._handle_denial(answer)
+            decision = await self._acquire_grant()
+            if isinstance(decision, requests.Denial):
+                return self._handle_denial(decision)
             self._record.granted = response_writer.now() - self._record.arrived
-            outcome = await self._dispatch(answer)
-            resp = self._handle_outcome(answer, outcome)
+            outcome = await self._dispatch(decision)
+            resp = self._handle_outcome(decision, outcome)
             if resp is not None:
                 return resp
 
@@ -168,15 +168,15 @@
         while True:
             slot_request = self._next_slot_request()
             self._state.slot_requested = True
-            answer = await self._shared.scheduler.ask(slot_request)
+            decision = await self._shared.scheduler.ask(slot_request)
             cause = None
-            if isinstance(answer, requests.Grant):
-                cause = self._shared.check.unusable_reason(answer)
+            if isinstance(decision, requests.Grant):
+                cause = self._shared.check.unusable_reason(decision)
             if cause is None:
                 if slot_request.sending is requests.Sending.retry:
-                    self._record_retry(answer)
-                return answer
-            self._release_unused(answer, cause)
+                    self._record_retry(decision)
+                return decision
+            self._release_unused(decision, cause)
             await asyncio.sleep(delay)
             delay = _REPEAT_DELAY_SECONDS
 
@@ -203,10 +203,10 @@
 
     def _record_retry(
         self,
-        answer: requests.Grant | requests.Denial,
+        decision: requests.Grant | requests.Denial,
     ) -> None:
         """Record a retry that was granted or that the budget denied."""
-        match answer:
+        match decision:
             case requests.Grant():
                 event, outcome = logevents.RETRIED, 'sent'
             case requests.Denial(reason=requests.DenialReason.retry_budget):
--- a/libs/gateway/geraniumweir/gateway/serving.py
+++ b/libs/gateway/geraniumweir/gateway/serving.py
@@ -111,11 +111,13 @@
         """Return the response to one request."""
         self.traffic.open += 1
         self._busy_connections.add(req.protocol)
-        caller = response_writer.ResponseWriter(req, self.traffic.closing)
+        caller_writer = response_writer.ResponseWriter(
+            req, self.traffic.closing
+        )
         record = request_record.RequestRecord('', response_writer.now())
         status = 0
         try:
-            resp = await self._answer(req, caller, record)
+            resp = await self._respond(req, caller_writer, record)
             status = resp.status
             return resp
         except (asyncio.CancelledError, ConnectionError):
@@ -144,16 +146,16 @@
                 tier,
             )
 
-    async def _answer(
+    async def _respond(
         self,
         req: web.BaseRequest,
-        caller: response_writer.ResponseWriter,
+        caller_writer: response_writer.ResponseWriter,
         record: request_record.RequestRecord,
     ) -> web.StreamResponse:
         try:
-            resp = await self._serve(req, caller, record)
+            resp = await self._serve(req, caller_writer, record)
         except common_errors.Refused as exc:
-            return self._refuse(caller, record, exc.refusal)
+            return self._refuse(caller_writer, record, exc.refusal)
         except (ConnectionError, asyncio.CancelledError):
             raise
         except Exception as exc:
@@ -164,15 +166,15 @@
                 response_writer.now(),
                 reason=repr(exc),
             )
-            if caller.resp is not None:
-                return caller.abort()
+            if caller_writer.resp is not None:
+                return caller_writer.abort()
             refused = refusals.may_have_run(
                 'internal', 'internal error of the entry host'
             )
-            return self._refuse(caller, record, refused.refusal)
+            return self._refuse(caller_writer, record, refused.refusal)
         if self.traffic.closing:
             resp.force_close()
-        if not caller.aborted:
+        if not caller_writer.aborted:
             record.log(
                 logevents.ENDED, response_writer.now(), status=resp.status
             )
@@ -180,7 +182,7 @@
 
     def _refuse(
         self,
-        caller: response_writer.ResponseWriter,
+        caller_writer: response_writer.ResponseWriter,
         record: request_record.RequestRecord,
         refusal: common_errors.Refusal,
     ) -> web.Response:
@@ -198,13 +200,13 @@
         )
         resp = self._shared.codec.refusal(record.request, refusal)
         if self.traffic.closing:
-            caller.request_close()
-        return caller.finish(resp)
+            caller_writer.request_close()
+        return caller_writer.finish(resp)
 
     async def _serve(
         self,
         req: web.BaseRequest,
-        caller: response_writer.ResponseWriter,
+        caller_writer: response_writer.ResponseWriter,
         record: request_record.RequestRecord,
     ) -> web.StreamResponse:
         caller_request = self._read_request(req)
@@ -230,7 +232,7 @@
         return await forwarding.RequestForwarder(
             self._shared,
             admitted,
-            caller,
+            caller_writer,
             record,
         ).serve()
 
--- a/libs/gateway/geraniumweir/gateway/tests/test_forwarding.py
+++ b/libs/gateway/geraniumweir/gateway/tests/test_forwarding.py
@@ -49,25 +49,27 @@
         return resp.status, await resp.read()
 
 
-def _play(
+def _send_request(
     *behaviours: testbed.Behavior,
     **changes: typing.Any,
 ) -> tuple[int, bytes, list[requests.Outcome], list[int]]:
     """Return the result of one request to servers granted in turn."""
 
-    async def work() -> tuple[int, bytes, list[requests.Outcome], list[int]]:
+    async def scenario() -> tuple[
+        int, bytes, list[requests.Outcome], list[int]
+    ]:
         servers = [testbed.Server(behavior) for behavior in behaviours]
         async with testbed.running(*servers, **changes) as running:
             status, body = await _get(running)
             seen = [len(server.seen) for server in servers]
             return status, body, running.scheduler.released, seen
 
-    return asyncio.run(work())
+    return asyncio.run(scenario())
 
 
 def test_complete_response_is_forwarded_unchanged() -> None:
     """Status and body are those of the server."""
-    status, body, _, _ = _play(testbed.answers(b'hello', '201 Created'))
+    status, body, _, _ = _send_request(testbed.answers(b'hello', '201 Created'))
     assert (status, body) == (201, b'hello')
 
 
@@ -85,17 +87,25 @@
 )
 def test_invalid_response_is_never_forwarded(invalid: testbed.Behavior) -> None:
     """An idempotent request is retried on another server, others get 502."""
-    assert _play(invalid, testbed.answers(b'good'))[:2] == (200, b'good')
+    assert _send_request(invalid, testbed.answers(b'good'))[:2] == (
+        200,
+        b'good',
+    )
     once = {'kind': tables.Kind.once, 'attempts': 1}
-    status, _, _, seen = _play(invalid, testbed.answers(b'good'), **once)
+    status, _, _, seen = _send_request(
+        invalid, testbed.answers(b'good'), **once
+    )
     assert (status, seen) == (502, [1, 0])
 
 
 def test_application_failure_is_retried_once() -> None:
     """One in seven responses of a plain service is such a failure."""
     failing = testbed.answers(b'failed', '500 Failed')
-    assert _play(failing, testbed.answers(b'good'))[:2] == (200, b'good')
-    status, body, _, seen = _play(failing, failing)
+    assert _send_request(failing, testbed.answers(b'good'))[:2] == (
+        200,
+        b'good',
+    )
+    status, body, _, seen = _send_request(failing, failing)
     assert (status, body, seen) == (500, b'failed', [1, 1])
 
 
@@ -103,7 +113,9 @@
     """The server states that it did not run the request."""
     full = testbed.answers(b'', '503 Full', 'Not-Run: yes\r\n')
     once = {'kind': tables.Kind.once, 'attempts': 1}
-    status, body, released, _ = _play(full, testbed.answers(b'good'), **once)
+    status, body, released, _ = _send_request(
+        full, testbed.answers(b'good'), **once
+    )
     assert (status, body) == (200, b'good')
     assert released[0] is requests.Outcome.turned_away
 
@@ -111,13 +123,15 @@
 def test_wrong_server_is_reported_to_the_scheduler() -> None:
     """Another incarnation of a server has the address."""
     wrong = testbed.answers(b'', '421 Misdirected', 'Not-Run: yes\r\n')
-    released = _play(wrong, testbed.answers(b'good'))[2]
+    released = _send_request(wrong, testbed.answers(b'good'))[2]
     assert released[0] is requests.Outcome.wrong_server
 
 
 def test_stream_is_forwarded() -> None:
     """All events and the end of the stream reach the caller."""
-    status, body, _, _ = _play(_streams((1, 2, 3), complete=True), **_STREAM)
+    status, body, _, _ = _send_request(
+        _streams((1, 2, 3), complete=True), **_STREAM
+    )
     assert status == 200
     assert body == b''.join(map(testbed.event, (1, 2, 3)))
 
@@ -135,7 +149,7 @@
 ) -> None:
     """The connection is closed before the end of the response."""
     with pytest.raises(aiohttp.ClientPayloadError):
-        _play(incomplete, **_STREAM)
+        _send_request(incomplete, **_STREAM)
 
 
 @pytest.mark.parametrize('numbers', [(1, 3), (1, 1)], ids=['gap', 'twice'])
@@ -143,14 +157,14 @@
     numbers: tuple[int, ...],
 ) -> None:
     """Nothing was sent to the caller yet, so it gets a status."""
-    assert _play(_streams(numbers, complete=True), **_STREAM)[0] == 502
+    assert _send_request(_streams(numbers, complete=True), **_STREAM)[0] == 502
 
 
 def test_resumable_stream_resumes_on_another_server() -> None:
     """It resumes after the last complete event, within one response."""
     truncated = _streams((1, 2), complete=False, tail=b'id: 3\nda')
     resumed = _streams((3, 4), complete=True)
-    body = _play(truncated, resumed, **_RESUMABLE)[1]
+    body = _send_request(truncated, resumed, **_RESUMABLE)[1]
     assert body == b''.join(map(testbed.event, (1, 2, 3, 4)))
 
 
@@ -191,13 +205,13 @@
 
 def test_request_at_a_server_gets_no_guarantee_at_its_timeout() -> None:
     """It gets 504 instead of 503, because the server may have run it."""
-    assert _play(_hang, timeout=0.2)[0] == 504
+    assert _send_request(_hang, timeout=0.2)[0] == 504
 
 
 def test_idle_connections_are_closed_when_the_host_drains() -> None:
     """A later request on such a connection would never be answered."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         server = testbed.Server(testbed.answers(b'good'))
         async with testbed.running(server) as running:
             assert (await _get(running))[0] == 200
@@ -207,7 +221,7 @@
                 while running.client.connector and _open(running.client):
                     await asyncio.sleep(0.01)
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
 def _open(session: aiohttp.ClientSession) -> bool:
@@ -240,12 +254,12 @@
 ) -> None:
     """A response to another request states nothing about this server."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with testbed.running(testbed.Server(behavior)) as running:
             await _get(running)
             assert list(running.server_notices.limits().values()) == limits
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
 def test_rate_limit_is_read_from_the_head_of_a_stream() -> None:
@@ -266,7 +280,7 @@
         writer.write(testbed.chunk(testbed.event(1)))
         writer.write(testbed.chunk(b''))
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with testbed.running(
             testbed.Server(behavior), **_STREAM
         ) as running:
@@ -277,7 +291,7 @@
                 status, _body = await _get(running)
             assert status == 200
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
 _LEAVING = 'Signed: yes\r\nLeaving: 1\r\n'
@@ -297,7 +311,7 @@
 ) -> None:
     """The request loses neither an attempt nor a retry by it."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         leaves = testbed.Server(behavior)
         stays = testbed.Server(testbed.answers(b'good'))
         async with testbed.running(leaves, stays, attempts=1) as running:
@@ -312,13 +326,13 @@
                 requests.Outcome.done,
             ]
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
 def test_grant_of_a_server_that_requested_a_pause_is_not_used() -> None:
     """Neither for the next request nor for the one that it rejected."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         full = 'Not-Run: 1\r\nPause: 0.5\r\n'
         pausing = testbed.Server(testbed.answers(b'', '503 Full', extra=full))
         other = testbed.Server(testbed.answers(b'good'))
@@ -341,7 +355,7 @@
                 requests.Outcome.done,
             ]
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
 def test_stream_of_a_leaving_server_is_completed() -> None:
@@ -362,7 +376,7 @@
             await asyncio.sleep(0.02)
         writer.write(testbed.chunk(b''))
 
-    status, body, released, _ = _play(behavior, **_STREAM)
+    status, body, released, _ = _send_request(behavior, **_STREAM)
     assert status == 200
     assert body == b''.join(map(testbed.event, (1, 2, 3)))
     assert released == [requests.Outcome.done]
--- a/libs/gateway/geraniumweir/gateway/tests/test_retries.py
+++ b/libs/gateway/geraniumweir/gateway/tests/test_retries.py
@@ -10,13 +10,13 @@
 _HEAD = {'Id': 'r1'}
 
 
-def _play_without_retries(
+def _send_request_without_retries(
     behavior: testbed.Behavior,
     **changes: typing.Any,
 ) -> tuple[int, bytes]:
     """Return the response to a request whose retries are denied."""
 
-    async def work() -> tuple[int, bytes]:
+    async def scenario() -> tuple[int, bytes]:
         servers = [
             testbed.Server(behavior),
             testbed.Server(testbed.answers(b'good')),
@@ -29,16 +29,16 @@
             assert running.scheduler.slot_requested == [first, retry]
             return answered
 
-    return asyncio.run(work())
+    return asyncio.run(scenario())
 
 
 def test_denied_retry_forwards_the_result_of_the_server() -> None:
     """Its error response, or a refusal that the request did not run."""
     failing = testbed.answers(b'failed', '500 Failed')
-    assert _play_without_retries(failing) == (500, b'failed')
+    assert _send_request_without_retries(failing) == (500, b'failed')
     full = testbed.answers(b'', '503 Full', 'Not-Run: yes\r\n')
     once = {'kind': tables.Kind.once, 'attempts': 1}
-    status, body = _play_without_retries(full, **once)
+    status, body = _send_request_without_retries(full, **once)
     assert status == 503
     assert b'retry_budget' in body
 
@@ -48,4 +48,4 @@
 ):
     """The response belongs to another request, so the request may have run."""
     foreign = testbed.answers(b'hello', request_id='another')
-    assert _play_without_retries(foreign)[0] == 502
+    assert _send_request_without_retries(foreign)[0] == 502
--- a/libs/rollout/geraniumweir/rollout/controller.py
+++ b/libs/rollout/geraniumweir/rollout/controller.py
@@ -372,4 +372,4 @@
 
     def _completion_reason(self) -> str:
         evidence = self._evidence
-        return f'{evidence.answers} answers were evaluated as good'
+        return f'{evidence.answers} answers were judged good'
