--- a/libs/scheduling/geraniumweir/scheduling/tests/reference_policy.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/reference_policy.py
@@ -1,4 +1,4 @@
-"""The queue's policy, slow and obvious, for differential tests.
+"""Reference implementation of the fair queue for differential tests.
 
 Every decision looks at all waiting requests; nothing is indexed.
 """
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Item:
-    """A waiting request.
+    """Waiting request.
 
     :ivar starts: latest start by server class.
     """
@@ -25,10 +25,10 @@
 
 
 class ReferenceQueue:
-    """What :class:`fairqueue.FairQueue` should do, read from its page."""
+    """Reference for :class:`fairqueue.FairQueue`, from its documentation."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Initialize an empty queue."""
         self.items: list[Item] = []
         self.times: dict[fairqueue.Flow, float] = {}
         self.floors: dict[ids.Tier, float] = dict.fromkeys(
@@ -37,7 +37,7 @@
         )
 
     def add(self, item: Item) -> None:
-        """Let an item wait."""
+        """Add an item."""
         flow = (item.tier, item.customer)
         if not self._waits(flow):
             floor = self.floors[item.tier]
@@ -45,7 +45,7 @@
         self.items.append(item)
 
     def remove(self, item: Item) -> None:
-        """Take an item out."""
+        """Remove an item."""
         self.items.remove(item)
 
     def charge(self, flow: fairqueue.Flow, cost: float) -> None:
--- a/libs/scheduling/geraniumweir/scheduling/tests/scenes.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/scenes.py
@@ -1,4 +1,4 @@
-"""A pool leader with servers made up by a test, in virtual time."""
+"""Pool leader with servers defined by a test, in virtual time."""
 
 import asyncio
 import dataclasses
@@ -17,7 +17,7 @@
 
 
 def engine(name: str, **fields: typing.Any) -> servers.Announcement:
-    """Make up an engine."""
+    """Return the announcement of an engine."""
     known: dict[str, typing.Any] = {
         'incarnation': ids.Incarnation(1),
         'address': ids.Address('127.0.0.1', 1),
@@ -35,14 +35,14 @@
 
 
 class Scene:
-    """A leader, its servers, and what was asked of it."""
+    """Pool leader, its servers and the requests sent to it."""
 
     def __init__(
         self,
         *live: servers.Announcement,
         **cfg: typing.Any,
     ) -> None:
-        """Start a leader on the running loop.
+        """Initialize a leader on the running loop.
 
         :param cfg: fields of the leader's settings.
         """
@@ -58,7 +58,7 @@
         self.numbers = itertools.count(1)
 
     def make(self, wait: float = 60, **fields: typing.Any) -> requests.Ask:
-        """Make up an ask that is due in some seconds."""
+        """Return a slot request that is due in some seconds."""
         number = next(self.numbers)
         known: dict[str, typing.Any] = {
             'request_id': ids.RequestId(f'request-{number}'),
@@ -82,7 +82,7 @@
         wait: float = 60,
         **fields: typing.Any,
     ) -> asyncio.Task[Answer]:
-        """Ask, and let the leader look at it."""
+        """Send a slot request and let the leader process it."""
         task = asyncio.create_task(self.leader.ask(self.make(wait, **fields)))
         await asyncio.sleep(0)
         return task
@@ -92,7 +92,7 @@
         wait: float = 60,
         **fields: typing.Any,
     ) -> requests.Grant:
-        """Ask for what must be granted at once."""
+        """Send a slot request that must be granted at once."""
         answer = await (await self.start(wait, **fields))
         assert isinstance(answer, requests.Grant), answer
         return answer
@@ -108,7 +108,7 @@
         self.leader.release(release)
 
     def change(self, name: str, **fields: typing.Any) -> None:
-        """Change what a server announces."""
+        """Change the announcement of a server."""
         self.live = [
             dataclasses.replace(server, **fields)
             if server.server_id == name
@@ -118,14 +118,14 @@
 
 
 async def granted(task: asyncio.Task[Answer]) -> requests.Grant:
-    """Await what must be a grant."""
+    """Return the answer, which must be a grant."""
     answer = await task
     assert isinstance(answer, requests.Grant), answer
     return answer
 
 
 async def denied(task: asyncio.Task[Answer]) -> requests.DenialReason:
-    """Await what must be a denial."""
+    """Return the reason of the answer, which must be a denial."""
     answer = await task
     assert isinstance(answer, requests.Denial), answer
     return answer.reason
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_affinity.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_affinity.py
@@ -1,4 +1,4 @@
-"""Prefixes, the learnt limit and the tier order where they meet."""
+"""Tests of prefixes, concurrency limit and tier order together."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 _BLOCKS = tuple(ids.BlockHash(number) for number in range(50))
 
 
-def test_request_waits_for_the_holder_of_its_prefix() -> None:
+def test_request_waits_for_a_server_with_its_prefix() -> None:
     """A free server without the prefix stays free for a while."""
 
     async def scenario() -> None:
@@ -24,8 +24,8 @@
     virtual.run(scenario())
 
 
-def test_wait_for_a_holder_ends() -> None:
-    """A holder that never frees doesn't keep a request for ever."""
+def test_wait_for_a_server_with_the_prefix_ends() -> None:
+    """A server with the prefix that stays busy does not block a request."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'), scenes.engine('two'))
@@ -37,8 +37,8 @@
     virtual.run(scenario())
 
 
-def test_prefix_in_prefill_is_waited_for() -> None:
-    """A second request does not compute what the first still computes."""
+def test_request_waits_for_its_prefix_in_prefill() -> None:
+    """A second request does not compute what the first is computing."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', slots=4))
@@ -46,16 +46,16 @@
         again = await scene.start(blocks=_BLOCKS, prompt_tokens=5000)
         await asyncio.sleep(0.5)
         assert not again.done()
-        news = requests.Progress(first.request_id, 0.6, 1)
-        scene.leader.progress(news)
+        update = requests.Progress(first.request_id, 0.6, 1)
+        scene.leader.progress(update)
         await asyncio.sleep(0.5)
         assert again.done()
 
     virtual.run(scenario())
 
 
-def test_newcomer_of_a_lower_tier_leaves_room_to_the_higher() -> None:
-    """It goes after a higher one that only lacks KV room."""
+def test_new_request_of_a_lower_tier_leaves_room_to_a_higher() -> None:
+    """It goes after a request of a higher tier that only lacks KV room."""
 
     async def scenario() -> None:
         scene = scenes.Scene(
@@ -85,8 +85,8 @@
     virtual.run(scenario())
 
 
-def test_limit_keeps_half_of_the_slots() -> None:
-    """Bad evidence without end can't close a server; good brings it back."""
+def test_limit_keeps_at_least_half_of_the_slots() -> None:
+    """Slow answers never lower the limit below half; good ones restore it."""
     limit = concurrency.Limit(16)
     for second in range(100):
         limit.observe(60, 1, float(second))
@@ -96,8 +96,8 @@
     assert limit.rounded == 16
 
 
-def test_new_rule_is_not_refused_for_the_lengths_of_others() -> None:
-    """A few long answers of one rule say nothing of another."""
+def test_new_rule_is_not_denied_for_the_lengths_of_others() -> None:
+    """A few long answers of one rule do not affect another rule."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', slots=4))
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_fairqueue.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_fairqueue.py
@@ -1,4 +1,4 @@
-"""The fair queue against a slow reference, and its fairness."""
+"""Tests of the fair queue against a slow reference, and of its fairness."""
 
 import random
 
@@ -12,8 +12,8 @@
 
 
 @pytest.mark.parametrize('seed', range(6))
-def test_same_as_the_reference(seed: int) -> None:
-    """On generated traffic each decision is the reference's."""
+def test_decisions_equal_the_reference(seed: int) -> None:
+    """On generated traffic each decision equals that of the reference."""
     rng = random.Random(seed)
     queue: fairqueue.FairQueue[str, int] = fairqueue.FairQueue()
     reference = reference_policy.ReferenceQueue()
@@ -52,8 +52,8 @@
     )
 
 
-def test_shares_hold_between_greedy_customers() -> None:
-    """With all of them always waiting, service follows the shares."""
+def test_shares_hold_between_customers_that_always_wait() -> None:
+    """While all customers wait all the time, service follows the shares."""
     queue: fairqueue.FairQueue[str, int] = fairqueue.FairQueue()
     shares = {'one': 1.0, 'two': 2.0, 'four': 4.0}
     owners: dict[int, str] = {}
@@ -77,8 +77,8 @@
     assert abs(served['four'] - 400) <= 8
 
 
-def test_time_away_earns_no_credit() -> None:
-    """Who comes back does not take all service to catch up."""
+def test_idle_time_earns_no_credit() -> None:
+    """A returning customer does not take all service to catch up."""
     queue: fairqueue.FairQueue[str, int] = fairqueue.FairQueue()
     busy = (ids.Tier.normal, ids.CustomerName('busy'))
     back = (ids.Tier.normal, ids.CustomerName('back'))
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_faults.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Servers that stall, fail or crash, and the requests that make them."""
+"""Tests of servers that stall, fail or crash, and of requests that cause it."""
 
 import asyncio
 
@@ -6,11 +6,11 @@
 from geraniumweir.scheduling import requests, suspects
 from geraniumweir.scheduling.tests import scenes
 
-_POISON = ids.Fingerprint(1313)
+_CRASHING = ids.Fingerprint(1313)
 
 
 def test_server_without_first_token_gets_no_more_work() -> None:
-    """One that accepts but never answers is left, and tried again later."""
+    """A server that accepts but never answers is avoided, and probed later."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('dumb', slots=8))
@@ -24,8 +24,8 @@
     virtual.run(scenario())
 
 
-def test_straggler_comes_back_through_a_small_share() -> None:
-    """After its pause it gets one at a time, then two, then four."""
+def test_straggler_returns_with_few_requests_at_first() -> None:
+    """After its cooldown it gets one request at a time, then two, then four."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', slots=8))
@@ -53,7 +53,7 @@
 
 
 def test_stall_in_the_middle_of_a_stream() -> None:
-    """Tokens that stop coming close the server to new work."""
+    """A stream whose tokens stop closes the server to new work."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', slots=8))
@@ -71,7 +71,7 @@
 
 
 def test_server_that_fails_at_once_is_not_the_fastest() -> None:
-    """Quick failures in a row close a server."""
+    """Fast failures in a row close a server."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('bad'), scenes.engine('good'))
@@ -88,23 +88,23 @@
     virtual.run(scenario())
 
 
-def test_refused_connection_sends_the_request_elsewhere() -> None:
-    """A dispatch that never left may ask again, and avoids the server."""
+def test_request_after_a_refused_connection_goes_elsewhere() -> None:
+    """A request that was not sent is repeated and avoids the server."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'), scenes.engine('two'))
-        ask = scene.make()
-        first = await scene.leader.ask(ask)
+        slot_request = scene.make()
+        first = await scene.leader.ask(slot_request)
         assert isinstance(first, requests.Grant)
         scene.end(first, requests.Outcome.not_sent)
-        second = await scene.leader.ask(ask)
+        second = await scene.leader.ask(slot_request)
         assert isinstance(second, requests.Grant)
         assert second.server_id != first.server_id
 
     virtual.run(scenario())
 
 
-def test_learnt_limit_keeps_engine_queues_short() -> None:
+def test_estimated_limit_keeps_engine_queues_short() -> None:
     """Reports of a queue inside the engine lower its limit."""
 
     async def scenario() -> None:
@@ -123,18 +123,18 @@
     virtual.run(scenario())
 
 
-def test_poison_is_quarantined_at_the_second_crash() -> None:
-    """It crashes two servers and no third; its neighbours stay free."""
+def test_crashing_request_is_quarantined_at_the_second_crash() -> None:
+    """It crashes two servers and no third; concurrent requests stay allowed."""
 
     async def scenario() -> None:
         scene = scenes.Scene(
             *(scenes.engine(f'e{each}', slots=8) for each in range(3)),
         )
-        neighbours = [await scene.grant() for _ in range(12)]
+        others = [await scene.grant() for _ in range(12)]
         crashes = 0
         marks = [ids.Fingerprint(number) for number in range(1, 13)]
         for _ in range(5):
-            task = await scene.start(fingerprint=_POISON)
+            task = await scene.start(fingerprint=_CRASHING)
             answer = await task
             if isinstance(answer, requests.Denial):
                 break
@@ -151,22 +151,22 @@
             again = await scene.start(fingerprint=mark)
             await asyncio.sleep(3)
             scene.end(await scenes.granted(again))
-        assert neighbours
+        assert others
 
     virtual.run(scenario())
 
 
-def test_suspect_runs_alone_of_its_kind() -> None:
-    """Two of one suspected fingerprint never run together."""
+def test_suspects_of_one_fingerprint_do_not_run_together() -> None:
+    """Two requests with one suspected fingerprint never run together."""
 
     async def scenario() -> None:
         scene = scenes.Scene(
             *(scenes.engine(f'e{each}', slots=8) for each in range(3)),
         )
-        first = await scene.grant(fingerprint=_POISON)
+        first = await scene.grant(fingerprint=_CRASHING)
         scene.leader.server_crashed(first.server_id, first.incarnation)
-        one = await scene.grant(fingerprint=_POISON)
-        two = await scene.start(fingerprint=_POISON)
+        one = await scene.grant(fingerprint=_CRASHING)
+        two = await scene.start(fingerprint=_CRASHING)
         await asyncio.sleep(1)
         assert not two.done()
         scene.end(one)
@@ -175,25 +175,25 @@
     virtual.run(scenario())
 
 
-def test_crash_shown_by_a_new_incarnation_only() -> None:
-    """Owners saw failures; the restart names them as suspects."""
+def test_crash_detected_only_by_a_new_incarnation() -> None:
+    """Requests that failed before a restart become suspects."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', slots=4))
-        grant = await scene.grant(fingerprint=_POISON)
+        grant = await scene.grant(fingerprint=_CRASHING)
         scene.end(grant, requests.Outcome.failed)
         await asyncio.sleep(20)
         scene.change('one', incarnation=2)
         await asyncio.sleep(0.5)
         scene.leader.grant_waiting()
         cases = scene.leader.suspects.export(scene.loop.time())
-        assert [case.fingerprint for case in cases] == [_POISON]
+        assert [case.fingerprint for case in cases] == [_CRASHING]
 
     virtual.run(scenario())
 
 
-def test_crashed_server_comes_back_empty() -> None:
-    """A crash frees its slots, once the new incarnation is there."""
+def test_crashed_server_returns_empty() -> None:
+    """A crash frees its slots once the new incarnation is announced."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', slots=2))
@@ -215,33 +215,33 @@
 
 
 def test_quarantine_spreads_between_leaders() -> None:
-    """What one leader exports, another refuses."""
+    """A quarantine that one leader exports holds at another."""
 
     async def scenario() -> None:
         one = scenes.Scene(scenes.engine('one'))
         two = scenes.Scene(scenes.engine('two'))
         for _ in range(2):
-            one.leader.suspects.crashed([_POISON], one.loop.time())
+            one.leader.suspects.crashed([_CRASHING], one.loop.time())
         cases = one.leader.suspects.export(one.loop.time())
         two.leader.suspects.merge(cases, two.loop.time())
-        task = await two.start(fingerprint=_POISON)
+        task = await two.start(fingerprint=_CRASHING)
         reason = await scenes.denied(task)
         assert reason is requests.DenialReason.quarantined
 
     virtual.run(scenario())
 
 
-def test_crashes_that_two_leaders_saw_are_added() -> None:
-    """One each is enough, whichever hears of the other's, and how often."""
+def test_crashes_seen_by_two_leaders_are_added() -> None:
+    """One crash at each of two leaders suffices, in any order of exchange."""
     one = suspects.Suspects(300, 'one')
     two = suspects.Suspects(300, 'two')
-    one.crashed([_POISON], 0)
-    two.crashed([_POISON], 0)
+    one.crashed([_CRASHING], 0)
+    two.crashed([_CRASHING], 0)
     for _ in range(3):
-        assert one.verdict(_POISON, 1) is suspects.Verdict.suspect
+        assert one.verdict(_CRASHING, 1) is suspects.Verdict.suspect
         one.merge(one.export(1), 1)
     one.merge(two.export(1), 1)
     two.merge(one.export(1), 1)
     quarantined = suspects.Verdict.quarantined
-    assert one.verdict(_POISON, 2) is quarantined
-    assert two.verdict(_POISON, 2) is quarantined
+    assert one.verdict(_CRASHING, 2) is quarantined
+    assert two.verdict(_CRASHING, 2) is quarantined
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
@@ -1,8 +1,8 @@
-"""A state machine over a pool leader, for what must always hold.
+"""State machine test of the invariants of a pool leader.
 
-Servers come, go and crash, requests of all kinds arrive, owners answer
-preemptions late, repeat releases and hand over to a new leader; after each
-step the grants in use are counted anew from outside.
+Servers appear, leave and crash, requests of all kinds arrive, owners answer
+preemptions late, repeat releases and hand over to a new leader. After each
+step the grants in use are counted independently of the leader.
 """
 
 import asyncio
@@ -17,21 +17,21 @@
 from hypothesis import strategies as st
 
 _KV_TOKENS = 1100
-_MOST_OUTPUT = 256
+_MAX_OUTPUT_TOKENS = 256
 _SLOTS = 3
 _QUEUE = 6
-_FOR_CAPACITY = {
+_CAPACITY_REASONS = {
     requests.DenialReason.shed,
     requests.DenialReason.too_late,
     requests.DenialReason.queue_full,
 }
-_CALM_SECONDS = 1.0
+_UNCHANGED_SECONDS = 1.0
 _FRESH_SECONDS = 4.5
 
 
 @dataclasses.dataclass(slots=True)
 class _Use:
-    """A grant in use as its owner sees it."""
+    """Grant in use as its owner sees it."""
 
     ask: requests.Ask
     grant: requests.Grant
@@ -39,10 +39,10 @@
 
 
 class LeaderMachine(stateful.RuleBasedStateMachine):
-    """Drives a leader and checks it from outside."""
+    """State machine that drives a leader and checks it from outside."""
 
     def __init__(self) -> None:
-        """Start with two servers."""
+        """Initialize with two servers."""
         super().__init__()
         self.loop = virtual.VirtualTimeLoop()
         self.runner = asyncio.Runner(loop_factory=lambda: self.loop)
@@ -51,7 +51,7 @@
         self.tasks: dict[
             ids.RequestId, tuple[requests.Ask, asyncio.Task[scenes.Answer]]
         ] = {}
-        self.prompt = True
+        self.cancels_at_once = True
         self.incarnations: collections.Counter[str] = collections.Counter()
         self.runner.run(self._begin())
 
@@ -100,8 +100,8 @@
         self._pass(0.001)
 
     @stateful.rule(tier=st.sampled_from(list(ids.Tier)[:3]))
-    def press(self, tier: ids.Tier) -> None:
-        """Low work fills the servers, then something higher must be served."""
+    def fill_and_send_higher(self, tier: ids.Tier) -> None:
+        """Low tiers fill the servers, then a request of a higher tier arrives."""
         for number in range(2 * _SLOTS):
             idempotent = number != _SLOTS
             low = self.scene.make(
@@ -116,8 +116,8 @@
 
     @stateful.precondition(lambda machine: machine.tasks)
     @stateful.rule(pick=st.randoms(use_true_random=False))
-    def ask_again(self, pick: object) -> None:
-        """An owner repeats an ask that waits."""
+    def repeat_request(self, pick: object) -> None:
+        """An owner repeats a waiting slot request."""
         slot_request, _ = pick.choice(list(self.tasks.values()))  # type: ignore
         again = self.loop.create_task(self.scene.leader.ask(slot_request))
         self._pass(0.001)
@@ -126,7 +126,7 @@
     @stateful.precondition(lambda machine: machine.tasks)
     @stateful.rule(pick=st.randoms(use_true_random=False))
     def withdraw(self, pick: object) -> None:
-        """A caller goes away."""
+        """A caller disconnects."""
         request_id = pick.choice(list(self.tasks))  # type: ignore
         self.scene.leader.withdraw(request_id)
         self._pass(0.001)
@@ -152,7 +152,7 @@
         outcome: requests.Outcome,
         repeat: bool,
     ) -> None:
-        """Granted work ends, and its end may be told twice."""
+        """A granted request ends, and its release may be repeated."""
         request_id = pick.choice(list(self.used))  # type: ignore
         for _ in range(1 + repeat):
             self._release(request_id, outcome)
@@ -168,17 +168,17 @@
         )
         self._pass(0.001)
         if use and outcome is requests.Outcome.not_sent:
-            # Past its deadline it would be refused whoever runs.
+            # Past its deadline it would be denied whatever else runs.
             due = max(use.ask.deadline, self.loop.time() + _FRESH_SECONDS)
             self._ask(dataclasses.replace(use.ask, deadline=due))
 
     @stateful.rule(prompt=st.booleans())
-    def owners_are(self, prompt: bool) -> None:
-        """Owners cancel what the leader wants cancelled, at once or not."""
-        self.prompt = prompt
+    def set_owners(self, prompt: bool) -> None:
+        """Owners cancel preempted streams at once or late."""
+        self.cancels_at_once = prompt
         self._pass(0.05)
 
-    def _cancel_wanted(self) -> None:
+    def _cancel_preempted(self) -> None:
         for preempt in list(self.scene.preempts):
             if preempt.request_id in self.used:
                 self.used.pop(preempt.request_id)
@@ -191,12 +191,12 @@
 
     @stateful.rule(seconds=st.sampled_from([0.05, 0.5, 2.0]))
     def wait(self, seconds: float) -> None:
-        """Time goes by."""
+        """Time passes."""
         self._pass(seconds)
 
     @stateful.rule(name=st.sampled_from(['e0', 'e1', 'e2']))
-    def come_or_go(self, name: str) -> None:
-        """A server shows up or leaves; its work goes on."""
+    def appear_or_leave(self, name: str) -> None:
+        """A server appears or leaves; its requests continue."""
         live = [one for one in self.scene.live if one.server_id != name]
         if len(live) == len(self.scene.live):
             live.append(self._engine(name))
@@ -207,7 +207,7 @@
 
     @stateful.rule(name=st.sampled_from(['e0', 'e1', 'e2']))
     def crash(self, name: str) -> None:
-        """A server crashes, and its owners notice."""
+        """A server crashes, and the owners notice."""
         incarnation = ids.Incarnation(1 + self.incarnations[name])
         self.incarnations[name] += 1
         lost = [
@@ -227,7 +227,7 @@
 
     @stateful.rule()
     def change_leader(self) -> None:
-        """A new leader takes over the grants and the waiting."""
+        """A new leader takes over the grants and the waiting requests."""
         self.runner.run(self._change_leader())
         self._collect()
 
@@ -255,13 +255,13 @@
 
     def _pass(self, seconds: float) -> None:
         end = self.loop.time() + seconds
-        # In small steps, so that each denial is looked at when it comes.
+        # In small steps, so that each denial is checked when it arrives.
         while self.loop.time() < end:
             step = min(0.05, end - self.loop.time())
             self.runner.run(asyncio.sleep(step))
             self._collect()
-            if self.prompt:
-                self._cancel_wanted()
+            if self.cancels_at_once:
+                self._cancel_preempted()
 
     def _collect(self) -> None:
         for slot_request, task in list(self.tasks.values()):
@@ -279,37 +279,37 @@
                 self.used[slot_request.request_id] = _Use(
                     slot_request, answer, now
                 )
-            case requests.Denial(reason=reason) if reason in _FOR_CAPACITY:
+            case requests.Denial(reason=reason) if reason in _CAPACITY_REASONS:
                 self._check_denial(slot_request)
 
     def _check_denial(self, denied: requests.Ask) -> None:
-        """No lower tier runs where the denied request could have run."""
+        """Check that no lower tier runs where a denied request could have run."""
         if any(one.request_id in self.used for one in self.scene.preempts):
-            # Owners are late with what should have made way.
+            # Owners have not yet cancelled all preempted streams.
             return
         live = {one.server_id: one for one in self.scene.live}
         capacity = self.scene.leader.summary().capacity
         if sum(one.slots for one in capacity) < _SLOTS * len(live):
-            # A server in probation or with failures is no fair chance.
+            # A server in probation or with failures cannot take every request.
             return
         for name, server in live.items():
             uses = [
                 use for use in self.used.values() if use.grant.server_id == name
             ]
-            if server.can_cancel and self._calm(uses):
-                assert not _could_have_made_way(uses, denied)
+            if server.can_cancel and self._is_unchanged(uses):
+                assert not _could_have_run(uses, denied)
 
-    def _calm(self, uses: list[_Use]) -> bool:
-        """Return whether a server was left as it is for a while.
+    def _is_unchanged(self, uses: list[_Use]) -> bool:
+        """Return whether a server has been unchanged for a while.
 
-        Prefill granted just now may make it too slow for the request.
+        Prefill granted just before may make it too slow for the request.
         """
         now = self.loop.time()
-        return all(now - use.since > _CALM_SECONDS for use in uses)
+        return all(now - use.since > _UNCHANGED_SECONDS for use in uses)
 
     @stateful.invariant()
     def never_overcommitted(self) -> None:
-        """Slots and KV room hold what was granted."""
+        """Check that slots and KV cache room hold what was granted."""
         by_server = collections.defaultdict(list)
         for use in self.used.values():
             by_server[use.grant.server_id].append(use.ask)
@@ -320,15 +320,15 @@
 
     @stateful.invariant()
     def preempts_only_what_may_be(self) -> None:
-        """Nothing non-idempotent is preempted, nor twice."""
+        """Check that nothing non-idempotent is preempted, and nothing twice."""
         wanted = [one.request_id for one in self.scene.preempts]
         assert len(set(wanted)) == len(wanted)
         for request_id in wanted:
             assert self.asked[request_id].idempotent
 
     @stateful.invariant()
-    def free_servers_leave_nobody_waiting(self) -> None:
-        """With nothing in use on trusted servers, nobody waits."""
+    def nothing_waits_beside_free_servers(self) -> None:
+        """Check that nothing waits while trusted servers are all free."""
         capacity = self.scene.leader.summary().capacity
         if not self.used and any(one.free for one in capacity):
             assert not self.tasks
@@ -338,17 +338,17 @@
         self.runner.close()
 
 
-def _could_have_made_way(uses: list[_Use], denied: requests.Ask) -> bool:
-    """Return whether lower streams of a server held the room for a request."""
-    staying = [use.ask for use in uses if not _spared(use, denied)]
+def _could_have_run(uses: list[_Use], denied: requests.Ask) -> bool:
+    """Return whether lower tiers held the room that a request needs."""
+    staying = [use.ask for use in uses if not _is_preemptible(use, denied)]
     tokens = sum(
-        slot_request.prompt_tokens + _MOST_OUTPUT
+        slot_request.prompt_tokens + _MAX_OUTPUT_TOKENS
         for slot_request in (*staying, denied)
     )
     return len(staying) < len(uses) and tokens <= _KV_TOKENS
 
 
-def _spared(use: _Use, denied: requests.Ask) -> bool:
+def _is_preemptible(use: _Use, denied: requests.Ask) -> bool:
     return use.ask.idempotent and use.ask.tier > denied.tier
 
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_leader.py
@@ -1,4 +1,4 @@
-"""The face of a pool leader: repeated asks, leader change, lost owners."""
+"""Tests of a pool leader: repeated requests, change of leader, lost owners."""
 
 import asyncio
 
@@ -9,8 +9,8 @@
 _TICK = 0.25
 
 
-def test_repeated_ask_of_waiting_joins() -> None:
-    """Two asks of one id get the same grant, and it takes one slot."""
+def test_repeated_request_joins_the_waiting_one() -> None:
+    """Two slot requests with one id get the same grant and take one slot."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'))
@@ -30,8 +30,8 @@
     virtual.run(scenario())
 
 
-def test_asker_gone_frees_its_grant() -> None:
-    """A grant nobody awaits any more goes back to the pool."""
+def test_grant_of_cancelled_caller_is_returned() -> None:
+    """A grant that nobody awaits any more is returned to the pool."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'))
@@ -46,8 +46,8 @@
     virtual.run(scenario())
 
 
-def test_withdrawn_while_waiting() -> None:
-    """A caller that went away takes no slot."""
+def test_request_withdrawn_while_waiting_takes_no_slot() -> None:
+    """A request whose caller disconnected takes no slot."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'))
@@ -64,7 +64,7 @@
 
 
 def test_late_and_repeated_releases_are_ignored() -> None:
-    """A second release does not free a second slot."""
+    """A repeated release does not free a second slot."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'))
@@ -82,7 +82,7 @@
 
 
 def test_new_leader_waits_for_open_grants() -> None:
-    """Nothing is granted before the owners handed over, nor overcommitted."""
+    """Nothing is granted before owners hand over, nor more than fits."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'), settle_seconds=2)
@@ -106,8 +106,8 @@
     virtual.run(scenario())
 
 
-def test_settling_ends_by_itself() -> None:
-    """A leader that nobody tells starts granting after its bound."""
+def test_takeover_ends_after_a_time_limit() -> None:
+    """A leader that no owner contacts starts to grant after a time limit."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'), settle_seconds=2)
@@ -120,8 +120,8 @@
     virtual.run(scenario())
 
 
-def test_adopted_grant_of_a_server_not_yet_announced() -> None:
-    """A grant counts once its server shows up."""
+def test_adopted_grant_counts_once_its_server_is_announced() -> None:
+    """An adopted grant counts once its server is announced."""
 
     async def scenario() -> None:
         scene = scenes.Scene()
@@ -144,8 +144,8 @@
     virtual.run(scenario())
 
 
-def test_lost_owner_gives_its_slots_back() -> None:
-    """A dead entry host's grants don't keep a server busy."""
+def test_slots_of_lost_owner_are_released() -> None:
+    """A lost entry host's grants do not keep a server busy."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'))
@@ -162,7 +162,7 @@
 
 
 def test_summary_counts_capacity_and_waits() -> None:
-    """A summary shows free slots, who waits and the lowest tier served."""
+    """A summary has free slots, waiting requests and the lowest tier."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', slots=2))
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_limits.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_limits.py
@@ -15,7 +15,7 @@
 
 
 class _Pair:
-    """A limiter beside plain dicts."""
+    """A limiter and a plain model of it."""
 
     def __init__(self, allowed: limits.Limits) -> None:
         self.limiter = limits.Limiter()
@@ -50,7 +50,7 @@
     strategies.floats(0.5, 9),
 )
 def test_no_more_than_the_rate_passes(gaps: list[float], rate: float) -> None:
-    """In any time no more pass than the rate and one bucket."""
+    """At any time no more have passed than the rate and one bucket allow."""
     bucket = limits.TokenBucket(rate, 0)
     now = float(0)
     passed = 0
@@ -68,12 +68,12 @@
     strategies.integers(1, 3),
     strategies.integers(0, 3),
 )
-def test_counts_agree_with_plain_sets(
+def test_counts_agree_with_a_plain_model(
     steps: list[tuple[str, str, str]],
     most_running: int,
     most_waiting: int,
 ) -> None:
-    """Repeats count once and no limit is passed."""
+    """Repeats count once and no limit is exceeded."""
     pair = _Pair(limits.Limits(None, most_running, most_waiting))
     for what, request_id, key in steps:
         getattr(pair, what)(request_id, key)
@@ -84,8 +84,8 @@
             assert waits <= max(most_waiting, 1)
 
 
-def test_none_waiting_means_run_or_refuse() -> None:
-    """With no place in the queue an ask that can run still passes."""
+def test_waiting_limit_zero_means_run_or_reject() -> None:
+    """Without a place in the queue, a request that can run still passes."""
     limiter = limits.Limiter()
     allowed = limits.Limits(max_running=1, max_waiting=0)
     assert limiter.arrive('r1', 'rule', allowed, 0) is None
@@ -96,8 +96,8 @@
     assert limiter.arrive('r2', 'rule', allowed, 0) is None
 
 
-def test_rate_tells_when_to_come_back() -> None:
-    """An ask over the rate is told when there will be room."""
+def test_rate_limit_gives_a_retry_time() -> None:
+    """A request over the rate gets the time until a token is free."""
     limiter = limits.Limiter()
     allowed = limits.Limits(rate_per_s=1)
     assert limiter.arrive('r1', 'rule', allowed, 0) is None
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_placement.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Choice of server: speeds, room, context, prefixes, leaving servers."""
+"""Tests of the choice of server: speed, room, context, prefixes."""
 
 import asyncio
 
@@ -9,12 +9,12 @@
 _BLOCKS = tuple(ids.BlockHash(number) for number in range(50))
 
 
-async def _teach(
+async def _sample_speeds(
     scene: scenes.Scene,
     prefill: dict[str, float],
     decode: dict[str, float],
 ) -> None:
-    """Let requests run on each server at its speed, in seconds a token."""
+    """Run requests on each server at its speed, in seconds per token."""
     for _ in range(8):
         grants = [await scene.grant() for _ in prefill]
         for grant in grants:
@@ -29,14 +29,14 @@
 
 
 def test_long_request_waits_for_the_fast_engine() -> None:
-    """It does not go to a free slow one, where it would miss its deadline."""
+    """A free slow server where it would miss its deadline is not chosen."""
 
     async def scenario() -> None:
         scene = scenes.Scene(
             scenes.engine('fast', hardware='new'),
             scenes.engine('slow', hardware='old'),
         )
-        await _teach(
+        await _sample_speeds(
             scene,
             {'fast': 0.001, 'slow': 0.006},
             {'fast': 0.01, 'slow': 0.06},
@@ -54,12 +54,12 @@
     virtual.run(scenario())
 
 
-def test_too_late_on_every_server_is_refused_at_once() -> None:
-    """What can't end in time gets its answer before any prefill."""
+def test_request_too_late_on_every_server_is_denied_at_once() -> None:
+    """A request that cannot end in time is denied before any prefill."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'))
-        await _teach(scene, {'one': 0.001}, {'one': 0.01})
+        await _sample_speeds(scene, {'one': 0.001}, {'one': 0.01})
         late = await scene.start(wait=5, prompt_tokens=10000)
         assert late.done()
         reason = await scenes.denied(late)
@@ -68,12 +68,12 @@
     virtual.run(scenario())
 
 
-def test_wrong_pessimism_is_put_right() -> None:
-    """A prediction that refuses everything is tried again now and then."""
+def test_wrong_prediction_of_lateness_is_corrected() -> None:
+    """A prediction that denies everything is tested with a probe at times."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'))
-        await _teach(scene, {'one': 0.001}, {'one': 0.1})
+        await _sample_speeds(scene, {'one': 0.001}, {'one': 0.1})
         answers = [await (await scene.start(wait=2)) for _ in range(16)]
         grants = [
             answer for answer in answers if isinstance(answer, requests.Grant)
@@ -84,7 +84,7 @@
 
 
 def test_kv_room_is_never_overcommitted() -> None:
-    """Two long prompts don't share a cache that holds one."""
+    """Two long prompts do not share a KV cache that holds one."""
 
     async def scenario() -> None:
         scene = scenes.Scene(
@@ -101,7 +101,7 @@
 
 
 def test_small_requests_do_not_starve_a_large_one() -> None:
-    """A server is kept for the large request that only lacks room."""
+    """A server is reserved for a large request that only lacks room."""
 
     async def scenario() -> None:
         scene = scenes.Scene(
@@ -130,7 +130,7 @@
     virtual.run(scenario())
 
 
-def test_model_and_context_are_asked_for() -> None:
+def test_server_without_model_or_context_gets_nothing() -> None:
     """A server that lacks the model or the context gets nothing."""
 
     async def scenario() -> None:
@@ -149,8 +149,8 @@
     virtual.run(scenario())
 
 
-def test_pool_whose_servers_left_sends_requests_on() -> None:
-    """Who waits is denied soon, and who comes later at once."""
+def test_pool_without_servers_denies_soon() -> None:
+    """Waiting requests are denied soon, and later ones at once."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', slots=1))
@@ -161,7 +161,7 @@
         scene.live = []
         reason = await scenes.denied(waiting)
         assert reason is requests.DenialReason.no_server
-        # Well before the minute that both may wait.
+        # Well before the deadline of one minute of both.
         assert scene.loop.time() < 10
         await asyncio.sleep(2)
         asked_at = scene.loop.time()
@@ -173,7 +173,7 @@
 
 
 def test_prefix_affinity_and_its_correction() -> None:
-    """A prompt goes where it is cached, until an event says otherwise."""
+    """A prompt goes where it is cached, until cache events correct that."""
 
     async def scenario() -> None:
         scene = scenes.Scene(*(scenes.engine(f'e{each}') for each in range(5)))
@@ -205,7 +205,7 @@
 
 
 def test_leaving_server_gets_no_new_work() -> None:
-    """A server that is no longer live is out at the next look."""
+    """A server that is no longer live gets no work after the next update."""
 
     async def scenario() -> None:
         scene = scenes.Scene(
@@ -224,8 +224,8 @@
     virtual.run(scenario())
 
 
-def test_many_newcomers_do_not_herd() -> None:
-    """A burst is spread over like servers as it is granted."""
+def test_burst_does_not_go_to_one_server() -> None:
+    """A burst is spread evenly over equal servers as it is granted."""
 
     async def scenario() -> None:
         scene = scenes.Scene(
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_rule_limits.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_rule_limits.py
@@ -1,4 +1,4 @@
-"""A rule's limits hold over all entry hosts of a failure domain."""
+"""Tests that a rule's limits hold over all entry hosts of a domain."""
 
 import asyncio
 import dataclasses
@@ -26,9 +26,9 @@
     count: int,
     **limits: typing.Any,
 ) -> list[requests.Grant | requests.Denial]:
-    """Ask at every host in turn, all at the same time."""
+    """Send requests at every host in turn, all at the same time."""
     hosts = list(world.hosts.values())
-    # A new leader grants once it has settled.
+    # A new leader grants once its takeover is complete.
     await world.call(hosts[0], 'first')
     calls = [
         _call(hosts[number % len(hosts)], f'r{number}', **limits)
@@ -61,8 +61,8 @@
     virtual.run(scenario())
 
 
-def test_refused_rate_does_not_spill() -> None:
-    """Another failure domain with free servers isn't asked."""
+def test_request_over_the_rate_does_not_spill() -> None:
+    """A request over the rate is not sent to another failure domain."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (1, 1), 'b': (1, 4)})
@@ -76,7 +76,7 @@
     virtual.run(scenario())
 
 
-def test_call_that_spills_counts_where_it_came_in() -> None:
+def test_spilled_request_counts_where_it_arrived() -> None:
     """The other failure domain's bucket is for its own callers."""
 
     async def scenario() -> None:
@@ -92,7 +92,7 @@
 
 
 def test_two_entry_hosts_share_one_running_limit() -> None:
-    """Asks over it wait, with slots free."""
+    """Requests over the limit wait, although slots are free."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (2, 9)})
@@ -104,7 +104,7 @@
 
 
 def test_two_entry_hosts_share_one_waiting_limit() -> None:
-    """Those that run and those that may wait are let in, no more."""
+    """As many are admitted as may run and wait, and no more."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (2, 9)})
@@ -115,8 +115,8 @@
     virtual.run(scenario())
 
 
-def test_waiting_ask_counts_once_when_the_leader_changes() -> None:
-    """Those let in already aren't held to the rate of the new leader."""
+def test_waiting_request_counts_once_after_a_leader_change() -> None:
+    """Requests admitted already are not subject to the new leader's rate."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (3, 1)})
@@ -128,7 +128,8 @@
             for number in range(count)
         ]
         await asyncio.sleep(1)
-        # As many again are in the new leader's bucket, but for one.
+        # The new leader's bucket has as many tokens as there are new requests:
+        # if it charged a request admitted before, one would be denied.
         await world.kill(dead.host_id)
         rest = list(world.hosts)
         world.see('a', rest)
@@ -150,8 +151,8 @@
     virtual.run(scenario())
 
 
-def test_rate_goes_before_the_queue_and_is_no_shed() -> None:
-    """It is refused with slots free, and comes in when told to."""
+def test_rate_is_checked_before_the_queue_and_is_no_shedding() -> None:
+    """A request over the rate is denied with slots free, and passes later."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', slots=4))
@@ -160,7 +161,7 @@
         denial = await task
         assert isinstance(denial, requests.Denial)
         assert denial.reason is requests.DenialReason.rule_limit
-        # Another rule's calls are not held up by it.
+        # Requests of another rule are not delayed by it.
         await scene.grant(rule=ids.RuleName('other'), rate_per_s=1.0)
         await asyncio.sleep(denial.retry_after_ms / 1000)
         second = await scene.grant(rate_per_s=1.0)
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_shedding.py
@@ -1,4 +1,4 @@
-"""Who is refused and who is preempted when capacity runs out."""
+"""Tests of which requests are denied or preempted without capacity."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 from geraniumweir.scheduling.tests import scenes
 
 
-def test_full_queue_sheds_the_lowest_latest() -> None:
-    """A newcomer of a higher tier takes the place of the lowest, latest."""
+def test_full_queue_sheds_the_latest_of_the_lowest_tier() -> None:
+    """A new request of a higher tier displaces the lowest, latest one."""
 
     async def scenario() -> None:
         scene = scenes.Scene(
@@ -32,7 +32,7 @@
 
 
 def test_freed_slots_go_by_tier_then_latest_start() -> None:
-    """Neither arrival nor an earlier deadline passes a higher tier."""
+    """Neither arrival nor an earlier deadline goes before a higher tier."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', can_cancel=False))
@@ -52,8 +52,8 @@
     virtual.run(scenario())
 
 
-def test_nearing_deadline_preempts_the_least_waste() -> None:
-    """The lowest tier makes way, there the least prefill."""
+def test_near_deadline_preempts_the_least_waste() -> None:
+    """The lowest tier is preempted, there the least prefill."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', slots=4))
@@ -84,7 +84,7 @@
 
 
 def test_preempted_slot_is_not_taken_by_others() -> None:
-    """A request of the same tier does not jump into the freed slot."""
+    """A request of the same tier does not take the freed slot."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'))
@@ -101,7 +101,7 @@
 
 
 def test_non_idempotent_is_never_preempted() -> None:
-    """A van order in flight stays, even before the highest tier."""
+    """A non-idempotent order in flight stays, even before the highest tier."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', slots=2))
@@ -115,8 +115,8 @@
     virtual.run(scenario())
 
 
-def test_server_that_cannot_cancel_is_left_alone() -> None:
-    """No preemption where the server can't cancel."""
+def test_server_that_cannot_cancel_is_not_preempted() -> None:
+    """A stream on a server that cannot cancel is not preempted."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', can_cancel=False))
@@ -128,8 +128,8 @@
     virtual.run(scenario())
 
 
-def test_several_make_way_for_kv_room() -> None:
-    """Enough low streams of one server go that a long prompt fits."""
+def test_several_are_preempted_for_kv_room() -> None:
+    """As many low streams of a server end as a long prompt needs."""
 
     async def scenario() -> None:
         scene = scenes.Scene(
@@ -160,7 +160,7 @@
 
 
 def test_full_queue_of_its_own_tier_preempts_lower_work() -> None:
-    """A newcomer is not refused while a lower tier runs preemptibly."""
+    """A new request is not denied while a lower tier runs preemptibly."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one'), queue_limit=1)
@@ -176,8 +176,8 @@
     virtual.run(scenario())
 
 
-def test_refusals_spread_their_retries() -> None:
-    """Those refused together are told different times."""
+def test_denials_spread_their_retries() -> None:
+    """Requests denied together get different retry times."""
 
     async def scenario() -> None:
         scene = scenes.Scene(
@@ -198,8 +198,8 @@
     virtual.run(scenario())
 
 
-def test_repeats_beyond_the_budget_are_refused() -> None:
-    """A storm of retries is refused at once while nothing is free."""
+def test_retries_beyond_the_budget_are_denied() -> None:
+    """A burst of retries is denied at once while nothing is free."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', can_cancel=False))
@@ -215,7 +215,7 @@
 
 
 def test_rule_limits_have_their_own_reason() -> None:
-    """A rule's limits hold back its calls only, and say so."""
+    """A rule's limits hold back only its requests, with their own reason."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', slots=8))
--- a/libs/scheduling/geraniumweir/scheduling/ticking.py
+++ b/libs/scheduling/geraniumweir/scheduling/ticking.py
@@ -30,8 +30,8 @@
 def servers_changed(leader: deadline_state.DeadlineLeaderState) -> None:
     """Apply changed servers or settings.
 
-    Announcements arrive at hundreds per second, so most of them are left to
-    the next tick.
+    Announcements arrive by the hundred per second, so most of them are left
+    to the next tick.
     """
     if leader.now() - leader.synced_at >= _MIN_SYNC_SECONDS:
         crashes.synced(leader)
--- a/libs/scheduling/geraniumweir/scheduling/upkeep.py
+++ b/libs/scheduling/geraniumweir/scheduling/upkeep.py
@@ -1,9 +1,9 @@
-"""Keeps an entry host and the pool leaders agreed, whatever got lost.
+"""Periodic synchronization of an entry host with the pool leaders.
 
-Once a second the owner tells each leader what it has there. What the leader
-doesn't know is asked, or handed over, again; what the owner doesn't name is
-dropped by the leader. A new leader of the own failure domain asks for it all
-before it grants.
+Once a second the owner of requests sends each leader the ids of those it has
+there. What the leader does not have is sent, or handed over, again; what the
+owner does not name is discarded by the leader. A new leader of the own failure
+domain requests everything before it grants.
 """
 
 import collections
@@ -19,57 +19,59 @@
 from geraniumweir.wire import errors
 from geraniumweir.wire.gen.scheduling import ttypes
 
-_PERIOD = 1.0
-_TIMEOUT = 0.5
-_MOST_MISSES = 2
+_SYNC_INTERVAL_SECONDS = 1.0
+_SYNC_TIMEOUT_SECONDS = 0.5
+_MAX_MISSES = 2
 
-_Seat = tuple[ids.HostId, ids.PoolName]
+_LeaderKey = tuple[ids.HostId, ids.PoolName]
 
 
 class Upkeep:
-    """The periodic and the occasional exchange with leaders."""
+    """Periodic synchronization with leaders, and handover to new ones."""
 
     def __init__(
         self,
         link: channel.Channel,
-        mine: owned.Owned,
+        own_requests: owned.Owned,
         leaders: home.Home,
         asker: asking.Asker,
         clock: timers.TimerService,
     ) -> None:
-        """Start the period and answer new leaders."""
+        """Start the periodic synchronization and the answers to new leaders."""
         self._link = link
-        self._mine = mine
+        self._requests = own_requests
         self._home = leaders
         self._asker = asker
         self._clock = clock
-        self._touched: set[_Seat] = set()
-        self._misses: collections.Counter[_Seat] = collections.Counter()
+        self._leaders_in_use: set[_LeaderKey] = set()
+        self._misses: collections.Counter[_LeaderKey] = collections.Counter()
         self._subscriptions = (
-            leaders.changes.subscribe(lambda _: self._moved()),
-            clock.every(_PERIOD).subscribe(lambda _: self._sync_all()),
+            leaders.changes.subscribe(lambda _: self._on_leader_change()),
+            clock.every(_SYNC_INTERVAL_SECONDS).subscribe(
+                lambda _: self._sync_all()
+            ),
         )
         link.handle(ttypes.HandoverRequest, self._on_handover_request)
 
     def touch(self, host: ids.HostId, pool: ids.PoolName) -> None:
-        """Note that a leader has, or had, something of this host."""
-        self._touched.add((host, pool))
+        """Record that a leader has, or had, requests of this host."""
+        self._leaders_in_use.add((host, pool))
 
     def close(self) -> None:
-        """Stop."""
+        """Cancel the subscriptions."""
         self._home.close()
         for subscription in self._subscriptions:
             subscription.dispose()
 
-    def _moved(self) -> None:
-        for pool in self._mine.pools():
-            self._move(pool)
+    def _on_leader_change(self) -> None:
+        for pool in self._requests.pools():
+            self._move_to_leader(pool)
         self._sync_all()
 
-    def _move(self, pool: ids.PoolName) -> None:
+    def _move_to_leader(self, pool: ids.PoolName) -> None:
         host = self._home.leader(pool)
         self.touch(host, pool)
-        for place in self._mine.home_places(pool):
+        for place in self._requests.home_places(pool):
             if place.host != host:
                 self._asker.move(place, host)
 
@@ -81,20 +83,20 @@
         pool = ids.PoolName(message.pool)
         waiting = []
         if self._home.claimed(pool, sender):
-            # From here on no grant of the former leader is taken.
-            self._move(pool)
-            waiting = self._mine.home_places(pool)
+            # From here on grants of the former leader are ignored.
+            self._move_to_leader(pool)
+            waiting = self._requests.home_places(pool)
         now = self._clock.now()
         return ttypes.Handover(
             pool,
-            self._packed(self._mine.home_grants(pool)),
+            self._pack_open(self._requests.home_grants(pool)),
             [
                 translation.pack_ask(place.ask, place.attempt, now)
                 for place in waiting
             ],
         )
 
-    def _packed(self, grants: list[owned.InUse]) -> list[ttypes.OpenGrant]:
+    def _pack_open(self, grants: list[owned.InUse]) -> list[ttypes.OpenGrant]:
         now = self._clock.now()
         return [
             translation.pack_open(
@@ -106,90 +108,98 @@
         ]
 
     def _sync_all(self) -> None:
-        for pool in self._mine.pools():
+        for pool in self._requests.pools():
             self.touch(self._home.leader(pool), pool)
-        for seat in sorted(self._touched):
-            self._link.start(self._sync(seat))
+        for leader_key in sorted(self._leaders_in_use):
+            self._link.start(self._sync(leader_key))
 
-    async def _sync(self, seat: _Seat) -> None:
-        places = self._places(seat)
-        grants = self._grants(seat)
-        attempt = self._mine.attempt
+    async def _sync(self, leader_key: _LeaderKey) -> None:
+        places = self._places(leader_key)
+        grants = self._grants(leader_key)
+        attempt = self._requests.attempt
         message = ttypes.Sync(
-            pool=seat[1],
+            pool=leader_key[1],
             attempt=attempt,
             waiting=[place.ask.request_id for place in places],
             open=[found.ask.request_id for found in grants],
         )
         try:
-            reply = await self._link.call(seat[0], message, _TIMEOUT)
+            reply = await self._link.call(
+                leader_key[0], message, _SYNC_TIMEOUT_SECONDS
+            )
         except errors.PeerError:
-            self._missed(seat)
+            self._record_miss(leader_key)
             return
-        self._misses.pop(seat, None)
+        self._misses.pop(leader_key, None)
         if reply.leads:
-            self._mine.heard[seat[0]] = self._clock.now()
-        self._repair(seat, reply, places)
-        if not places and not grants and attempt == self._mine.attempt:
-            self._touched.discard(seat)
-
-    def _missed(self, seat: _Seat) -> None:
-        if self._heard_lately(seat[0]):
-            # The message was lost, not the leader.
-            self._misses.pop(seat, None)
+            self._requests.heard[leader_key[0]] = self._clock.now()
+        self._resend_missing(leader_key, reply, places)
+        if not places and not grants and attempt == self._requests.attempt:
+            self._leaders_in_use.discard(leader_key)
+
+    def _record_miss(self, leader_key: _LeaderKey) -> None:
+        if self._is_recently_seen(leader_key[0]):
+            # Only the message was lost; the leader is reachable.
+            self._misses.pop(leader_key, None)
             return
-        self._misses[seat] += 1
-        if self._misses[seat] < _MOST_MISSES:
+        self._misses[leader_key] += 1
+        if self._misses[leader_key] < _MAX_MISSES:
             return
-        self._misses.pop(seat)
-        self._mine.heard.pop(seat[0], None)
-        for place in self._places(seat):
+        self._misses.pop(leader_key)
+        self._requests.heard.pop(leader_key[0], None)
+        for place in self._places(leader_key):
             place.settle(None)
-        if not self._grants(seat):
-            self._touched.discard(seat)
-
-    def _heard_lately(self, host: ids.HostId) -> bool:
-        at = self._mine.heard.get(host)
-        return at is not None and self._clock.now() - at < _PERIOD
+        if not self._grants(leader_key):
+            self._leaders_in_use.discard(leader_key)
+
+    def _is_recently_seen(self, host: ids.HostId) -> bool:
+        last_seen_at = self._requests.heard.get(host)
+        return (
+            last_seen_at is not None
+            and self._clock.now() - last_seen_at < _SYNC_INTERVAL_SECONDS
+        )
 
-    def _repair(
+    def _resend_missing(
         self,
-        seat: _Seat,
+        leader_key: _LeaderKey,
         reply: ttypes.SyncReply,
         places: list[owned.Place],
     ) -> None:
         if not reply.leads:
             for place in places:
                 place.settle(None)
-            self._touched.discard(seat)
+            self._leaders_in_use.discard(leader_key)
             return
-        lost = frozenset(reply.waiting)
+        missing_places = frozenset(reply.waiting)
         for place in places:
-            if place.ask.request_id in lost and not place.fut.done():
+            if place.ask.request_id in missing_places and not place.fut.done():
                 self._asker.deliver(place)
-        unknown = frozenset(reply.open)
+        missing_grants = frozenset(reply.open)
         grants = [
             found
-            for found in self._grants(seat)
-            if found.ask.request_id in unknown
+            for found in self._grants(leader_key)
+            if found.ask.request_id in missing_grants
         ]
         if grants:
-            message = ttypes.Handover(seat[1], self._packed(grants), [])
-            self._link.send(seat[0], message)
+            message = ttypes.Handover(
+                leader_key[1], self._pack_open(grants), []
+            )
+            self._link.send(leader_key[0], message)
 
-    def _places(self, seat: _Seat) -> list[owned.Place]:
+    def _places(self, leader_key: _LeaderKey) -> list[owned.Place]:
         return [
             place
-            for place in self._mine.places.values()
-            if (place.host, place.ask.pool) == seat
+            for place in self._requests.places.values()
+            if (place.host, place.ask.pool) == leader_key
         ]
 
-    def _grants(self, seat: _Seat) -> list[owned.InUse]:
+    def _grants(self, leader_key: _LeaderKey) -> list[owned.InUse]:
         return [
             found
-            for found in self._mine.in_use.values()
-            if found.ask.pool == seat[1] and self._holder(found) == seat[0]
+            for found in self._requests.in_use.values()
+            if found.ask.pool == leader_key[1]
+            and self._leader_of(found) == leader_key[0]
         ]
 
-    def _holder(self, found: owned.InUse) -> ids.HostId:
+    def _leader_of(self, found: owned.InUse) -> ids.HostId:
         return self._home.leader(found.ask.pool) if found.home else found.host
--- a/libs/scheduling/geraniumweir/scheduling/waitlist.py
+++ b/libs/scheduling/geraniumweir/scheduling/waitlist.py
@@ -1,8 +1,9 @@
 """Waiting requests: in the fair queue, or held back from it.
 
-A suspect is held back until no request with the same fingerprint runs, and a
-request of a rule at its running limit is parked until one of them ends. All
-others are in the fair queue.
+A suspect is held back until it can run on a server without other suspects,
+while no request with the same fingerprint runs. A request of a rule at its
+running limit is parked until one of the rule ends. All others are in the fair
+queue.
 """
 
 from geraniumweir.common import ids
