--- a/libs/scheduling/geraniumweir/scheduling/admitting.py
+++ b/libs/scheduling/geraniumweir/scheduling/admitting.py
@@ -15,10 +15,13 @@
     waitlist,
 )
 
+# One in so many requests that look too late is admitted as a probe.
 _PROBE_EVERY = 16
+# A request is denied for a long queue only where the expected wait clearly
+# exceeds the time that it has, as both are estimates.
 _WAIT_FACTOR = 2.0
 _WAIT_MARGIN_SECONDS = 0.5
-_MS = 1000
+_MS_PER_SECOND = 1000
 _OPTIMISTIC_FACTOR = 0.5
 _SHORT_ANSWER_TOKENS = 16.0
 
@@ -111,7 +114,7 @@
     return requests.Denial(
         slot_request.request_id,
         requests.DenialReason.rule_limit,
-        math.ceil(seconds * _MS),
+        math.ceil(seconds * _MS_PER_SECOND),
     )
 
 
--- a/libs/scheduling/geraniumweir/scheduling/affinity.py
+++ b/libs/scheduling/geraniumweir/scheduling/affinity.py
@@ -7,6 +7,7 @@
 from geraniumweir.scheduling import deadline_records, deadline_state, predicting
 
 _MIN_SAVED_SECONDS = 0.1
+# A request waits at most so many times as long as the prefill that is saved.
 _WAIT_FACTOR = 20.0
 _WAIT_MARGIN_SECONDS = 0.5
 _MAX_WARMING = 256
@@ -91,7 +92,7 @@
 ) -> bool:
     """Return whether a request should wait for a server with its prefix.
 
-    It waits a few times as long as the prefill that is saved, and only while
+    It waits a few times as long as the saved prefill takes, and only while
     the open server could still finish it in time.
     """
     slot_request = waiting.ask
--- a/libs/scheduling/geraniumweir/scheduling/deadline_granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/deadline_granting.py
@@ -24,10 +24,16 @@
     waitlist,
 )
 
+# Held suspects considered at a time, so that the cost is bounded.
 _MAX_HELD_CONSIDERED = 8
+# A request may be overtaken by requests with a cached prefix, but not
+# indefinitely, and not near its latest start.
 _MAX_OVERTAKEN = 10
+# Requests of a tier considered for a grant, so that the cost is bounded.
 _MAX_CONSIDERED = 20
 _OVERTAKE_SLACK_SECONDS = 1.0
+# The queue is searched again from these offsets on, as the requests with the
+# earliest starts may be too urgent for the server.
 _LATER_SECONDS = (0, 1, 4)
 
 
--- a/libs/scheduling/geraniumweir/scheduling/fairqueue.py
+++ b/libs/scheduling/geraniumweir/scheduling/fairqueue.py
@@ -33,6 +33,8 @@
 from geraniumweir.common import ids
 
 MAX_CUSTOMERS = 8
+# Customers visited for a decision, with those that have no request that can
+# still start in time.
 _MAX_VISITED = 32
 _PER_CUSTOMER = 2
 _MAX_FLOWS = 16384
--- a/libs/scheduling/geraniumweir/scheduling/limits.py
+++ b/libs/scheduling/geraniumweir/scheduling/limits.py
@@ -19,7 +19,7 @@
 
 from geraniumweir.common import ids
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 _MAX_KEYS = 4096
 Key = typing.Hashable
 
@@ -180,7 +180,7 @@
             return Breach(Limit.waiting)
         wait = _take(count, limits.rate_per_s, now)
         if wait:
-            return Breach(Limit.rate, max(round(wait * _MS), 1))
+            return Breach(Limit.rate, max(round(wait * _MS_PER_SECOND), 1))
         self._waiting[request_id] = key
         count.waiting += 1
         return None
--- a/libs/scheduling/geraniumweir/scheduling/placement.py
+++ b/libs/scheduling/geraniumweir/scheduling/placement.py
@@ -17,10 +17,13 @@
     predicting,
 )
 
+# Open servers are ordered by the predicted end of a request of this size.
 _REFERENCE_PROMPT_TOKENS = 500
 _REFERENCE_OUTPUT_TOKENS = 100
 _LOAD_SLOWDOWN = 0.3
 _REPEAT_WEIGHT = 10.0
+# A server is too risky where prefill ahead takes more than this fraction of
+# the time to the deadline.
 _RISK_RATIO = 0.17
 
 
--- a/libs/scheduling/geraniumweir/scheduling/predicting.py
+++ b/libs/scheduling/geraniumweir/scheduling/predicting.py
@@ -12,7 +12,9 @@
 
 from geraniumweir.scheduling import deadline_records, deadline_state, estimating
 
+# Prefill without a first token yet counts as done up to this fraction.
 _MAX_DONE_RATIO = 0.8
+# A first token that is later than this is not awaited any more.
 _OVERDUE_FACTOR = 4.0
 _OVERDUE_SECONDS = 0.5
 
--- a/libs/scheduling/geraniumweir/scheduling/prefix.py
+++ b/libs/scheduling/geraniumweir/scheduling/prefix.py
@@ -24,6 +24,8 @@
 _MAX_HOLDERS = 16
 _MAX_LISTED = 4
 _DEFAULT_MAX_BLOCKS = 8192
+# Trust in the index of a server falls with a gap in its cache events and
+# recovers with each event in sequence.
 _FULL_TRUST = 1.0
 _MIN_TRUST = 0.8
 _TRUST_STEP = 0.1
--- a/libs/scheduling/geraniumweir/scheduling/shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/shedding.py
@@ -33,7 +33,7 @@
 _MIN_RETRY_SECONDS = 0.2
 _MAX_RETRY_SECONDS = 10.0
 _RETRY_SPREAD = 0.5
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 def schedule_decision(
@@ -189,7 +189,7 @@
     # Randomized, so that requests denied together are not retried together.
     spread = leader.rng.uniform(1, 1 + 2 * _RETRY_SPREAD)
     return requests.Denial(
-        slot_request.request_id, reason, int(seconds * spread * _MS)
+        slot_request.request_id, reason, int(seconds * spread * _MS_PER_SECOND)
     )
 
 
--- a/libs/scheduling/geraniumweir/scheduling/summary.py
+++ b/libs/scheduling/geraniumweir/scheduling/summary.py
@@ -13,23 +13,23 @@
     waits = tuple(_wait(leader, tier) for tier in ids.Tier)
     return requests.PoolSummary(
         leader.cfg.pool,
-        _capacity(leader),
+        _model_capacity(leader),
         waits,
         _lowest_served(leader),
         max(wait.oldest for wait in waits),
     )
 
 
-def _capacity(
+def _model_capacity(
     leader: deadline_state.DeadlineLeaderState,
 ) -> tuple[requests.ModelCapacity, ...]:
     slots: collections.Counter[str] = collections.Counter()
     free: collections.Counter[str] = collections.Counter()
     for server in leader.servers.values():
-        most = server.capacity()
+        capacity = server.capacity()
         for model in server.kind.models or ('',):
-            slots[model] += most
-            free[model] += max(most - len(server.running), 0)
+            slots[model] += capacity
+            free[model] += max(capacity - len(server.running), 0)
     return tuple(
         requests.ModelCapacity(name, slots[name], free[name])
         for name in sorted(slots)
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
@@ -101,7 +101,7 @@
 
     @stateful.rule(tier=st.sampled_from(list(ids.Tier)[:3]))
     def fill_and_send_higher(self, tier: ids.Tier) -> None:
-        """Low tiers fill the servers, then a request of a higher tier arrives."""
+        """Low tiers fill the servers, then a higher request arrives."""
         for number in range(2 * _SLOTS):
             idempotent = number != _SLOTS
             low = self.scene.make(
@@ -152,7 +152,7 @@
         outcome: requests.Outcome,
         repeat: bool,
     ) -> None:
-        """A granted request ends, and its release may be repeated."""
+        """A granted request ends, and its release may arrive twice."""
         request_id = pick.choice(list(self.used))  # type: ignore
         for _ in range(1 + repeat):
             self._release(request_id, outcome)
@@ -172,10 +172,10 @@
             due = max(use.ask.deadline, self.loop.time() + _FRESH_SECONDS)
             self._ask(dataclasses.replace(use.ask, deadline=due))
 
-    @stateful.rule(prompt=st.booleans())
-    def set_owners(self, prompt: bool) -> None:
+    @stateful.rule(at_once=st.booleans())
+    def set_owners(self, at_once: bool) -> None:
         """Owners cancel preempted streams at once or late."""
-        self.cancels_at_once = prompt
+        self.cancels_at_once = at_once
         self._pass(0.05)
 
     def _cancel_preempted(self) -> None:
@@ -283,7 +283,7 @@
                 self._check_denial(slot_request)
 
     def _check_denial(self, denied: requests.Ask) -> None:
-        """Check that no lower tier runs where a denied request could have run."""
+        """Check that no lower tier runs where a denied request could have."""
         if any(one.request_id in self.used for one in self.scene.preempts):
             # Owners have not yet cancelled all preempted streams.
             return
