--- a/libs/scheduling/geraniumweir/scheduling/concurrency.py
+++ b/libs/scheduling/geraniumweir/scheduling/concurrency.py
@@ -29,6 +29,7 @@
 _MIN_SLOW_SECONDS = 1.0
 _MIN_SLOTS_RATIO = 0.5
 _MIN_LOWER_SECONDS = 1.0
+# Evidence has to repeat before the limit is lowered.
 _MAX_SLOW_IN_ROW = 3
 _MAX_QUEUED_IN_ROW = 2
 _MAX_REPORT_AGE_SECONDS = 3.0
--- a/libs/scheduling/geraniumweir/scheduling/estimating.py
+++ b/libs/scheduling/geraniumweir/scheduling/estimating.py
@@ -30,9 +30,12 @@
 _WINDOW_SAMPLES = 32
 _DECAY = 0.9
 _KIND_DECAY = 0.98
+# A server's rate within this factor of its hardware's does not count as a
+# different one.
 _NOISE_FACTOR = 1.6
 _HIGH_QUANTILE = 0.9
 _HIGH_STEP = 0.1
+# Estimates without enough samples.
 _DEFAULT_OUTPUT_TOKENS = 128.0
 _DEFAULT_PREFILL_SECONDS = 0.0003
 _DEFAULT_DECODE_SECONDS = 0.02
--- a/libs/scheduling/geraniumweir/scheduling/shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/shedding.py
@@ -22,12 +22,16 @@
     waitlist,
 )
 
+# Time for preempted streams to end after a latest start has passed.
 _GRACE_SECONDS = 0.25
+# Attempts to preempt within the slack before a latest start.
 _RETRIES_IN_SLACK = 4
 # How long requests wait for a pool without servers: the servers may exist
 # without having been announced to this leader yet.
 NO_SERVER_SECONDS = 1.0
 _MAX_VICTIMS = 8
+# How much earlier a request is checked than its preemption slack demands, as
+# all servers may have prefill ahead.
 _MAX_PREFILL_AHEAD_SECONDS = 2.0
 _RETRY_INTERVAL_SECONDS = 0.5
 _MIN_RETRY_SECONDS = 0.2
@@ -87,8 +91,8 @@
         for tier in ids.Tier
         if tier > waiting.ask.tier
     )
-    places = (leader.running[one].grant.server_id for one in streams)
-    near = (leader.servers[place] for place in dict.fromkeys(places))
+    server_ids = (leader.running[one].grant.server_id for one in streams)
+    near = (leader.servers[name] for name in dict.fromkeys(server_ids))
     ahead = [predicting.prefill_ahead(leader, server) for server in near]
     return min(ahead, default=0) * leader.cfg.safety
 
--- a/libs/scheduling/geraniumweir/scheduling/stragglers.py
+++ b/libs/scheduling/geraniumweir/scheduling/stragglers.py
@@ -14,6 +14,8 @@
 _MAX_COOLDOWN_SECONDS = 60.0
 _GROWTH = 2
 _TRUSTED_ALLOWANCE = 64
+# Progress counts as late after a multiple of its estimate, and after no less
+# than this time.
 _MIN_TIMEOUT_SECONDS = 2.5
 _TIMEOUT_FACTOR = 5.0
 _SLOW_FACTOR = 6.0
