--- a/libs/scheduling/geraniumweir/scheduling/shedding.py
+++ b/libs/scheduling/geraniumweir/scheduling/shedding.py
@@ -22,18 +22,22 @@
     waitlist,
 )
 
+# Time for preempted streams to end after a latest start has passed.
 _GRACE_SECONDS = 0.25
+# Attempts to preempt within the slack before a latest start.
 _RETRIES_IN_SLACK = 4
 # How long requests wait for a pool without servers: the servers may exist
 # without having been announced to this leader yet.
 NO_SERVER_SECONDS = 1.0
 _MAX_VICTIMS = 8
+# How much earlier a request is checked than its preemption slack demands, as
+# all servers may have prefill ahead.
 _MAX_PREFILL_AHEAD_SECONDS = 2.0
 _RETRY_INTERVAL_SECONDS = 0.5
 _MIN_RETRY_SECONDS = 0.2
 _MAX_RETRY_SECONDS = 10.0
 _RETRY_SPREAD = 0.5
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 def schedule_decision(
@@ -87,8 +91,8 @@
         for tier in ids.Tier
         if tier > waiting.slot_request.tier
     )
-    places = (leader.running[one].grant.server_id for one in streams)
-    near = (leader.servers[place] for place in dict.fromkeys(places))
+    server_ids = (leader.running[one].grant.server_id for one in streams)
+    near = (leader.servers[name] for name in dict.fromkeys(server_ids))
     ahead = [predicting.prefill_ahead(leader, server) for server in near]
     return min(ahead, default=0) * leader.cfg.safety
 
@@ -194,7 +198,7 @@
     # Randomized, so that requests denied together are not retried together.
     spread = leader.rng.uniform(1, 1 + 2 * _RETRY_SPREAD)
     return requests.Denial(
-        slot_request.request_id, reason, int(seconds * spread * _MS)
+        slot_request.request_id, reason, int(seconds * spread * _MS_PER_SECOND)
     )
 
 
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_rule_limits.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_rule_limits.py
@@ -26,7 +26,7 @@
     count: int,
     **limits: typing.Any,
 ) -> list[requests.Grant | requests.Denial]:
-    """Request slots at all hosts in turn, all at the same time."""
+    """Send requests at all hosts in turn, all at the same time."""
     hosts = list(world.hosts.values())
     # A new leader grants once its takeover is complete.
     await world.call(hosts[0], 'first')
@@ -61,8 +61,8 @@
     virtual.run(scenario())
 
 
-def test_refused_rate_does_not_spill() -> None:
-    """Another failure domain with free servers gets no slot request."""
+def test_request_over_the_rate_does_not_spill() -> None:
+    """A request over the rate is not sent to another failure domain."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (1, 1), 'b': (1, 4)})
@@ -76,7 +76,7 @@
     virtual.run(scenario())
 
 
-def test_request_that_spills_counts_in_its_own_failure_domain() -> None:
+def test_spilled_request_counts_where_it_arrived() -> None:
     """The other failure domain's bucket is for its own callers."""
 
     async def scenario() -> None:
@@ -92,7 +92,7 @@
 
 
 def test_two_entry_hosts_share_one_running_limit() -> None:
-    """Requests beyond it wait although slots are free."""
+    """Requests beyond the limit wait although slots are free."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (2, 9)})
@@ -104,7 +104,7 @@
 
 
 def test_two_entry_hosts_share_one_waiting_limit() -> None:
-    """Only as many are admitted as may run and wait."""
+    """As many are admitted as may run and wait, and and wait."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (2, 9)})
@@ -115,8 +115,8 @@
     virtual.run(scenario())
 
 
-def test_waiting_request_counts_once_when_the_leader_changes() -> None:
-    """Requests admitted before don't count against the new leader's rate."""
+def test_waiting_request_counts_once_after_a_leader_change() -> None:
+    """Requests admitted already are not subject against the new leader's rate."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (3, 1)})
@@ -128,7 +128,8 @@
             for number in range(count)
         ]
         await asyncio.sleep(1)
-        # The new leader's bucket holds as many tokens again, less one.
+        # The new leader's bucket has as new tokens'as there are as requests:
+        # if it charged a request admitted before, one would be denied.
         await world.kill(dead.host_id)
         rest = list(world.hosts)
         world.see('a', rest)
@@ -150,8 +151,8 @@
     virtual.run(scenario())
 
 
-def test_rate_is_checked_before_the_queue_and_is_not_shedding() -> None:
-    """A denial comes with slots free; a retry at its time is admitted."""
+def test_rate_is_checked_before_the_queue_and_is_no_shedding() -> None:
+    """A request over the rate is denied with slots free, and passes later."""
 
     async def scenario() -> None:
         scene = scenes.Scene(scenes.engine('one', slots=4))
