--- a/libs/scheduling/geraniumweir/scheduling/prefix.py
+++ b/libs/scheduling/geraniumweir/scheduling/prefix.py
@@ -112,7 +112,7 @@
             self._estimate_size(server_id, cache)
 
     def cached_share(self, server_id: ids.ServerId, blocks: _Blocks) -> float:
-        """Return the estimated fraction of a prompt that a server is thought to hold."""
+        """Return the fraction of a prompt that a server is thought to hold."""
         cache = self._caches.get(server_id)
         if cache is None or not blocks or blocks[0] not in cache.blocks:
             return 0
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_invariants.py
@@ -345,11 +345,11 @@
         self.runner.close()
 
 
-def _could_have_run(
-    uses: list[_Use], denied: requests.SlotRequest
-) -> bool:
+def _could_have_run(uses: list[_Use], denied: requests.SlotRequest) -> bool:
     """Return whether lower tiers held the room that a request needs."""
-    staying = [use.slot_request for use in uses if not _is_preemptible(use, denied)]
+    staying = [
+        use.slot_request for use in uses if not _is_preemptible(use, denied)
+    ]
     tokens = sum(
         slot_request.prompt_tokens + _MAX_OUTPUT_TOKENS
         for slot_request in (*staying, denied)
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_rule_limits.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_rule_limits.py
@@ -26,7 +26,7 @@
     count: int,
     **limits: typing.Any,
 ) -> list[requests.Grant | requests.Denial]:
-    """Send requests at all hosts in turn, all at the same time."""
+    """Send requests at every host in turn, all at the same time."""
     hosts = list(world.hosts.values())
     # A new leader grants once its takeover is complete.
     await world.call(hosts[0], 'first')
@@ -92,7 +92,7 @@
 
 
 def test_two_entry_hosts_share_one_running_limit() -> None:
-    """Requests beyond the limit wait although slots are free."""
+    """Requests over the limit wait, although slots are free."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (2, 9)})
@@ -104,7 +104,7 @@
 
 
 def test_two_entry_hosts_share_one_waiting_limit() -> None:
-    """As many are admitted as may run and wait, and and wait."""
+    """As many are admitted as may run and wait, and no more."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (2, 9)})
@@ -116,7 +116,7 @@
 
 
 def test_waiting_request_counts_once_after_a_leader_change() -> None:
-    """Requests admitted already are not subject against the new leader's rate."""
+    """Requests admitted already are not subject to the new leader's rate."""
 
     async def scenario() -> None:
         world = worlds.World({'a': (3, 1)})
@@ -128,7 +128,7 @@
             for number in range(count)
         ]
         await asyncio.sleep(1)
-        # The new leader's bucket has as new tokens'as there are as requests:
+        # The new leader's bucket has as many tokens as there are new requests:
         # if it charged a request admitted before, one would be denied.
         await world.kill(dead.host_id)
         rest = list(world.hosts)
--- a/libs/scheduling/geraniumweir/scheduling/upkeep.py
+++ b/libs/scheduling/geraniumweir/scheduling/upkeep.py
@@ -172,7 +172,10 @@
             return
         missing_places = frozenset(reply.waiting)
         for place in places:
-            if place.slot_request.request_id in missing_places and not place.fut.done():
+            if (
+                place.slot_request.request_id in missing_places
+                and not place.fut.done()
+            ):
                 self._asker.deliver(place)
         missing_grants = frozenset(reply.open)
         grants = [
