--- a/libs/scheduling/geraniumweir/scheduling/led.py
+++ b/libs/scheduling/geraniumweir/scheduling/led.py
@@ -4,7 +4,7 @@
 each. A slot request is identified by request id and attempt: a repeat joins
 the first or gets the same grant again, and a higher attempt means that the
 owner has given up the lower one. Owners report once a second what they have
-here, so that both sides agree within a second after any lost message.
+here, so that both sides soon agree again after any lost message.
 """
 
 import asyncio
--- a/libs/scheduling/geraniumweir/scheduling/notices.py
+++ b/libs/scheduling/geraniumweir/scheduling/notices.py
@@ -192,11 +192,11 @@
 
         :returns: ends of the pauses, in seconds, by server.
         """
-        asked = self._pauses.get(host_id)
-        if not asked:
+        paused = self._pauses.get(host_id)
+        if not paused:
             return {}
         now = self._clock.now()
-        return {start: until for start, until in asked.items() if now < until}
+        return {start: until for start, until in paused.items() if now < until}
 
     def since(self, revision: int) -> list[Notice]:
         """List the notices that changed after a revision."""
@@ -234,8 +234,8 @@
     def _store(self, key: _Key, row: _Row) -> None:
         self._rows[type(row.notice.content)][key] = row
         if isinstance(row.notice.content, Pause):
-            asked = self._pauses.setdefault(row.notice.host_id, {})
-            asked[row.notice.start] = row.notice.until
+            paused = self._pauses.setdefault(row.notice.host_id, {})
+            paused[row.notice.start] = row.notice.until
 
     def _remove_expired(self) -> None:
         now = self._clock.now()
@@ -249,17 +249,17 @@
     def _remove(self, notice: Notice) -> None:
         if not isinstance(notice.content, Pause):
             return
-        asked = self._pauses[notice.host_id]
-        asked.pop(notice.start)
-        if not asked:
+        paused = self._pauses[notice.host_id]
+        paused.pop(notice.start)
+        if not paused:
             self._pauses.pop(notice.host_id)
 
 
 def _key(notice: Notice) -> _Key:
-    asked = _ALL_HOSTS
+    paused = _ALL_HOSTS
     if isinstance(notice.content, Pause):
-        asked = notice.host_id
-    return notice.start, asked
+        paused = notice.host_id
+    return notice.start, paused
 
 
 def _is_equivalent(notice: Notice, known: Notice) -> bool:
