--- a/libs/control/geraniumweir/control/tests/test_active_document.py
+++ b/libs/control/geraniumweir/control/tests/test_active_document.py
@@ -1,6 +1,6 @@
-"""What was acknowledged is in force at every entry host that has a path.
+"""An acknowledged document is in force at every entry host with a path.
 
-Each watcher is asked every 50 ms which version it has in force.
+The version in force at each watcher is checked every 50 ms.
 """
 
 import asyncio
@@ -12,7 +12,8 @@
 from geraniumweir.control import watching
 from geraniumweir.control.tests import bed
 
-# An acknowledged document is in force everywhere after so long, in seconds.
+# Time after its acknowledgement in which a document must be in force
+# everywhere.
 _IN_FORCE_SECONDS = 2
 _POLL_SECONDS = 0.05
 _IMMEDIATE_SECONDS = 0.2
@@ -24,14 +25,14 @@
 
 
 def _drop_outgoing(hosts: bed.Bed, domain: str) -> None:
-    """Lose what a control host says to the others; it still hears them."""
+    """Drop what a control host sends to the others; it still receives."""
     for other in bed.DOMAINS:
         if other != domain:
             hosts.network.cut(ids.HostId(domain), ids.HostId(other))
 
 
 def _drop_incoming(hosts: bed.Bed, domain: str) -> None:
-    """Lose what the others say to a control host."""
+    """Drop what the others send to a control host."""
     for other in bed.DOMAINS:
         if other != domain:
             hosts.network.cut(ids.HostId(other), ids.HostId(domain))
@@ -47,7 +48,7 @@
     cut_off: str,
     version: int,
 ) -> None:
-    """Store a version as an operator does who tries one host after another."""
+    """Store a version like an operator who tries one host after another."""
     others = [name for name in bed.DOMAINS if name != cut_off]
     for _ in range(20):
         for name in others:
@@ -64,7 +65,7 @@
     version: int,
     seconds: float,
 ) -> float:
-    """Tell for how long the last watcher had an older version."""
+    """Return for how long the last watcher had an older version."""
     now = asyncio.get_running_loop().time
     start = now()
     behind = float(0)
@@ -77,12 +78,12 @@
 
 @pytest.mark.parametrize('cut', [_drop_outgoing, _drop_incoming, _isolate])
 @pytest.mark.parametrize('leads', [True, False])
-def test_watchers_of_a_control_host_that_is_cut_off_have_the_newest(
+def test_watchers_of_a_partitioned_control_host_have_the_newest(
     monkeypatch: pytest.MonkeyPatch,
     cut: Partition,
     leads: bool,
 ) -> None:
-    """One that only hears the others goes on hearing their leader."""
+    """A control host that only receives still follows the leader."""
 
     async def work() -> None:
         hosts = bed.Bed()
@@ -106,11 +107,11 @@
 
 
 @pytest.mark.parametrize('silent', [1, 2, 4])
-def test_silent_control_hosts_in_a_row_keep_no_watcher_behind(
+def test_silent_control_hosts_in_a_row_do_not_delay_a_watcher(
     monkeypatch: pytest.MonkeyPatch,
     silent: int,
 ) -> None:
-    """Replaced hosts stay known for a while, and the near one may freeze."""
+    """Replaced hosts stay registered for a while; the near one may stall."""
 
     async def work() -> None:
         hosts = bed.Bed()
@@ -132,10 +133,10 @@
     virtual.run(work())
 
 
-def test_watcher_never_leaves_a_sure_control_host_for_a_silent_one(
+def test_watcher_never_leaves_a_current_control_host_for_a_silent_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The near one is tried again beside the one that answers."""
+    """The near one is probed beside the one that answers."""
 
     async def work() -> None:
         hosts = bed.Bed()
@@ -159,10 +160,10 @@
     virtual.run(work())
 
 
-def test_watcher_of_control_hosts_without_a_leader_asks_at_a_steady_pace(
+def test_watcher_without_a_log_leader_searches_at_a_bounded_rate(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All answer at once that they aren't sure."""
+    """All answer at once that they may not be up to date."""
 
     async def work() -> None:
         hosts = bed.Bed()
@@ -184,7 +185,7 @@
     virtual.run(work())
 
 
-def test_document_that_is_known_is_told_by_a_host_that_is_not_sure(
+def test_host_that_may_lag_publishes_its_newer_document(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What is applied is committed, and versions only grow."""
@@ -216,10 +217,10 @@
     virtual.run(work())
 
 
-def test_entry_host_that_starts_where_nobody_is_sure_has_a_document(
+def test_entry_host_that_starts_in_a_partition_has_a_document(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A failure domain that is cut off serves on."""
+    """A partitioned failure domain continues to serve."""
 
     async def work() -> None:
         hosts = bed.Bed()
--- a/libs/control/geraniumweir/control/tests/test_coordinator_client.py
+++ b/libs/control/geraniumweir/control/tests/test_coordinator_client.py
@@ -1,4 +1,4 @@
-"""Whom an entry host takes for the coordinator."""
+"""Which host an entry host takes for the coordinator."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
 
 
 class _Control:
-    """A control host that answers pings as a test says."""
+    """A control host that answers pings as a test sets."""
 
     def __init__(self, network: memory.MemoryNetwork, name: str) -> None:
         self.pong: ttypes.Pong | None = None
@@ -37,7 +37,7 @@
         self.spent: list[spending.Spent] = []
 
     def answer_with(self, *, leads: bool, stands_in: bool) -> None:
-        """Answer so from now on."""
+        """Set the answer to pings."""
         self.pong = ttypes.Pong(leads, stands_in, 6, 6, 0.25)
 
     async def _on_spent(
@@ -83,7 +83,7 @@
         self.task = asyncio.create_task(self.client.run())
 
 
-def test_leader_of_the_log_goes_before_a_stand_in() -> None:
+def test_leader_of_the_log_is_preferred_to_a_stand_in() -> None:
     """Whatever their ids."""
 
     async def work() -> None:
@@ -98,8 +98,8 @@
     virtual.run(work())
 
 
-def test_silent_leader_is_left_within_a_second() -> None:
-    """Requests that wait at it move then."""
+def test_silent_leader_is_replaced_within_a_second() -> None:
+    """Requests that wait at it move to the next coordinator then."""
 
     async def work() -> None:
         bed = _Bed()
@@ -115,8 +115,8 @@
     virtual.run(work())
 
 
-def test_silent_leader_is_not_asked_again_for_long() -> None:
-    """A stand-in that answers is taken before the silent one's time is over.
+def test_search_does_not_wait_long_for_the_silent_leader() -> None:
+    """A stand-in that answers is chosen before the silent leader times out.
 
     A missed answer takes 0.4 s; the search after it took another 0.4 s.
     """
@@ -135,8 +135,8 @@
     virtual.run(work())
 
 
-def test_host_that_reaches_nobody_is_alone() -> None:
-    """It goes on with its part of everything."""
+def test_host_that_reaches_no_control_host_coordinates_itself() -> None:
+    """It continues with its share of slots and quotas."""
 
     async def work() -> None:
         bed = _Bed()
@@ -151,7 +151,7 @@
     virtual.run(work())
 
 
-def test_host_knows_that_an_election_is_under_way() -> None:
+def test_election_is_awaited_while_control_hosts_answer() -> None:
     """Control hosts answer, and none of them coordinates yet."""
 
     async def work() -> None:
@@ -174,7 +174,7 @@
 
 
 def test_busy_leader_is_waited_for() -> None:
-    """It missed a ping, and answers after those that don't lead."""
+    """It missed a ping, and answers after those that do not lead."""
 
     async def work() -> None:
         bed = _Bed()
@@ -198,8 +198,8 @@
     virtual.run(work())
 
 
-def test_no_election_takes_forever() -> None:
-    """Nor is there one where no control host answers."""
+def test_election_is_not_awaited_forever() -> None:
+    """Nor is one awaited where no control host answers."""
 
     async def work() -> None:
         bed = _Bed()
@@ -217,8 +217,8 @@
     virtual.run(work())
 
 
-def test_new_coordinator_is_told_what_was_granted() -> None:
-    """Once, and only whoever coordinates."""
+def test_new_coordinator_receives_the_usage() -> None:
+    """Once, and only the coordinator."""
 
     async def work() -> None:
         bed = _Bed()
--- a/libs/control/geraniumweir/control/tests/test_enrolments.py
+++ b/libs/control/geraniumweir/control/tests/test_enrolments.py
@@ -1,4 +1,4 @@
-"""Backend servers' reports: order, leaving, silence, and agreement of hosts."""
+"""Backend servers' reports: order, leaving, silence, agreement of hosts."""
 
 import dataclasses
 
@@ -29,7 +29,7 @@
 
 
 def test_late_report_changes_nothing() -> None:
-    """One that was overtaken by leaving doesn't bring the server back."""
+    """One that was overtaken by leaving does not make the server ready."""
     table = _table()
     table.report(_report(1), 0)
     leaving = enrolments.State.leaving
@@ -38,16 +38,16 @@
     assert table.get(ids.ServerId('s')).state is leaving
 
 
-def test_leaving_is_never_taken_back() -> None:
-    """A newer report that says ready is of the same run, so it is wrong."""
+def test_leaving_is_final() -> None:
+    """A newer report of ready in the same incarnation is wrong."""
     table = _table()
     table.report(_report(1, state=enrolments.State.leaving), 0)
     table.report(_report(2), 1)
     assert table.get(ids.ServerId('s')).state is enrolments.State.leaving
 
 
-def test_gone_outlasts_a_report_that_was_held_up() -> None:
-    """It came after the farewell and was sent before it."""
+def test_delayed_report_does_not_bring_a_gone_server_back() -> None:
+    """It arrived after the end was announced and was sent before."""
     table = _table()
     table.report(_report(1), 0)
     assert table.mark_gone(ids.ServerId('s'), 1) is not None
@@ -55,8 +55,8 @@
     assert table.get(ids.ServerId('s')).state is enrolments.State.gone
 
 
-def test_server_falls_silent_and_is_heard_again() -> None:
-    """It stays known meanwhile: it may be cut off from control hosts only."""
+def test_silent_server_is_not_silent_after_its_next_report() -> None:
+    """It is kept meanwhile: it may be partitioned from control hosts only."""
     table = _table()
     table.report(_report(1), 0)
     assert not table.expire(_LEASE)
@@ -66,8 +66,8 @@
     assert not table.get(ids.ServerId('s')).silent
 
 
-def test_silent_server_is_forgotten_in_the_end() -> None:
-    """Nothing says that it is still there."""
+def test_silent_server_is_evicted_in_the_end() -> None:
+    """No host has seen it any more."""
     table = _table()
     table.report(_report(1), 0)
     table.expire(_LEASE + 1)
@@ -75,8 +75,8 @@
     assert table.get(ids.ServerId('s')) is None
 
 
-def test_host_that_a_server_left_for_another_does_not_call_it_silent() -> None:
-    """The other one tells when the server begins to report there."""
+def test_server_that_reports_to_another_host_is_not_silent() -> None:
+    """The other host publishes when the server begins to report there."""
     one, two = _table(_ONE), _table(_TWO)
     one.report(_report(1), 0)
     two.merge(_report(1), 0, _ONE)
@@ -86,15 +86,15 @@
 
 
 def test_servers_of_an_absent_host_fall_silent() -> None:
-    """Nobody else would ever say so."""
+    """No other host would ever mark them."""
     table = _table()
     table.merge(_report(1), 0, _TWO)
     assert not table.expire(60)
     assert table.expire(61, frozenset((_TWO,)))
 
 
-def test_reader_is_told_only_what_changed() -> None:
-    """Reports that say the same again are no change."""
+def test_reader_receives_only_changes() -> None:
+    """Reports with the same content are no change."""
     table = _table()
     table.report(_report(1), 0)
     seen = table.revision
@@ -105,10 +105,10 @@
 
 
 class Agreement(stateful.RuleBasedStateMachine):
-    """Hosts that told each other everything agree, in whatever order."""
+    """Hosts that exchanged everything agree, in whatever order."""
 
     def __init__(self) -> None:
-        """Start with two hosts and one run of a server."""
+        """Start with two hosts and one incarnation of a server."""
         super().__init__()
         self.now = float(0)
         self.sequence = 0
@@ -126,23 +126,23 @@
 
     @stateful.rule(host=st.sampled_from([_ONE, _TWO]))
     def leave(self, host: ids.HostId) -> None:
-        """The server says farewell to one of them."""
+        """The server announces its end to one of them."""
         self.tables[host].mark_gone(ids.ServerId('s'), self.now)
 
     @stateful.rule(seconds=st.floats(0, 10))
     def wait(self, seconds: float) -> None:
-        """Time goes by."""
+        """Time passes."""
         self.now += seconds
         for table in self.tables.values():
             table.expire(self.now)
 
     @stateful.rule()
     def exchange(self) -> None:
-        """Each tells the other all it knows, twice."""
+        """Each sends the other all enrolments, twice."""
         for _ in range(2):
-            for teller, hearer in ((_ONE, _TWO), (_TWO, _ONE)):
-                for found in self.tables[teller].known():
-                    self.tables[hearer].merge(found, self.now, teller)
+            for sender, receiver in ((_ONE, _TWO), (_TWO, _ONE)):
+                for found in self.tables[sender].known():
+                    self.tables[receiver].merge(found, self.now, sender)
         first, second = self.tables.values()
         assert first.digest() == second.digest()
 
--- a/libs/control/geraniumweir/control/tests/test_lagging_control_host.py
+++ b/libs/control/geraniumweir/control/tests/test_lagging_control_host.py
@@ -1,4 +1,4 @@
-"""A control host whose own copy of the log stands still is left by all."""
+"""Entry hosts leave a control host whose copy of the log stops advancing."""
 
 import asyncio
 import dataclasses
@@ -10,7 +10,8 @@
 from geraniumweir.configuration import recordings
 from geraniumweir.control.tests import bed
 
-# An acknowledged document is in force everywhere after so long, in seconds.
+# Time after its acknowledgement in which a document must be in force
+# everywhere.
 _IN_FORCE_SECONDS = 2
 _FAULT_SECONDS = 6
 
@@ -32,10 +33,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Scene:
-    """Control hosts of which all have version 1.
+    """Control hosts that all have version 1.
 
     :ivar leading: leads the log.
-    :ivar domain: of a control host that doesn't.
+    :ivar domain: of a control host that does not lead.
     """
 
     hosts: bed.Bed
@@ -43,7 +44,7 @@
     domain: str
 
     async def fail_disk_and_publish(self, disk_fault: DiskFault) -> None:
-        """Hurt a disk that isn't the leader's, and store version 2."""
+        """Fail a disk that is not the leader's, and store version 2."""
         disk_fault(self.hosts.media[self.domain])
         await bed.publish(self.leading, 2)
 
@@ -64,7 +65,7 @@
     monkeypatch: pytest.MonkeyPatch,
     disk_fault: DiskFault,
 ) -> float:
-    """Hurt the disk of a control host that its domain watches."""
+    """Return how long a watcher lags when its control host's disk fails."""
     scene = await _scene(monkeypatch)
     watcher = scene.hosts.watch(scene.domain)
     await asyncio.sleep(1)
@@ -78,10 +79,10 @@
     return now() - acknowledged
 
 
-def test_acknowledged_document_is_in_force_where_a_disk_is_hurt(
+def test_acknowledged_document_is_in_force_where_a_disk_failed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Entry hosts turn to a control host that follows."""
+    """Entry hosts move to a control host that follows the log."""
     behind = {}
     for disk_fault in (_no_fault, _stall, _fill):
         behind[disk_fault.__name__] = virtual.run(
@@ -90,10 +91,10 @@
     assert max(behind.values()) < _IN_FORCE_SECONDS, behind
 
 
-def test_entry_host_that_starts_beside_a_host_behind_has_the_newest(
+def test_entry_host_that_starts_near_a_lagging_host_has_the_newest(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It serves nobody by the document of before."""
+    """It never serves with the previous document."""
 
     async def work() -> None:
         scene = await _scene(monkeypatch)
@@ -111,10 +112,10 @@
     virtual.run(work())
 
 
-def test_host_with_a_hurt_disk_knows_that_it_is_behind(
+def test_host_with_a_failed_disk_is_not_current(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It hears the leader all the while, and is sure again afterwards."""
+    """It still sees the leader, and is up to date again afterwards."""
 
     async def work() -> None:
         scene = await _scene(monkeypatch)
--- a/libs/control/geraniumweir/control/tests/test_leaving.py
+++ b/libs/control/geraniumweir/control/tests/test_leaving.py
@@ -1,7 +1,7 @@
-"""A server that leaves is left alone by every host that could know it.
+"""Every host that can learn that a server leaves stops using it.
 
-Each entry host is asked every 50 ms whether it still takes the server for one
-that may get requests.
+Each entry host is checked every 50 ms for whether it still takes the server for
+one that may get requests.
 """
 
 import asyncio
@@ -15,14 +15,14 @@
 from geraniumweir.control.tests import bed
 from geraniumweir.scheduling import notices
 
-# An acknowledged leave is known everywhere after so long, in seconds.
+# Time after its acknowledgement in which a leave must be known everywhere.
 _KNOWN_SECONDS = 2
 _POLL_SECONDS = 0.05
 _CUT_SECONDS = 6
 _SERVER = ids.ServerId('s')
 _START = (_SERVER, ids.Incarnation(0))
 _IMMEDIATE_SECONDS = 0.2
-# Known once another control host leads, at the latest.
+# Latest time at which it is known once another control host leads.
 _ELECTED_SECONDS = 4
 
 
@@ -48,7 +48,7 @@
     state: enrolments.State,
     sequence: int,
 ) -> None:
-    """Let a server report at a control host, as `ControlHost.report` does."""
+    """Send a server's report, as `ControlHost.report` does."""
     control = hosts.controls[domain]
     said = _enrolment(domain, state, sequence)
     now = asyncio.get_running_loop().time()
@@ -58,7 +58,7 @@
 
 
 def _partition_control_host(hosts: bed.Bed, domain: str) -> None:
-    """Cut a control host off from the others; entry hosts reach all."""
+    """Partition a control host from the others; entry hosts reach all."""
     for other in bed.DOMAINS:
         if other != domain:
             hosts.partition(domain, other)
@@ -68,7 +68,7 @@
     entries: typing.Sequence[bed.Entry],
     seconds: float,
 ) -> float:
-    """Tell for how long the last entry host took the server for ready."""
+    """Return for how long the last entry host took the server for ready."""
     now = asyncio.get_running_loop().time
     start = now()
     last = float(0)
@@ -100,10 +100,10 @@
     return hosts, entries
 
 
-def test_leave_that_one_host_heard_is_known_to_all_at_once(
+def test_leave_that_one_host_received_reaches_all_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """No report of the server tells of it."""
+    """No report of the server contains the leave."""
 
     async def work() -> None:
         hosts, entries = await _started(monkeypatch)
@@ -119,10 +119,10 @@
     virtual.run(work())
 
 
-def test_leave_that_a_host_heard_while_cut_off_is_told_by_it_later(
+def test_leave_received_during_a_partition_is_published_afterwards(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It knows at once itself; the others as soon as it is back."""
+    """That host stops at once; the others as soon as it is reachable."""
 
     async def work() -> None:
         hosts, entries = await _started(monkeypatch)
@@ -142,7 +142,7 @@
     virtual.run(work())
 
 
-def test_leave_that_others_heard_reaches_a_host_that_was_cut_off(
+def test_leave_reaches_a_host_that_was_partitioned(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It has no answer of the server itself."""
@@ -162,10 +162,10 @@
     virtual.run(work())
 
 
-def test_leave_outlives_the_coordinator_that_was_told(
+def test_leave_survives_the_coordinator_that_received_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It is lost right after; the hosts that know tell the next one."""
+    """It is lost right after; hosts with the notice send it to the next."""
 
     async def work() -> None:
         hosts, entries = await _started(monkeypatch)
@@ -189,8 +189,8 @@
 
 
 @pytest.mark.parametrize('born', [4, 6])
-def test_leave_of_another_start_changes_nothing(born: int) -> None:
-    """A server may start again under its id; a report tells of the new one."""
+def test_leave_of_another_incarnation_changes_nothing(born: int) -> None:
+    """A server may start again under its id and report the new incarnation."""
     table = enrolments.Enrolments(ids.HostId('c'), 1)
     said = _enrolment('ant', enrolments.State.ready, 1)
     table.report(dataclasses.replace(said, born=5), 0)
@@ -201,8 +201,8 @@
     assert found and found.state is enrolments.State.ready
 
 
-def test_report_that_was_held_up_takes_no_leave_back() -> None:
-    """Nor does one of a server that nobody knew yet."""
+def test_delayed_report_does_not_revoke_a_leave() -> None:
+    """Also for a server that no host had registered yet."""
     table = enrolments.Enrolments(ids.HostId('c'), 1)
     assert table.mark_leaving(_SERVER, 0, 0) is not None
     table.report(_enrolment('ant', enrolments.State.ready, 5), 1)
@@ -212,11 +212,11 @@
 
 
 @pytest.mark.parametrize('leads', [True, False])
-def test_leave_acknowledged_behind_a_cut_is_known_to_who_reaches_both_sides(
+def test_leave_acknowledged_in_a_partition_reaches_hosts_on_both_sides(
     monkeypatch: pytest.MonkeyPatch,
     leads: bool,
 ) -> None:
-    """They tell their coordinator, and it all others."""
+    """They notify their coordinator, which notifies all others."""
 
     async def work() -> None:
         hosts = bed.Bed()
--- a/libs/control/geraniumweir/control/tests/test_notice_exchange.py
+++ b/libs/control/geraniumweir/control/tests/test_notice_exchange.py
@@ -1,4 +1,4 @@
-"""A limit that one host hears of is known to all."""
+"""A rate limit that one host receives reaches all hosts."""
 
 import asyncio
 
@@ -11,12 +11,12 @@
 
 _START = (ids.ServerId('s'), ids.Incarnation(1))
 _DOMAIN = ids.FailureDomain('x')
-# Half of the time after which a host that was told must keep to a limit.
+# Half of the time after which a notified host must keep to a limit.
 _KNOWN_SECONDS = 0.25
 
 
 class _Coordinator:
-    """The part of a coordinator that hears of limits."""
+    """The part of a coordinator that receives notices."""
 
     def __init__(self, bed: '_Bed', name: str) -> None:
         self.host_id = ids.HostId(name)
@@ -73,11 +73,11 @@
         self.task = asyncio.create_task(self.client.run())
 
     def receive_limit(self, per_second: float | None) -> None:
-        """Take an answer that names a limit, or none."""
+        """Receive an answer that names a limit, or none."""
         self.receive(notices.RateLimit(per_second))
 
     def receive(self, content: notices.Content) -> None:
-        """Take an answer to a request that was sent a moment ago."""
+        """Receive an answer to a request that was sent a moment ago."""
         now = asyncio.get_running_loop().time()
         self.known.hear(
             notices.Notice(*_START, content, self.host_id, now - 0.01, now),
@@ -94,18 +94,18 @@
         self.entries = [_Entry(self, name) for name in ('e1', 'e2')]
 
     def card(self, name: str) -> hosts.ControlHost:
-        """Describe a host."""
+        """Return a host's entry."""
         address = ids.Address('10.0.0.1', sum(name.encode()))
         return hosts.ControlHost(ids.HostId(name), address, address, _DOMAIN)
 
     def stop(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         for entry in self.entries:
             entry.task.cancel()
 
 
-def test_limit_is_known_to_the_coordinator_and_all_hosts_at_once() -> None:
-    """Its change and its end too."""
+def test_limit_reaches_the_coordinator_and_all_hosts_at_once() -> None:
+    """Also its change and its end."""
 
     async def work() -> None:
         bed = _Bed()
@@ -123,8 +123,8 @@
     virtual.run(work())
 
 
-def test_new_coordinator_knows_the_limits_before_the_first_ask() -> None:
-    """Each host tells all that it knows as it turns to it."""
+def test_new_coordinator_has_limits_before_the_first_slot_request() -> None:
+    """Each host sends all its notices when it contacts a coordinator."""
 
     async def work() -> None:
         bed = _Bed()
@@ -141,7 +141,7 @@
     virtual.run(work())
 
 
-def test_word_that_was_lost_on_the_way_is_told_again() -> None:
+def test_lost_notice_is_sent_again() -> None:
     """With the next ping that is answered."""
 
     async def work() -> None:
@@ -159,8 +159,8 @@
     virtual.run(work())
 
 
-def test_coordinator_that_started_again_tells_all_it_hears() -> None:
-    """Its revisions begin anew."""
+def test_restarted_coordinator_publishes_all_it_receives() -> None:
+    """Its revisions start anew."""
 
     async def work() -> None:
         bed = _Bed()
@@ -178,8 +178,8 @@
     virtual.run(work())
 
 
-def test_pause_is_known_to_each_coordinator_before_the_next_ask() -> None:
-    """And to no other entry host, as it concerns one."""
+def test_pause_reaches_each_coordinator_before_the_next_slot_request() -> None:
+    """And to no other entry host, as it concerns only one."""
 
     async def work() -> None:
         bed = _Bed()
@@ -203,8 +203,8 @@
     virtual.run(work())
 
 
-def test_limit_that_can_not_be_read_is_left_out() -> None:
-    """The others hold."""
+def test_malformed_limit_is_ignored() -> None:
+    """The valid ones are applied."""
 
     async def work() -> None:
         known = notices.Notices(timers.TimerService())
--- a/libs/control/geraniumweir/control/tests/test_pool_servers.py
+++ b/libs/control/geraniumweir/control/tests/test_pool_servers.py
@@ -77,8 +77,9 @@
 
 
 def test_standalone_host_uses_its_own_failure_domain() -> None:
-    """Servers there are most likely reachable; the share is that of all hosts
-    there.
+    """Servers there are most likely reachable.
+
+    The slots are those of its share among all hosts of that domain.
     """
     used = _used(195, 40, 9, first=190)
     assert 5 <= sum(used.values()) <= 20
--- a/libs/control/geraniumweir/control/tests/test_presence.py
+++ b/libs/control/geraniumweir/control/tests/test_presence.py
@@ -1,4 +1,4 @@
-"""What control hosts learn of each other."""
+"""What control hosts learn from the exchange with each other."""
 
 import asyncio
 
@@ -9,10 +9,10 @@
 
 
 class _NoLog:
-    """A log that this host has no part in."""
+    """A log in which this host takes no part."""
 
     def is_leading(self) -> bool:
-        """Lead nothing."""
+        """Return that this host does not lead."""
         return False
 
 
@@ -40,7 +40,7 @@
     return known, met
 
 
-def test_failure_domain_of_a_seed_is_learnt_when_it_answers() -> None:
+def test_failure_domain_of_a_seed_is_stored_when_it_answers() -> None:
     """Entry hosts and servers are sent to control hosts of their domain."""
 
     async def work() -> None:
@@ -57,16 +57,16 @@
     virtual.run(work())
 
 
-def test_host_that_is_known_in_full_is_not_replaced_by_its_address() -> None:
-    """A control host that met it as a seed tells no more."""
+def test_complete_entry_is_not_replaced_by_an_address() -> None:
+    """A control host that has it only as a seed sends no more."""
     known = hosts.ControlHosts()
     known.register(bed.card('ant'), 0)
     known.register(_seed('ant'), 1)
     assert known.get(ids.HostId('ant')) == bed.card('ant')
 
 
-def test_control_host_that_hears_nobody_asks_the_seeds_of_now() -> None:
-    """The others may all have been replaced while it was cut off."""
+def test_isolated_control_host_contacts_the_present_seeds() -> None:
+    """The others may all have been replaced while it was partitioned."""
 
     async def work() -> None:
         network = memory.MemoryNetwork()
--- a/libs/control/geraniumweir/control/tests/test_quota_over_changes.py
+++ b/libs/control/geraniumweir/control/tests/test_quota_over_changes.py
@@ -1,7 +1,8 @@
-"""A customer that asks for all it can get, over cuts, changes and restarts.
+"""A customer that requests all it can get, over partitions and changes.
 
-Three entry hosts and two control hosts. Entry hosts are cut off, come back
-and restart; the coordinator changes. No window holds much more than a quota.
+Three entry hosts and two control hosts. Entry hosts are partitioned, reachable
+again, and restarted; the coordinator changes. No window holds much more than a
+quota.
 """
 
 import dataclasses
@@ -22,9 +23,9 @@
 _STEP = 0.2
 _MISSED_SECONDS = 0.4
 _NAMES = ('e1', 'e2', 'e3')
-# What may be granted beyond a quota, as part of it. Each cut and each change
-# lets both sides grant for up to a second, and hosts that begin to grant by
-# themselves have their part of the burst, of 0.2 here.
+# Grants allowed beyond a quota, as a fraction of it. Each partition and each
+# change lets both sides grant for up to a second, and hosts that begin to grant
+# by themselves have their share of the burst, which is 0.2 here.
 _EXCESS_RATIO = 0.4
 
 
@@ -32,8 +33,8 @@
 class _Entry:
     """An entry host.
 
-    :ivar partitioned_at: since when it is cut off, None in touch.
-    :ivar reported_to: the coordinator that it told what it was granted.
+    :ivar partitioned_at: since when it is partitioned, None if reachable.
+    :ivar reported_to: the coordinator that has its usage.
     """
 
     host_id: ids.HostId
@@ -47,7 +48,7 @@
     )
 
     def spent(self, now: float) -> spending.Spent:
-        """Tell what it was granted."""
+        """Return what it was granted."""
         newest = windows.bin_of(now)
         amounts = {
             newest - number: amount for number, amount in self.granted.bins(now)
@@ -74,7 +75,7 @@
     """The hosts, and all that was granted."""
 
     def __init__(self) -> None:
-        """Start with all hosts in touch."""
+        """Start with all hosts reachable."""
         super().__init__()
         self.now: float = 100
         self.turn = 0
@@ -88,14 +89,14 @@
 
     @stateful.rule(seconds=st.floats(0.4, 6))
     def let_pass(self, seconds: float) -> None:
-        """Let all hosts work for a while."""
+        """Let all hosts work for some seconds."""
         for _ in range(round(seconds / _STEP)):
             self.now += _STEP
             self._step()
 
     @stateful.rule(number=st.integers(0, 2))
     def make_unreachable(self, number: int) -> None:
-        """Cut an entry host off, unless it is."""
+        """Partition an entry host, unless it is already."""
         entry = self.entries[number]
         if entry.partitioned_at is None:
             entry.partitioned_at = self.now
@@ -104,18 +105,18 @@
 
     @stateful.rule(number=st.integers(0, 2))
     def make_reachable(self, number: int) -> None:
-        """Let an entry host be in touch again."""
+        """End the partition of an entry host."""
         self.entries[number].partitioned_at = None
 
     @stateful.rule(number=st.integers(0, 2))
     def restart(self, number: int) -> None:
-        """Let an entry host forget all, while it is in touch."""
+        """Restart an entry host without state, while it is reachable."""
         if self.entries[number].partitioned_at is None:
             self.entries[number] = self._started(_NAMES[number])
 
     @stateful.rule()
     def change(self) -> None:
-        """Let the other control host coordinate."""
+        """Make the other control host the coordinator."""
         before = self.controls[self.leader].hosts
         self.leader = 1 - self.leader
         found = self.controls[self.leader]
@@ -125,7 +126,7 @@
 
     @stateful.invariant()
     def no_window_holds_much_more(self) -> None:
-        """Whatever happened."""
+        """Check the largest window so far."""
         assert self.max_granted <= _QUOTA * (1 + _EXCESS_RATIO)
 
     def _clock(self) -> float:
@@ -166,7 +167,7 @@
         entry.share = found.hosts.standalone_share_for(entry.host_id, self.now)
 
     def _take_round_robin(self, found: _Control, near: list[_Entry]) -> None:
-        """Take all that may be had, by the hosts in turn."""
+        """Take all that is granted, by the hosts in turn."""
         while near:
             if found.quotas.take(_CUSTOMER, _COST, self.now):
                 return
@@ -190,8 +191,8 @@
 )
 
 
-def test_cuts_around_two_changes() -> None:
-    """Two of three hosts are cut off, the coordinator changes back and on."""
+def test_partitions_around_coordinator_changes_keep_the_quota() -> None:
+    """Two of three hosts are partitioned while the coordinator changes."""
     hosts = QuotaOverChanges()
     hosts.change()
     hosts.make_unreachable(0)
--- a/libs/control/geraniumweir/control/tests/test_quota_over_partitions.py
+++ b/libs/control/geraniumweir/control/tests/test_quota_over_partitions.py
@@ -1,7 +1,7 @@
-"""A customer that asks for all it can get stays within its quota over cuts.
+"""A customer that requests all it can get stays within its quota.
 
-One entry host is cut off from the coordinator and comes back, again and
-again. While it is cut off it grants by itself.
+One entry host is partitioned from the coordinator and reachable again,
+repeatedly. While it is partitioned it grants by itself.
 """
 
 import dataclasses
@@ -19,19 +19,19 @@
 _SECONDS = 8
 _ALLOWANCE = quotas.Allowance(per_second=100, burst=200)
 _QUOTA = _ALLOWANCE.per_second * _SECONDS + _ALLOWANCE.burst
-# What may be granted beyond a quota, as part of it: both sides grant from
-# when the host misses an answer till the coordinator misses the host, 0.8 s
-# of 8 s, and a host that begins to grant has its part of the burst.
+# Grants allowed beyond a quota, as a fraction of it: both sides grant from when
+# the host misses an answer until the coordinator misses the host, 0.8 s of 8 s,
+# and a host that begins to grant has its share of the burst.
 _EXCESS_RATIO = 0.2
 _STEP = 0.2
 _COST = 5
-# A host misses its coordinator's answer after so long, in seconds.
+# A host detects a missed answer of its coordinator after this time.
 _MISSED_SECONDS = 0.4
 
 
 @dataclasses.dataclass
 class _Bed:
-    """A coordinator and an entry host that may be cut off from it."""
+    """A coordinator and an entry host that may be partitioned from it."""
 
     now: float = 100
     granted_share: float = 0
@@ -47,7 +47,7 @@
         self.standalone_quotas = self._quotas(lambda: self.granted_share)
 
     def play(self, seconds: float, *, cut: bool) -> None:
-        """Let time pass with the host in touch or cut off."""
+        """Let time pass with the host reachable or partitioned."""
         self.partitioned_at = self.now if cut else None
         if cut:
             self.standalone_quotas.begin(self.now + _MISSED_SECONDS)
@@ -56,7 +56,7 @@
             self._step()
 
     def max_in_a_window(self) -> float:
-        """Return the most that was granted in any window."""
+        """Return the largest amount that was granted in any window."""
         max_granted: float = 0
         within: float = 0
         oldest = 0
@@ -110,7 +110,7 @@
 def test_no_window_holds_more_than_the_quota(
     phases: list[tuple[float, float]],
 ) -> None:
-    """However long the cuts are, and the times between them."""
+    """However long the partitions are, and the times between them."""
     bed = _Bed()
     bed.play(10, cut=False)
     for cut, whole in phases:
@@ -121,7 +121,7 @@
 
 @pytest.mark.parametrize('cut', [3, 7, 12])
 def test_all_of_the_quota_is_granted_again(cut: float) -> None:
-    """A window after the cut has ended."""
+    """A window after the partition has ended."""
     bed = _Bed()
     bed.play(10, cut=False)
     bed.play(cut, cut=True)
@@ -129,8 +129,8 @@
     assert bed.hosts.reachable_share(bed.now) == pytest.approx(1)
 
 
-def test_new_coordinator_takes_no_host_for_returned() -> None:
-    """What it heard of hosts before it coordinated says nothing of cuts."""
+def test_new_coordinator_assumes_no_earlier_partitions() -> None:
+    """Messages from before it coordinated do not indicate partitions."""
     hosts = leadership.EntryHosts(_SECONDS)
     hosts.heard(_NEAR, 0)
     hosts.start_term(5)
--- a/libs/control/geraniumweir/control/tests/test_retries_over_changes.py
+++ b/libs/control/geraniumweir/control/tests/test_retries_over_changes.py
@@ -1,8 +1,9 @@
-"""Retries that are sent as often as may be, over cuts, changes and restarts.
+"""Retries that are sent as often as allowed, over partitions and changes.
 
-Three entry hosts and two control hosts. All requests fail, but for moments
-of calm; entry hosts are cut off, come back and restart, control hosts restart,
-the coordinator changes. No window holds more retries than the budget.
+Three entry hosts and two control hosts. All requests fail, except in calm
+periods; entry hosts are partitioned, reachable again and restarted, control
+hosts restart, and the coordinator changes. No window holds more retries than
+the budget.
 """
 
 import dataclasses
@@ -50,9 +51,9 @@
 class _Entry:
     """An entry host.
 
-    :ivar partitioned_at: since when it is cut off, None in touch.
-    :ivar stays: with the control host that doesn't lead, cut off with it.
-    :ivar reported_to: the coordinator that it told what it was granted.
+    :ivar partitioned_at: since when it is partitioned, None if reachable.
+    :ivar stays: with the control host that does not lead, partitioned with it.
+    :ivar reported_to: the coordinator that has its counts.
     """
 
     host_id: ids.HostId
@@ -63,7 +64,7 @@
     reported_to: typing.Optional['_Control'] = None
 
     def granter(self) -> ids.HostId:
-        """Tell who answers its asks."""
+        """Return the host that grants its slot requests."""
         found = self.reported_to
         return self.host_id if found is None else found.host_id
 
@@ -91,10 +92,10 @@
 
 
 class RetriesOverChanges(stateful.RuleBasedStateMachine):
-    """The hosts, and all that was asked and sent again."""
+    """The hosts, and all requests and retries."""
 
     def __init__(self) -> None:
-        """Start with all hosts in touch."""
+        """Start with all hosts reachable."""
         super().__init__()
         self.now: float = 100
         self.rate = _USUAL_RATE
@@ -110,14 +111,14 @@
 
     @stateful.rule(seconds=st.floats(0.4, 6))
     def let_pass(self, seconds: float) -> None:
-        """Let all hosts work for a while."""
+        """Let all hosts work for some seconds."""
         for _ in range(round(seconds / _STEP)):
             self.now += _STEP
             self._step()
 
     @stateful.rule(rate=st.integers(0, _MAX_RATE))
-    def turn_to_rate(self, rate: int) -> None:
-        """Let more or fewer callers come."""
+    def set_rate(self, rate: int) -> None:
+        """Set the rate of requests."""
         self.rate = rate
 
     @stateful.rule(fails=st.booleans())
@@ -127,7 +128,7 @@
 
     @stateful.rule(number=st.integers(0, 2))
     def make_unreachable(self, number: int) -> None:
-        """Cut an entry host off, unless it is."""
+        """Partition an entry host, unless it is already."""
         entry = self.entries[number]
         if entry.partitioned_at is None:
             entry.partitioned_at = self.now
@@ -136,12 +137,12 @@
 
     @stateful.rule(number=st.integers(0, 2))
     def make_reachable(self, number: int) -> None:
-        """Let an entry host be in touch again."""
+        """End the partition of an entry host."""
         self.entries[number].partitioned_at = None
 
     @stateful.rule(number=st.integers(0, 2))
     def restart(self, number: int) -> None:
-        """Let an entry host forget all."""
+        """Restart an entry host without state."""
         before = self.entries[number]
         self.entries[number] = self._started(_NAMES[number])
         self.entries[number].partitioned_at = before.partitioned_at
@@ -149,13 +150,13 @@
 
     @stateful.rule()
     def restart_all(self) -> None:
-        """Let all entry hosts forget all."""
+        """Restart all entry hosts without state."""
         for number, _ in enumerate(_NAMES):
             self.restart(number)
 
     @stateful.rule()
     def change(self) -> None:
-        """Let the other control host coordinate."""
+        """Make the other control host the coordinator."""
         before = self.controls[self.leader]
         before.leads = False
         self.leader = 1 - self.leader
@@ -167,21 +168,21 @@
             entry.stays = False
 
     @stateful.rule(numbers=st.sets(st.integers(0, 2)))
-    def change_in_two(self, numbers: set[int]) -> None:
-        """Let some entry hosts stay with the one that led."""
+    def change_with_split(self, numbers: set[int]) -> None:
+        """Let some entry hosts stay with the previous coordinator."""
         self.change()
         for number in numbers:
             self.entries[number].stays = True
 
     @stateful.rule()
-    def come_together(self) -> None:
-        """Let all entry hosts reach the leader that are not cut off."""
+    def end_split(self) -> None:
+        """Let all entry hosts that are not partitioned reach the leader."""
         for entry in self.entries:
             entry.stays = False
 
     @stateful.rule()
-    def change_to_one_that_forgot(self) -> None:
-        """Let the other control host restart and coordinate."""
+    def change_to_restarted_host(self) -> None:
+        """Restart the other control host, which then coordinates."""
         other = 1 - self.leader
         name = self.controls[other].host_id
         self.controls[other] = self._control(name)
@@ -189,7 +190,7 @@
 
     @stateful.invariant()
     def no_window_holds_more_than_the_budget(self) -> None:
-        """Whatever happened."""
+        """Check the largest excess so far."""
         assert self.over <= 0
 
     def _clock(self) -> float:
@@ -233,7 +234,7 @@
         entry: _Entry,
         budgets: retrybudget.RetryBudgets,
     ) -> None:
-        """Ask for requests, and send again all that may be."""
+        """Send new requests, and all retries that are granted."""
         for _ in range(self.rate):
             self.asked.append(self.now)
             budgets.note_request(_POOL, self.now)
@@ -245,7 +246,7 @@
             self.over = max(self.over, self._over())
 
     def _over(self) -> float:
-        """Return by how many the window that ends now has too many retries."""
+        """Return by how many the window that ends now exceeds the budget."""
         window = _BUDGET.window
         asked = max(
             sum(end - window < at <= end for at in self.asked)
@@ -274,7 +275,7 @@
     hosts.no_window_holds_more_than_the_budget()
 
 
-def test_budget_is_used_in_calm() -> None:
+def test_budget_is_used_without_disturbances() -> None:
     """Four fifths of it, from a window after the start on."""
     hosts = RetriesOverChanges()
     hosts.let_pass(2 * _BUDGET.window)
@@ -284,11 +285,11 @@
     assert sent > 0.75 * allowed
 
 
-def test_budget_is_used_behind_a_change_of_coordinators() -> None:
-    """Entry hosts tell what was granted, so that nothing is held back."""
+def test_budget_is_used_after_a_change_of_coordinators() -> None:
+    """Entry hosts report what was granted, so that nothing is held back."""
     hosts = RetriesOverChanges()
     hosts.let_pass(2 * _BUDGET.window)
-    hosts.change_to_one_that_forgot()
+    hosts.change_to_restarted_host()
     hosts.let_pass(_BUDGET.window / 2)
     sent = sum(hosts.now - _BUDGET.window < at for at in hosts.sent)
     asked = len(_NAMES) * _USUAL_RATE * _BUDGET.window / _STEP
@@ -296,12 +297,12 @@
     assert sent > 0.6 * allowed
 
 
-def test_host_that_is_alone_for_long_has_its_part_only() -> None:
-    """The others leave it that part while it is cut off, and after it."""
+def test_host_that_is_partitioned_for_long_uses_only_its_share() -> None:
+    """The others leave it that share while it is partitioned, and after it."""
     hosts = RetriesOverChanges()
     hosts.let_pass(2 * _BUDGET.window)
     hosts.make_unreachable(0)
-    hosts.turn_to_rate(0)
+    hosts.set_rate(0)
     hosts.let_pass(3.4 * _BUDGET.window)
     hosts.restart(0)
     hosts.make_reachable(0)
--- a/libs/control/geraniumweir/control/tests/test_roll_out_checks.py
+++ b/libs/control/geraniumweir/control/tests/test_roll_out_checks.py
@@ -1,4 +1,4 @@
-"""What an order to roll out is refused for, and what it must not be."""
+"""For what a rollout order is rejected, and for what it must not be."""
 
 import types
 
@@ -23,7 +23,7 @@
 
 
 def _check(*versions: str, up_for: float = 60, current: bool = True) -> None:
-    """Check an order at a host that knows servers of some versions."""
+    """Check an order at a host that has servers of some versions."""
     known = [_server(version) for version in versions]
     some = types.SimpleNamespace(
         log=types.SimpleNamespace(is_current=lambda: current),
@@ -35,24 +35,24 @@
     host.ControlHost._check_rollout(some, _POOL, _NEW)
 
 
-def test_version_that_serves_everything_is_told() -> None:
+def test_version_of_all_servers_is_rejected() -> None:
     """There is nothing to move."""
     with pytest.raises(errors.NothingToRollOutError):
         _check('v2', 'v2')
 
 
-def test_order_is_taken_while_old_servers_serve() -> None:
-    """Whether or not the new ones are known yet."""
+def test_order_is_accepted_while_old_servers_run() -> None:
+    """Whether or not the new ones have been seen yet."""
     _check('v1', 'v2')
     _check('v1')
 
 
-def test_host_that_just_started_refuses_nothing_for_what_it_lacks() -> None:
-    """It may have heard of the new servers only."""
+def test_host_that_just_started_rejects_no_order() -> None:
+    """It may have received only the new servers."""
     _check('v2', up_for=2)
 
 
-def test_host_that_is_behind_is_not_sure() -> None:
+def test_host_that_lags_is_not_up_to_date() -> None:
     """The pool may have been added by a document that it lacks."""
     with pytest.raises(errors.NotUpToDateError):
         _check('v1', current=False)
--- a/libs/control/geraniumweir/control/tests/test_rollouts.py
+++ b/libs/control/geraniumweir/control/tests/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Orders to roll out at control hosts, over the replicated log."""
+"""Rollout orders at control hosts, over the replicated log."""
 
 import asyncio
 import typing
@@ -16,7 +16,7 @@
 
 
 class _IdlePool:
-    """A pool's leader that serves nothing itself."""
+    """A pool's leader without load."""
 
     def rollout_load(self) -> guiding.Load:
         return _LOAD
@@ -60,7 +60,7 @@
     virtual.run(work())
 
 
-def test_any_control_host_takes_an_order_and_all_know_it(
+def test_any_control_host_accepts_an_order_and_all_have_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It is read back everywhere once it is acknowledged."""
@@ -80,10 +80,10 @@
     _play(monkeypatch, scene)
 
 
-def test_host_without_a_majority_is_not_sure(
+def test_host_without_a_majority_is_not_up_to_date(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It neither tells what it has nor acknowledges."""
+    """It neither returns its order nor acknowledges one."""
 
     async def scene(
         some: bed.Bed,
@@ -102,10 +102,10 @@
     _play(monkeypatch, scene)
 
 
-def test_entry_host_is_told_how_far_it_is(
+def test_entry_host_receives_the_progress(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Cut off later, it uses what was proven by then."""
+    """If it is partitioned later, it uses the phase reached by then."""
 
     async def scene(
         some: bed.Bed,
--- a/libs/control/geraniumweir/control/tests/test_starts.py
+++ b/libs/control/geraniumweir/control/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""A server that starts again under its id: which start is believed."""
+"""Incarnations of a server under one id: which one counts."""
 
 import dataclasses
 
@@ -33,8 +33,8 @@
     return enrolments.Enrolments(_HOSTS[0], _LEASE)
 
 
-def test_later_start_replaces_one_that_left() -> None:
-    """Its counts begin anew, and its leave was of the start before."""
+def test_later_incarnation_replaces_one_that_left() -> None:
+    """Its counts start anew, and its leave was of the earlier incarnation."""
     table = _table()
     leaving = enrolments.State.leaving
     table.report(_report(1, 90, state=leaving, slots=8), 0)
@@ -43,7 +43,7 @@
     assert found == _report(2, 1)
 
 
-def test_earlier_start_that_comes_late_changes_nothing() -> None:
+def test_delayed_report_of_an_earlier_incarnation_changes_nothing() -> None:
     """Whatever its sequence."""
     table = _table()
     table.report(_report(2, 1), 0)
@@ -53,8 +53,8 @@
     assert table.get(_SERVER) == _report(2, 1)
 
 
-def test_leave_ends_the_start_that_it_names() -> None:
-    """One of the start before comes late, after the next one reported."""
+def test_leave_ends_only_the_incarnation_that_it_names() -> None:
+    """One of an earlier incarnation arrives after the next one's report."""
     table = _table()
     table.report(_report(2, 1), 0)
     assert table.mark_gone(_SERVER, 1, 1) is None
@@ -63,8 +63,8 @@
     assert table.get(_SERVER).state is enrolments.State.ready
 
 
-def test_first_report_that_comes_after_the_leave_brings_nobody_back() -> None:
-    """A cut held it up; new work would reach a server that is going."""
+def test_first_report_after_the_leave_does_not_bring_a_server_back() -> None:
+    """A partition delayed it; new requests would reach a leaving server."""
     table, other = _table(), enrolments.Enrolments(_HOSTS[1], _LEASE)
     gone = table.mark_gone(_SERVER, 0, None)
     assert gone is not None
@@ -76,14 +76,14 @@
     assert table.get(_SERVER).state is enrolments.State.ready
 
 
-def test_start_outlasts_the_way_between_hosts() -> None:
-    """Also what a control host keeps over a restart goes this way."""
+def test_incarnation_is_unchanged_by_encoding() -> None:
+    """The file of a control host has the same form."""
     said = _report(1_800_000_000_000, 3)
     assert enrolments.from_wire(said.to_wire()) == said
 
 
-def test_unreadable_entry_leaves_the_others() -> None:
-    """Another host, or a file, holds one that makes no sense."""
+def test_malformed_entry_does_not_affect_the_others() -> None:
+    """Another host, or a file, contains a malformed one."""
     good = _report(1, 1).to_wire()
     bad = ttypes.Enrolment(server_id='t', address='nowhere', state=1)
     worse = ttypes.Enrolment()
@@ -92,10 +92,10 @@
 
 
 class Starts(stateful.RuleBasedStateMachine):
-    """Three hosts agree on the last start, whatever comes late or is lost."""
+    """Three hosts agree on the last incarnation despite delays and losses."""
 
     def __init__(self) -> None:
-        """Start with hosts that know nothing."""
+        """Start with hosts without servers."""
         super().__init__()
         self.now = float(0)
         self.tables = {
@@ -117,7 +117,7 @@
         sequence: int,
         leaving: bool,
     ) -> None:
-        """A report of some start reaches a host, in any order."""
+        """A report of some incarnation reaches a host, in any order."""
         state = enrolments.State.ready
         if leaving:
             state = enrolments.State.leaving
@@ -127,23 +127,23 @@
 
     @stateful.rule(host=st.sampled_from(_HOSTS), born=_STARTS)
     def leave(self, host: ids.HostId, born: int) -> None:
-        """A farewell of some start reaches a host."""
+        """The end of some incarnation is announced to a host."""
         if self.tables[host].mark_gone(_SERVER, self.now, born):
             self.left.add(born)
             self.newest = max(self.newest, born)
 
     @stateful.rule(
-        teller=st.sampled_from(_HOSTS),
-        hearer=st.sampled_from(_HOSTS),
+        sender=st.sampled_from(_HOSTS),
+        receiver=st.sampled_from(_HOSTS),
     )
-    def tell(self, teller: ids.HostId, hearer: ids.HostId) -> None:
-        """One tells another; others may be cut off meanwhile."""
-        for found in self.tables[teller].known():
-            self.tables[hearer].merge(found, self.now, teller)
+    def send(self, sender: ids.HostId, receiver: ids.HostId) -> None:
+        """One host sends all its enrolments to another."""
+        for found in self.tables[sender].known():
+            self.tables[receiver].merge(found, self.now, sender)
 
     @stateful.rule(host=st.sampled_from(_HOSTS))
     def restart(self, host: ids.HostId) -> None:
-        """A host starts again with what it kept."""
+        """A host restarts with its stored enrolments."""
         kept = [found.to_wire() for found in self.tables[host].known()]
         table = enrolments.Enrolments(host, 5.0)
         for found in enrolments.parse_readable(kept, 'file'):
@@ -152,18 +152,18 @@
 
     @stateful.rule(seconds=st.floats(0, 2))
     def wait(self, seconds: float) -> None:
-        """Time goes by; nobody is forgotten within the play."""
+        """Time passes; no server is evicted within the test."""
         self.now = min(self.now + seconds, enrolments.EVICT_SILENT_SECONDS)
         for table in self.tables.values():
             table.expire(self.now)
 
     @stateful.rule()
-    def all_tell(self) -> None:
-        """After all told all, they agree, and on the last start."""
+    def all_send(self) -> None:
+        """After a full exchange all hosts agree on the last incarnation."""
         for _ in _HOSTS:
-            for teller in _HOSTS:
-                for hearer in _HOSTS:
-                    self.tell(teller, hearer)
+            for sender in _HOSTS:
+                for receiver in _HOSTS:
+                    self.send(sender, receiver)
         assert len({table.digest() for table in self.tables.values()}) == 1
         for table in self.tables.values():
             self._check(table.get(_SERVER))
--- a/libs/control/geraniumweir/control/tests/test_watching.py
+++ b/libs/control/geraniumweir/control/tests/test_watching.py
@@ -1,4 +1,4 @@
-"""What an entry host keeps of what control hosts tell it."""
+"""What an entry host keeps of the updates of control hosts."""
 
 import asyncio
 import typing
@@ -46,7 +46,7 @@
 
 
 def test_version_never_goes_back() -> None:
-    """A control host that lags behind says nothing that counts."""
+    """The update of a control host that lags behind is ignored."""
 
     async def work() -> None:
         watcher = _watcher()
@@ -57,10 +57,8 @@
     virtual.run(work())
 
 
-def test_host_is_sure_only_of_what_a_recorder_that_hears_a_leader_says() -> (
-    None
-):
-    """One that is cut off may have missed a change."""
+def test_only_an_up_to_date_control_host_confirms_the_document() -> None:
+    """A partitioned control host may have missed a change."""
 
     async def work() -> None:
         watcher = _watcher()
@@ -72,7 +70,7 @@
     virtual.run(work())
 
 
-def test_servers_outlast_a_control_host_that_knows_none() -> None:
+def test_servers_are_kept_when_the_next_control_host_lists_none() -> None:
     """It may only just have started."""
 
     async def work() -> None:
@@ -84,8 +82,8 @@
     virtual.run(work())
 
 
-def test_leaving_server_stays_so_at_the_next_control_host() -> None:
-    """That one may not have heard of it yet."""
+def test_leaving_server_stays_leaving_at_the_next_control_host() -> None:
+    """That host may not have received the leave yet."""
 
     async def work() -> None:
         watcher = _watcher()
@@ -103,14 +101,14 @@
     """A link on which one seed never answers."""
 
     async def introduce(self, address: ids.Address) -> ids.HostId:
-        """Return the host at an address, or wait without end."""
+        """Return the host at an address, or never answer."""
         if address.port == 1:
             await asyncio.sleep(3600)
         return _CONTROL
 
 
-def test_seed_that_is_down_keeps_nobody_from_the_others() -> None:
-    """At a start of all hosts each is up at another moment."""
+def test_unreachable_seed_does_not_delay_the_others() -> None:
+    """When all hosts start, each is up at a different moment."""
 
     async def work() -> None:
         network = memory.MemoryNetwork()
@@ -130,8 +128,8 @@
     virtual.run(work())
 
 
-def test_watcher_whose_control_hosts_all_went_asks_the_seeds_of_now() -> None:
-    """They may all have been replaced while this host was cut off."""
+def test_watcher_without_control_hosts_contacts_the_present_seeds() -> None:
+    """They may all have been replaced while this host was partitioned."""
 
     async def work() -> None:
         network = memory.MemoryNetwork()
