--- a/libs/control/geraniumweir/control/coordinator_client.py
+++ b/libs/control/geraniumweir/control/coordinator_client.py
@@ -19,7 +19,7 @@
 
 import reactivex
 from geraniumweir.common import eventlog, ids, timers
-from geraniumweir.control import hosts, logevents, usage_codec, notice_exchange
+from geraniumweir.control import hosts, logevents, notice_exchange, usage_codec
 from geraniumweir.scheduling import notices, spending
 from geraniumweir.wire import errors, peers
 from geraniumweir.wire.gen.control import ttypes
--- a/libs/control/geraniumweir/control/feed.py
+++ b/libs/control/geraniumweir/control/feed.py
@@ -16,8 +16,8 @@
 from geraniumweir.control import (
     enrolments,
     hosts,
-    recorders,
     leadership,
+    recorders,
 )
 from geraniumweir.rollout import orders
 from geraniumweir.wire import peers
--- a/libs/control/geraniumweir/control/host.py
+++ b/libs/control/geraniumweir/control/host.py
@@ -11,22 +11,22 @@
 from geraniumweir.common import eventlog, ids, timers
 from geraniumweir.configuration import published, recordings
 from geraniumweir.control import (
-    pool_coordination,
+    active_document,
     documents,
     enrolments,
     errors,
     feed,
-    recorder_changes,
     hosts,
-    active_document,
+    leadership,
     logaccess,
     logevents,
+    pool_coordination,
+    pool_servers,
     presence,
+    recorder_changes,
     recorders,
-    server_store,
     rollouts,
-    pool_servers,
-    leadership,
+    server_store,
 )
 from geraniumweir.rollout import budget, orders
 from geraniumweir.routing import finding
--- a/libs/control/geraniumweir/control/leadership.py
+++ b/libs/control/geraniumweir/control/leadership.py
@@ -16,10 +16,10 @@
 import reactivex
 from geraniumweir.common import eventlog, ids, timers
 from geraniumweir.control import (
+    demand,
     logevents,
-    recorders,
     notice_exchange,
-    demand,
+    recorders,
     stall_detector,
 )
 from geraniumweir.scheduling import notices
@@ -109,7 +109,7 @@
         self._last_seen[host_id] = now
 
     def set_share(self, host_id: ids.HostId, share: float) -> None:
-        """Record the share of all requests that a host was last sent."""
+        """Record the share of all requests that was last sent to a host."""
         self._shares[host_id] = share
         self._initial_shares.setdefault(host_id, share)
 
@@ -129,12 +129,12 @@
         """Return the number of entry hosts; evict those that are gone."""
         for host_id in self._unseen_for(EVICT_SECONDS, now):
             self.remove_host(host_id)
-        told_count = (
+        reported_count = (
             self._reported_count
             if now - self._reported_at < EVICT_SECONDS
             else 0
         )
-        return max(len(self._last_seen), told_count)
+        return max(len(self._last_seen), reported_count)
 
     def count_reachable(self, now: float) -> int:
         """Return the number of entry hosts that are reachable."""
@@ -160,8 +160,8 @@
 
         What a host granted by itself before it was reachable again counts too,
         as long as it is within the window of the quotas: without this, a
-        customer that took all it could get from two hosts got 1.41 quotas in 8
-        s around the end of a partition of 7 s; with it, 1.11.
+        customer that took all it could get from two hosts got 1.41 quotas
+        within 8 s around the end of a partition of 7 s; with it, 1.11.
 
         >>> some = EntryHosts(8)
         >>> some.heard(ids.HostId('a'), 0), some.heard(ids.HostId('b'), 5)
@@ -170,13 +170,13 @@
         0.5
         """
         host_count = self.count(now)
-        lost = self._unseen_for(REACHABLE_SECONDS, now)
+        unreachable = self._unseen_for(REACHABLE_SECONDS, now)
         standalone_share = sum(
-            self._standalone_share(host, now) for host in lost
+            self._standalone_share(host, now) for host in unreachable
         )
         standalone_share += self._unseen_share(host_count, now)
         return 1 - min(
-            standalone_share + self._share_used_by_returned(lost, now), 1
+            standalone_share + self._share_used_by_returned(unreachable, now), 1
         )
 
     def _unseen_share(self, host_count: int, now: float) -> float:
@@ -194,15 +194,16 @@
             return 0
         if host_count <= len(self._last_seen):
             return 0
-        even = 1 / host_count
-        brought = sum(
-            self._initial_shares.get(host, even) for host in self._last_seen
+        equal_share = 1 / host_count
+        initial_total = sum(
+            self._initial_shares.get(host, equal_share)
+            for host in self._last_seen
         )
-        return max(1 - brought, 0)
+        return max(1 - initial_total, 0)
 
     def _share_used_by_returned(
         self,
-        lost: typing.Sequence[ids.HostId],
+        unreachable: typing.Sequence[ids.HostId],
         now: float,
     ) -> float:
         """Return the share that hosts granted by themselves within a window."""
@@ -214,7 +215,7 @@
             partition.used_since(since)
             for partition in self._partitions
             if partition.host_id in self._last_seen
-            and partition.host_id not in lost
+            and partition.host_id not in unreachable
         )
         return used_seconds / self._quota_seconds
 
@@ -229,12 +230,12 @@
 
     def reported_share(self, now: float) -> float:
         """Return the share of the reachable hosts, as they report it."""
-        even = 1 / max(self.count(now), 1)
-        lost = self._unseen_for(REACHABLE_SECONDS, now)
+        equal_share = 1 / max(self.count(now), 1)
+        unreachable = self._unseen_for(REACHABLE_SECONDS, now)
         parts = [
-            self._shares.get(host, even)
+            self._shares.get(host, equal_share)
             for host in self._last_seen
-            if host not in lost
+            if host not in unreachable
         ]
         return min(sum(parts), 1)
 
--- a/libs/control/geraniumweir/control/notice_exchange.py
+++ b/libs/control/geraniumweir/control/notice_exchange.py
@@ -64,16 +64,18 @@
     def handle_pong(
         self,
         host_id: ids.HostId,
-        received: int,
+        filled_revision: int,
         pong: ttypes.Pong,
     ) -> None:
         """Apply the answer to a ping.
 
-        :param revision: what :meth:`fill` returned.
+        :param filled_revision: what :meth:`fill` returned.
         """
         if host_id != self._coordinator_id:
             return
-        self._acknowledged_revision = max(self._acknowledged_revision, received)
+        self._acknowledged_revision = max(
+            self._acknowledged_revision, filled_revision
+        )
         if pong.notices is not None:
             apply(self._known, pong.notices, host_id, self._clock.now())
         self._received_revision = pong.notices_revision or 0
--- a/libs/control/geraniumweir/control/presence.py
+++ b/libs/control/geraniumweir/control/presence.py
@@ -10,12 +10,12 @@
 
 from geraniumweir.common import eventlog, ids, timers
 from geraniumweir.control import (
+    crash_cases,
     enrolments,
     hosts,
+    leadership,
     logevents,
     recorders,
-    leadership,
-    crash_cases,
 )
 from geraniumweir.scheduling import notices
 from geraniumweir.wire import errors, peers
--- a/libs/control/geraniumweir/control/recorders.py
+++ b/libs/control/geraniumweir/control/recorders.py
@@ -13,7 +13,7 @@
 from geraniumweir.common import eventlog, ids, timers
 from geraniumweir.configuration import published, recordings, state
 from geraniumweir.consensus import errors, serving
-from geraniumweir.control import recorder_changes, hosts, logevents
+from geraniumweir.control import hosts, logevents, recorder_changes
 from geraniumweir.rollout import orders
 from geraniumweir.wire import errors as wire_errors
 from geraniumweir.wire import peers
--- a/libs/control/geraniumweir/control/tests/bed.py
+++ b/libs/control/geraniumweir/control/tests/bed.py
@@ -16,11 +16,11 @@
     enrolments,
     feed,
     hosts,
+    leadership,
     logaccess,
+    pool_servers,
     presence,
     recorders,
-    pool_servers,
-    leadership,
     watching,
 )
 from geraniumweir.rollout import orders
@@ -221,12 +221,12 @@
             machine,
             random.Random(place.host_id),
         )
-        keeper = recorder.Recorder(env, found, place.first)
-        keeper.start()
+        log_recorder = recorder.Recorder(env, found, place.first)
+        log_recorder.start()
         try:
-            yield recordings.Recording(keeper, machine)
+            yield recordings.Recording(log_recorder, machine)
         finally:
-            keeper.kill()
+            log_recorder.kill()
 
 
 def _watcher(link: memory.MemoryPeers, domain: str) -> watching.Watcher:
--- a/libs/control/geraniumweir/control/tests/test_crash_cases.py
+++ b/libs/control/geraniumweir/control/tests/test_crash_cases.py
@@ -4,7 +4,7 @@
 import typing
 
 from geraniumweir.common import ids, timers, virtual
-from geraniumweir.control import hosts, crash_cases
+from geraniumweir.control import crash_cases, hosts
 from geraniumweir.scheduling import settings, suspects
 from geraniumweir.scheduling.ontime import leader
 from geraniumweir.wire import memory
--- a/libs/control/geraniumweir/control/tests/test_enrolments.py
+++ b/libs/control/geraniumweir/control/tests/test_enrolments.py
@@ -13,7 +13,7 @@
 
 
 def _report(sequence: int, **changes: object) -> enrolments.Enrolment:
-    said = enrolments.Enrolment(
+    enrolment = enrolments.Enrolment(
         server_id=ids.ServerId('s'),
         pool=ids.PoolName('pool'),
         address=ids.Address('10.0.0.1', 8080),
@@ -21,7 +21,7 @@
         slots=4,
         sequence=sequence,
     )
-    return dataclasses.replace(said, **changes)
+    return dataclasses.replace(enrolment, **changes)
 
 
 def _table(host: ids.HostId = _ONE) -> enrolments.Enrolments:
--- a/libs/control/geraniumweir/control/tests/test_leaving.py
+++ b/libs/control/geraniumweir/control/tests/test_leaving.py
@@ -50,10 +50,10 @@
 ) -> None:
     """Send a server's report, as `ControlHost.report` does."""
     control = hosts.controls[domain]
-    said = _enrolment(domain, state, sequence)
+    enrolment = _enrolment(domain, state, sequence)
     now = asyncio.get_running_loop().time()
-    if control.table.report(said, now):
-        control.presence.publish_changes([said])
+    if control.table.report(enrolment, now):
+        control.presence.publish_changes([enrolment])
     control.feed.notify()
 
 
@@ -126,13 +126,13 @@
 
     async def work() -> None:
         hosts, entries = await _started(monkeypatch)
-        alone, *others = entries
+        partitioned_entry, *others = entries
         for domain in bed.DOMAINS:
-            hosts.partition(alone.host_id, domain)
+            hosts.partition(partitioned_entry.host_id, domain)
         await asyncio.sleep(3)
-        assert alone.coordinator.is_alone()
-        alone.receive_notice(_START, notices.Leaving())
-        assert alone.pool_servers.is_leaving(_START)
+        assert partitioned_entry.coordinator.is_alone()
+        partitioned_entry.receive_notice(_START, notices.Leaving())
+        assert partitioned_entry.pool_servers.is_leaving(_START)
         await asyncio.sleep(3)
         assert not any(one.pool_servers.is_leaving(_START) for one in others)
         hosts.network.heal()
@@ -192,11 +192,11 @@
 def test_leave_of_another_incarnation_changes_nothing(born: int) -> None:
     """A server may start again under its id and report the new incarnation."""
     table = enrolments.Enrolments(ids.HostId('c'), 1)
-    said = _enrolment('ant', enrolments.State.ready, 1)
-    table.report(dataclasses.replace(said, born=5), 0)
-    told = table.mark_leaving(_SERVER, born, 1)
-    assert (told is None) is (born < 5)
-    table.report(dataclasses.replace(said, born=7, sequence=2), 2)
+    enrolment = _enrolment('ant', enrolments.State.ready, 1)
+    table.report(dataclasses.replace(enrolment, born=5), 0)
+    change = table.mark_leaving(_SERVER, born, 1)
+    assert (change is None) is (born < 5)
+    table.report(dataclasses.replace(enrolment, born=7, sequence=2), 2)
     found = table.get(_SERVER)
     assert found and found.state is enrolments.State.ready
 
--- a/libs/control/geraniumweir/control/tests/test_notice_exchange.py
+++ b/libs/control/geraniumweir/control/tests/test_notice_exchange.py
@@ -209,13 +209,13 @@
     async def work() -> None:
         known = notices.Notices(timers.TimerService())
         now = asyncio.get_running_loop().time()
-        told = [
+        limit_structs = [
             ttypes.RateLimit('a', 1, float('nan'), 0, 0),
             ttypes.RateLimit('b', 1, -2, 0, 0),
             ttypes.RateLimit('c', None, 2, 0, 0),
             ttypes.RateLimit('d', 1, 2, 0, 0),
         ]
-        message = ttypes.Notices(told, [], [])
+        message = ttypes.Notices(limit_structs, [], [])
         notice_exchange.apply(known, message, ids.HostId('e1'), now)
         assert list(known.limits()) == [('d', 1)]
 
--- a/libs/control/geraniumweir/control/tests/test_pool_coordination.py
+++ b/libs/control/geraniumweir/control/tests/test_pool_coordination.py
@@ -6,8 +6,8 @@
 
 from geraniumweir.common import ids, timers, virtual
 from geraniumweir.control import (
-    pool_coordination,
     enrolments,
+    pool_coordination,
     pool_servers,
     usage_codec,
 )
@@ -69,8 +69,8 @@
 
 def _spent(amount: float) -> ttypes.Spent:
     """Return the report of an amount that was granted a second ago."""
-    told = spending.Spent(_SECONDS, {_NAME: {5: amount}})
-    return usage_codec.pack(told)
+    usage = spending.Spent(_SECONDS, {_NAME: {5: amount}})
+    return usage_codec.pack(usage)
 
 
 class _Bed:
--- a/libs/control/geraniumweir/control/tests/test_presence.py
+++ b/libs/control/geraniumweir/control/tests/test_presence.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from geraniumweir.common import ids, virtual
-from geraniumweir.control import enrolments, hosts, presence, leadership
+from geraniumweir.control import enrolments, hosts, leadership, presence
 from geraniumweir.control.tests import bed
 from geraniumweir.wire import memory
 
--- a/libs/control/geraniumweir/control/tests/test_stall_detector.py
+++ b/libs/control/geraniumweir/control/tests/test_stall_detector.py
@@ -5,7 +5,7 @@
 
 import pytest
 from geraniumweir.common import ids, timers, virtual
-from geraniumweir.control import pool_coordination, leadership
+from geraniumweir.control import leadership, pool_coordination
 from geraniumweir.wire import memory
 from geraniumweir.wire.gen.control import ttypes
 
--- a/libs/control/geraniumweir/control/tests/test_starts.py
+++ b/libs/control/geraniumweir/control/tests/test_starts.py
@@ -17,7 +17,7 @@
 def _report(
     born: int, sequence: int, **changes: object
 ) -> enrolments.Enrolment:
-    said = enrolments.Enrolment(
+    enrolment = enrolments.Enrolment(
         server_id=_SERVER,
         pool=ids.PoolName('pool'),
         address=ids.Address('10.0.0.1', 8080),
@@ -26,7 +26,7 @@
         sequence=sequence,
         born=born,
     )
-    return dataclasses.replace(said, **changes)
+    return dataclasses.replace(enrolment, **changes)
 
 
 def _table() -> enrolments.Enrolments:
@@ -78,8 +78,8 @@
 
 def test_incarnation_is_unchanged_by_encoding() -> None:
     """The file of a control host has the same form."""
-    said = _report(1_800_000_000_000, 3)
-    assert enrolments.from_wire(said.to_wire()) == said
+    enrolment = _report(1_800_000_000_000, 3)
+    assert enrolments.from_wire(enrolment.to_wire()) == enrolment
 
 
 def test_malformed_entry_does_not_affect_the_others() -> None:
--- a/libs/control/geraniumweir/control/tests/test_watching.py
+++ b/libs/control/geraniumweir/control/tests/test_watching.py
@@ -40,8 +40,8 @@
     news = ttypes.News(epoch, 1, version, None, True, True, list(servers), [])
     if version >= 0:
         news.document = zlib.compress(str(version).encode())
-    for name, told in changes.items():
-        setattr(news, name, told)
+    for name, field_value in changes.items():
+        setattr(news, name, field_value)
     return news
 
 
--- a/libs/control/geraniumweir/control/watch_target.py
+++ b/libs/control/geraniumweir/control/watch_target.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from geraniumweir.common import eventlog, ids, timers
-from geraniumweir.control import hosts, logevents, host_search
+from geraniumweir.control import host_search, hosts, logevents
 from geraniumweir.wire.gen.control import ttypes
 
 # A control host that failed or was not up to date is probed after the others
--- a/libs/control/geraniumweir/control/watching.py
+++ b/libs/control/geraniumweir/control/watching.py
@@ -13,13 +13,13 @@
 import reactivex
 from geraniumweir.common import eventlog, ids, timers
 from geraniumweir.control import (
-    watch_target,
+    active_document,
     enrolments,
+    host_search,
     hosts,
-    active_document,
-    logevents,
     leave_collector,
-    host_search,
+    logevents,
+    watch_target,
 )
 from geraniumweir.rollout import guiding, orders
 from geraniumweir.routing import finding
