--- a/libs/control/geraniumweir/control/leadership.py
+++ b/libs/control/geraniumweir/control/leadership.py
@@ -383,7 +383,7 @@
             self.entry_hosts.heard(sender, now)
         if ping.share is not None:
             self.entry_hosts.set_share(sender, ping.share)
-        self._notice_receiver.apply(sender, ping)
+        self._notice_receiver.apply_notices(sender, ping)
         awake = self._stall_detector.is_recovered()
         pong = ttypes.Pong(
             leads=awake and self._log.is_leading(),
--- a/libs/control/geraniumweir/control/notice_exchange.py
+++ b/libs/control/geraniumweir/control/notice_exchange.py
@@ -77,7 +77,7 @@
             self._acknowledged_revision, filled_revision
         )
         if pong.notices is not None:
-            apply(self._known, pong.notices, host_id, self._clock.now())
+            apply_notices(self._known, pong.notices, host_id, self._clock.now())
         self._received_revision = pong.notices_revision or 0
 
     def _send_notice(self, notice: notices.Notice) -> None:
@@ -107,10 +107,10 @@
         self._clock = clock
         link.handle(ttypes.Notices, self._on_notices)
 
-    def apply(self, sender: ids.HostId, ping: ttypes.Ping) -> None:
+    def apply_notices(self, sender: ids.HostId, ping: ttypes.Ping) -> None:
         """Apply the notices that came with a ping."""
         if ping.notices is not None:
-            apply(self._known, ping.notices, sender, self._clock.now())
+            apply_notices(self._known, ping.notices, sender, self._clock.now())
 
     def fill(self, ping: ttypes.Ping, pong: ttypes.Pong) -> None:
         """Add the notices that the sender lacks to an answer."""
@@ -132,7 +132,7 @@
         sender: ids.HostId,
         message: ttypes.Notices,
     ) -> None:
-        apply(self._known, message, sender, self._clock.now())
+        apply_notices(self._known, message, sender, self._clock.now())
 
 
 def pack(
@@ -164,7 +164,7 @@
     return message
 
 
-def apply(
+def apply_notices(
     known: notices.Notices,
     received: ttypes.Notices,
     from_host: ids.HostId,
--- a/libs/control/geraniumweir/control/tests/test_crash_cases.py
+++ b/libs/control/geraniumweir/control/tests/test_crash_cases.py
@@ -121,7 +121,7 @@
         one.coordinate()
         one.crash()
         await asyncio.sleep(0.5)
-        one.led[0].suspects.record_success(_REQUEST)
+        one.led[0].suspects.record_completion(_REQUEST)
         await asyncio.sleep(0.5)
         other.coordinate()
         assert other.verdict() is suspects.Verdict.clear
--- a/libs/control/geraniumweir/control/tests/test_notice_exchange.py
+++ b/libs/control/geraniumweir/control/tests/test_notice_exchange.py
@@ -37,7 +37,7 @@
         sender: ids.HostId,
         ping: ttypes.Ping,
     ) -> ttypes.Pong:
-        self._notice_receiver.apply(sender, ping)
+        self._notice_receiver.apply_notices(sender, ping)
         pong = ttypes.Pong(self.leads, False, 2, 2, 0.5)
         self._notice_receiver.fill(ping, pong)
         return pong
@@ -216,7 +216,7 @@
             ttypes.RateLimit('d', 1, 2, 0, 0),
         ]
         message = ttypes.Notices(limit_structs, [], [])
-        notice_exchange.apply(known, message, ids.HostId('e1'), now)
+        notice_exchange.apply_notices(known, message, ids.HostId('e1'), now)
         assert list(known.limits()) == [('d', 1)]
 
     virtual.run(work())
--- a/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
@@ -79,7 +79,7 @@
             _record_complete_response(leader, server, running, release)
             server.condition.record_answer(well=True)
             server.last_success_at = now
-            leader.suspects.record_success(running.slot_request.fingerprint)
+            leader.suspects.record_completion(running.slot_request.fingerprint)
         case requests.Outcome.answered_failure:
             server.condition.record_answer(well=False)
         case requests.Outcome.not_sent:
--- a/libs/scheduling/geraniumweir/scheduling/progressing.py
+++ b/libs/scheduling/geraniumweir/scheduling/progressing.py
@@ -171,7 +171,7 @@
             slot_request.rule, slot_request.customer, ended.output_tokens
         )
         _sample_decode(leader, server, running, ended)
-    leader.suspects.record_success(running.slot_request.fingerprint)
+    leader.suspects.record_completion(running.slot_request.fingerprint)
     server.last_progress_at = leader.now()
     server.health.record_success()
 
--- a/libs/scheduling/geraniumweir/scheduling/suspects.py
+++ b/libs/scheduling/geraniumweir/scheduling/suspects.py
@@ -235,7 +235,7 @@
         blamed = prior or self.unexplained(ran) or sorted(ran)
         return self._blame(blamed, 1 / max(len(blamed), 1), now)
 
-    def record_success(self, fingerprint: ids.Fingerprint) -> None:
+    def record_completion(self, fingerprint: ids.Fingerprint) -> None:
         """Record a complete response; clear content not in quarantine."""
         if fingerprint == NO_FINGERPRINT:
             return
--- a/libs/scheduling/geraniumweir/scheduling/tests/test_suspects.py
+++ b/libs/scheduling/geraniumweir/scheduling/tests/test_suspects.py
@@ -38,7 +38,7 @@
     neighbour = ids.Fingerprint(1)
     for mark in (_POISON, neighbour):
         known.record_incomplete(mark, _ONE, 0)
-    known.record_success(neighbour)
+    known.record_completion(neighbour)
     known.record_crash([_POISON, neighbour], 5)
     assert known.verdict(neighbour, 5) is suspects.Verdict.clear
     assert known.verdict(_POISON, 5) is suspects.Verdict.suspect
