--- a/libs/daemon/geraniumweir/daemon/main.py
+++ b/libs/daemon/geraniumweir/daemon/main.py
@@ -11,7 +11,6 @@
 from geraniumweir.common import stopping, timers
 from geraniumweir.common import logevents as levels
 from geraniumweir.daemon import (
-    alone,
     announcements,
     callers,
     draining,
@@ -24,6 +23,7 @@
     operators,
     settings,
     settingvalues,
+    standalone,
     testlinks,
 )
 from geraniumweir.daemon import host as entry_host
@@ -76,7 +76,9 @@
         host = await _make_host(cfg, stack)
         observed = observing.observe(host, stack)
         joined: joining.Joined | None = None
-        ops: operations.Operations = alone.StandaloneOperations(host, observed)
+        ops: operations.Operations = standalone.StandaloneOperations(
+            host, observed
+        )
         if cfg.peer_address is not None:
             joined = await joining.join(host, stack)
             gauges.register_joined(observed.meter, joined)
--- a/libs/daemon/geraniumweir/daemon/tests/test_operators.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_operators.py
@@ -8,14 +8,14 @@
 import aiohttp
 from aiohttp import test_utils
 from geraniumweir.common import ids, timers
+from geraniumweir.daemon import host as entry_host
 from geraniumweir.daemon import (
-    alone,
     observing,
     operations,
     operators,
     settings,
+    standalone,
 )
-from geraniumweir.daemon import host as entry_host
 from geraniumweir.membership import servers
 from geraniumweir.observe import traces
 
@@ -34,7 +34,7 @@
 ]
 
 
-class _NoMajority(alone.StandaloneOperations):
+class _NoMajority(standalone.StandaloneOperations):
     """A host whose recorders did not answer in time."""
 
     async def change(self, _change: operations.Change) -> operations.Accepted:
@@ -61,7 +61,9 @@
 def _run(
     scenario: _Scenario,
     trace_file: str | None = None,
-    kind: type[alone.StandaloneOperations] = alone.StandaloneOperations,
+    kind: type[
+        standalone.StandaloneOperations
+    ] = standalone.StandaloneOperations,
 ) -> None:
     async def whole() -> None:
         cfg = _settings(trace_file)
--- a/libs/fakes/geraniumweir/fakes/tests/test_observed.py
+++ b/libs/fakes/geraniumweir/fakes/tests/test_observed.py
@@ -4,17 +4,19 @@
 import pathlib
 
 from geraniumweir.backends import prompts
-from geraniumweir.daemon import alone, observing
+from geraniumweir.daemon import observing, standalone
 from geraniumweir.fakes.tests import bed
 
 _PARENT = '00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01'
 
 
-def _observe(field: bed.Bed, path: pathlib.Path) -> alone.StandaloneOperations:
+def _observe(
+    field: bed.Bed, path: pathlib.Path
+) -> standalone.StandaloneOperations:
     host = field.entry.host
     host.cfg = dataclasses.replace(host.cfg, trace_file=str(path))
     observed = observing.observe(host, field.stack)
-    return alone.StandaloneOperations(host, observed)
+    return standalone.StandaloneOperations(host, observed)
 
 
 def test_whole_call_has_a_span_for_each_hop(tmp_path: pathlib.Path) -> None:
