--- a/libs/daemon/geraniumweir/daemon/admission.py
+++ b/libs/daemon/geraniumweir/daemon/admission.py
@@ -17,20 +17,20 @@
 _BEARER = 'Bearer '
 _MS = 1000
 _DEFAULT_DEADLINE_MS = 60000
-_LONGEST_DEADLINE_MS = 24 * 60 * 60 * _MS
-_LONGEST_KEY = 255
+_MAX_DEADLINE_MS = 24 * 60 * 60 * _MS
+_MAX_KEY_LENGTH = 255
 _NO_PROMPT = prompts.Prompt(0, (), ids.Fingerprint(0))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Admitted:
+class AdmittedRequest:
     """A call that a rule routes to a pool.
 
     :ivar kind: of the pool, ``engine`` or ``service``.
     :ivar claim: what a non-idempotent call is claimed by, else None.
     """
 
-    ask: requests.SlotRequest
+    slot_request: requests.SlotRequest
     kind: str
     claim: claiming.ClaimKey | None
 
@@ -82,7 +82,7 @@
     return found
 
 
-def read_wait(req: web.Request) -> float | None:
+def read_deadline_seconds(req: web.Request) -> float | None:
     """Read ``X-Deadline-Ms``.
 
     :returns: seconds from arrival, or None where the caller says nothing.
@@ -95,22 +95,22 @@
         raise refusals.bad_request(
             f'X-Deadline-Ms {text!r} is not a whole number of ms from 1 up',
         )
-    return min(int(text[:10]), _LONGEST_DEADLINE_MS) / _MS
+    return min(int(text[:10]), _MAX_DEADLINE_MS) / _MS
 
 
 def admit(
     host: entry_host.EntryHost,
-    talk: exchange.Exchange,
+    http_exchange: exchange.Exchange,
     customer: document.Customer,
-) -> Admitted:
+) -> AdmittedRequest:
     """Decide a call by the rules in force.
 
-    :param talk: with the whole body; its head gets what the rule says.
+    :param http_exchange: with the whole body; its head gets what the rule says.
     :raises errors.Refused: when the call can't be served.
     """
     doc = host.compiled
-    content = _read_content(talk)
-    facts = _facts(host, talk, content, customer.name)
+    content = _read_content(http_exchange)
+    facts = _facts(host, http_exchange, content, customer.name)
     rule = doc.first_match(facts)
     if rule is None:
         raise refusals.refuse(
@@ -121,33 +121,37 @@
         case document.Refuse(reason=reason, status=status):
             raise refusals.by_rule(status, rule.name, reason)
         case document.Route() as route:
-            exchange.add_route(talk.head, route.pool, route.tier)
+            exchange.add_route(http_exchange.head, route.pool, route.tier)
             decision = _Decision(customer, rule.name, route)
-            ask = _ask(host, talk, facts, content, decision)
+            slot_request = _slot_request(
+                host, http_exchange, facts, content, decision
+            )
             pool = doc.pool(route.pool)
             kind = pool.kind if pool else 'engine'
-            return Admitted(ask, kind, _claim_key(talk, ask))
+            return AdmittedRequest(
+                slot_request, kind, _claim_key(http_exchange, slot_request)
+            )
 
 
-def _ask(
+def _slot_request(
     host: entry_host.EntryHost,
-    talk: exchange.Exchange,
+    http_exchange: exchange.Exchange,
     facts: matching.Facts,
     content: _Content,
     decision: _Decision,
 ) -> requests.SlotRequest:
     route = decision.route
-    wait = read_wait(talk.req)
-    if wait is None:
-        wait = (route.deadline_ms or _DEFAULT_DEADLINE_MS) / _MS
+    deadline_seconds = read_deadline_seconds(http_exchange.req)
+    if deadline_seconds is None:
+        deadline_seconds = (route.deadline_ms or _DEFAULT_DEADLINE_MS) / _MS
     return requests.SlotRequest(
-        request_id=talk.request_id,
+        request_id=http_exchange.request_id,
         owner=host.cfg.host_id,
         pool=route.pool,
         customer=facts.customer,
         rule=decision.rule,
         tier=route.tier,
-        deadline=talk.arrival + wait,
+        deadline=http_exchange.arrival + deadline_seconds,
         model=facts.model,
         prompt_tokens=content.prompt.tokens,
         max_tokens=content.max_tokens,
@@ -170,35 +174,35 @@
 
 
 def _claim_key(
-    talk: exchange.Exchange,
-    ask: requests.SlotRequest,
+    http_exchange: exchange.Exchange,
+    slot_request: requests.SlotRequest,
 ) -> claiming.ClaimKey | None:
-    if ask.idempotent:
+    if slot_request.idempotent:
         return None
-    key = talk.req.headers.get('Idempotency-Key', '')
+    key = http_exchange.req.headers.get('Idempotency-Key', '')
     if not key:
         raise refusals.refuse(
             catalogue.KEY_MISSING,
             'a call that must run at most once needs an Idempotency-Key',
         )
-    if len(key) > _LONGEST_KEY:
+    if len(key) > _MAX_KEY_LENGTH:
         raise refusals.bad_request(
-            f'the Idempotency-Key is longer than {_LONGEST_KEY} characters',
+            f'the Idempotency-Key is longer than {_MAX_KEY_LENGTH} characters',
         )
-    return claiming.ClaimKey(ask.customer, key)
+    return claiming.ClaimKey(slot_request.customer, key)
 
 
 def _facts(
     host: entry_host.EntryHost,
-    talk: exchange.Exchange,
+    http_exchange: exchange.Exchange,
     content: _Content,
     customer: ids.CustomerName,
 ) -> matching.Facts:
-    req = talk.req
-    said = req.headers.get('X-Idempotent', 'true').strip().lower()
-    if said not in {'true', 'false'}:
+    req = http_exchange.req
+    idempotent_header = req.headers.get('X-Idempotent', 'true').strip().lower()
+    if idempotent_header not in {'true', 'false'}:
         raise refusals.bad_request(
-            f'X-Idempotent {said!r} is neither true nor false',
+            f'X-Idempotent {idempotent_header!r} is neither true nor false',
         )
     return matching.Facts(
         customer=customer,
@@ -207,28 +211,32 @@
         model=content.model,
         headers={name.lower(): text for name, text in req.headers.items()},
         prompt_tokens=content.prompt.tokens,
-        idempotent=said == 'true',
+        idempotent=idempotent_header == 'true',
     )
 
 
-def _read_content(talk: exchange.Exchange) -> _Content:
-    req = talk.req
+def _read_content(http_exchange: exchange.Exchange) -> _Content:
+    req = http_exchange.req
     if req.path.startswith(SERVICES):
         path = f'{req.method} {req.raw_path}'
-        digest = prompts.fingerprint(path.encode(), talk.body)
+        digest = prompts.fingerprint(path.encode(), http_exchange.body)
         # To the scheduler a service's answer is one token behind no prompt.
         prompt = dataclasses.replace(_NO_PROMPT, fingerprint=digest)
         return _Content(prompt, max_tokens=1)
-    payload = _payload(talk.body)
+    payload = _payload(http_exchange.body)
     try:
         prompt = prompts.read_prompt(payload)
     except ValueError as exc:
         raise refusals.bad_request(str(exc)) from exc
-    most = payload.get('max_completion_tokens', payload.get('max_tokens'))
-    if not isinstance(most, int | None) or isinstance(most, bool):
-        raise refusals.bad_request(f'max_tokens {most!r} is no whole number')
+    token_limit = payload.get(
+        'max_completion_tokens', payload.get('max_tokens')
+    )
+    if not isinstance(token_limit, int | None) or isinstance(token_limit, bool):
+        raise refusals.bad_request(
+            f'max_tokens {token_limit!r} is no whole number'
+        )
     streams = payload.get('stream') is True
-    return _Content(prompt, _model(payload), max(most or 0, 0), streams)
+    return _Content(prompt, _model(payload), max(token_limit or 0, 0), streams)
 
 
 def _model(payload: dict[str, typing.Any]) -> str | None:
--- a/libs/daemon/geraniumweir/daemon/announcements.py
+++ b/libs/daemon/geraniumweir/daemon/announcements.py
@@ -16,10 +16,10 @@
 
     :param host: the entry host it serves.
     """
-    front = _Front(host)
+    handlers = _Handlers(host)
     app = web.Application()
-    app.router.add_post('/v1/announce', front.announce)
-    app.router.add_post('/v1/reports', front.report)
+    app.router.add_post('/v1/announce', handlers.announce)
+    app.router.add_post('/v1/reports', handlers.report)
     return app
 
 
@@ -53,7 +53,7 @@
         raise ValueError(f'a field has the wrong type: {exc}') from exc
 
 
-class _Front:
+class _Handlers:
     """Handlers of one entry host."""
 
     def __init__(self, host: entry_host.EntryHost) -> None:
@@ -68,7 +68,7 @@
         except ValueError as exc:
             return _fault(exc)
         if known and known.incarnation != announcement.incarnation:
-            self._offsets.forget(announcement.server_id)
+            self._offsets.discard(announcement.server_id)
         return web.json_response(
             {
                 'next_ms': reply.next_ms,
--- a/libs/daemon/geraniumweir/daemon/callers.py
+++ b/libs/daemon/geraniumweir/daemon/callers.py
@@ -18,9 +18,9 @@
 from geraniumweir.daemon import host as entry_host
 from geraniumweir.observe import traces
 
-MAX_BODY = 4 * 1024 * 1024
-MAX_HEADERS = 16384
-_LONGEST_BODY_SECONDS = 30.0
+MAX_BODY_BYTES = 4 * 1024 * 1024
+MAX_HEADER_BYTES = 16384
+_MAX_BODY_SECONDS = 30.0
 _ANY = '*'
 
 
@@ -29,18 +29,18 @@
 
     :param host: the entry host it serves.
     """
-    front = _Front(host)
-    app = web.Application(client_max_size=MAX_BODY)
-    app.router.add_post('/v1/chat/completions', front.call)
-    app.router.add_post('/v1/completions', front.call)
-    app.router.add_route(_ANY, '/services/{pool}/{path:.*}', front.call)
-    app.router.add_get('/healthz', front.healthz)
-    app.router.add_get('/readyz', front.readyz)
-    app.router.add_route(_ANY, '/{path:.*}', front.no_such_path)
+    handlers = _Handlers(host)
+    app = web.Application(client_max_size=MAX_BODY_BYTES)
+    app.router.add_post('/v1/chat/completions', handlers.call)
+    app.router.add_post('/v1/completions', handlers.call)
+    app.router.add_route(_ANY, '/services/{pool}/{path:.*}', handlers.call)
+    app.router.add_get('/healthz', handlers.healthz)
+    app.router.add_get('/readyz', handlers.readyz)
+    app.router.add_route(_ANY, '/{path:.*}', handlers.no_such_path)
     return app
 
 
-class _Front:
+class _Handlers:
     """Handlers of one entry host."""
 
     def __init__(self, host: entry_host.EntryHost) -> None:
@@ -71,64 +71,72 @@
         return await _new_exchange(req).refuse(refused.refusal)
 
     async def call(self, req: web.Request) -> web.StreamResponse:
-        talk = _new_exchange(req)
+        http_exchange = _new_exchange(req)
         path = self._host.path
         if self._host.draining:
-            resp = await self._refuse(talk, refusals.draining().refusal)
+            resp = await self._refuse(
+                http_exchange, refusals.draining().refusal
+            )
             resp.force_close()
             return resp
-        with path.in_flight.flight(talk.request_id) as flight:
-            talk.traceparent = (
+        with path.in_flight.track(
+            http_exchange.request_id
+        ) as in_flight_request:
+            http_exchange.traceparent = (
                 path.tracer.begin(
-                    talk.request_id,
-                    talk.traceparent,
+                    http_exchange.request_id,
+                    http_exchange.traceparent,
                 )
-                or talk.traceparent
+                or http_exchange.traceparent
             )
-            with path.tracer.span(talk.request_id, traces.Hop.caller):
-                return await self._answer(talk, flight)
+            with path.tracer.span(http_exchange.request_id, traces.Hop.caller):
+                return await self._answer(http_exchange, in_flight_request)
 
     async def _answer(
         self,
-        talk: exchange.Exchange,
-        flight: inflight.Flight,
+        http_exchange: exchange.Exchange,
+        in_flight_request: inflight.InFlightRequest,
     ) -> web.StreamResponse:
         try:
-            await self._serve(talk, flight)
+            await self._serve(http_exchange, in_flight_request)
         except errors.Refused as exc:
-            return await self._refuse(talk, exc.refusal)
+            return await self._refuse(http_exchange, exc.refusal)
         except ConnectionError:
-            self._host.path.meter.gone(talk.head.get('X-Tier', ''))
-            return _gone(talk)
+            self._host.path.meter.record_disconnect(
+                http_exchange.head.get('X-Tier', '')
+            )
+            return _abort_connection(http_exchange)
         except Exception as exc:
-            return await self._refuse(talk, _internal(exc, flight))
-        return talk.resp or _gone(talk)
+            return await self._refuse(
+                http_exchange, _internal(exc, in_flight_request)
+            )
+        return http_exchange.resp or _abort_connection(http_exchange)
 
     async def _refuse(
         self,
-        talk: exchange.Exchange,
+        http_exchange: exchange.Exchange,
         refusal: errors.Refusal,
     ) -> web.StreamResponse:
-        tier = talk.head.get('X-Tier', '')
-        self._host.path.meter.refused(refusal, tier)
-        return await talk.refuse(refusal)
+        tier = http_exchange.head.get('X-Tier', '')
+        self._host.path.meter.record_refusal(refusal, tier)
+        return await http_exchange.refuse(refusal)
 
     async def _serve(
         self,
-        talk: exchange.Exchange,
-        flight: inflight.Flight,
+        http_exchange: exchange.Exchange,
+        in_flight_request: inflight.InFlightRequest,
     ) -> None:
         host = self._host
         in_force = host.in_force
-        talk.head['X-Config-Version'] = str(in_force.version)
-        _check_headers(talk.req)
-        customer = admission.find_customer(host, talk.req)
-        talk.body = await _read_body(talk)
-        with host.path.tracer.span(talk.request_id, traces.Hop.rule):
-            admitted = admission.admit(host, talk, customer)
-        flight.idempotent = admitted.ask.idempotent
+        http_exchange.head['X-Config-Version'] = str(in_force.version)
+        _check_headers(http_exchange.req)
+        customer = admission.find_customer(host, http_exchange.req)
+        http_exchange.body = await _read_body(http_exchange)
+        with host.path.tracer.span(http_exchange.request_id, traces.Hop.rule):
+            admitted = admission.admit(host, http_exchange, customer)
+        in_flight_request.idempotent = admitted.slot_request.idempotent
         await dispatching.serve(
-            dispatching.Job(host, talk, admitted, flight),
+            dispatching.Job(host, http_exchange, admitted, in_flight_request),
         )
 
 
@@ -139,27 +147,29 @@
         request_id=request_id,
         arrival=asyncio.get_running_loop().time(),
         traceparent=req.headers.get('traceparent'),
-        head=exchange.new_head(request_id),
+        head=exchange.initial_headers(request_id),
     )
 
 
 def _check_headers(req: web.Request) -> None:
     size = sum(len(name) + len(text) for name, text in req.raw_headers)
-    if size > MAX_HEADERS:
+    if size > MAX_HEADER_BYTES:
         raise refusals.refuse(
             catalogue.HEADERS_TOO_LARGE,
-            f'headers of {size} bytes; at most {MAX_HEADERS} are taken',
+            f'headers of {size} bytes; at most {MAX_HEADER_BYTES} are taken',
         )
 
 
-async def _read_body(talk: exchange.Exchange) -> bytes:
-    wait = admission.read_wait(talk.req) or _LONGEST_BODY_SECONDS
-    due = talk.arrival + min(wait, _LONGEST_BODY_SECONDS)
-    if (talk.req.content_length or 0) > MAX_BODY:
+async def _read_body(http_exchange: exchange.Exchange) -> bytes:
+    deadline_seconds = (
+        admission.read_deadline_seconds(http_exchange.req) or _MAX_BODY_SECONDS
+    )
+    due_at = http_exchange.arrival + min(deadline_seconds, _MAX_BODY_SECONDS)
+    if (http_exchange.req.content_length or 0) > MAX_BODY_BYTES:
         raise _too_large()
     try:
-        async with asyncio.timeout_at(due):
-            return await talk.req.read()
+        async with asyncio.timeout_at(due_at):
+            return await http_exchange.req.read()
     except web.HTTPRequestEntityTooLarge as exc:
         raise _too_large() from exc
     except TimeoutError as exc:
@@ -170,23 +180,27 @@
 def _too_large() -> errors.Refused:
     return refusals.refuse(
         catalogue.BODY_TOO_LARGE,
-        f'a body may have at most {MAX_BODY} bytes',
+        f'a body may have at most {MAX_BODY_BYTES} bytes',
     )
 
 
-def _internal(exc: Exception, flight: inflight.Flight) -> errors.Refusal:
+def _internal(
+    exc: Exception, in_flight_request: inflight.InFlightRequest
+) -> errors.Refusal:
     """Own a fault of this program; the loop's handler logs it."""
     asyncio.get_running_loop().call_exception_handler(
         {'message': 'a call met a fault of the program', 'exception': exc},
     )
-    ran = ids.Ran.unknown if flight.sent else ids.Ran.no
+    ran = ids.Ran.unknown if in_flight_request.sent else ids.Ran.no
     message = 'a fault of the entry host; its log says more'
     return refusals.refuse(catalogue.INTERNAL, message, ran).refusal
 
 
-def _gone(talk: exchange.Exchange) -> web.StreamResponse:
+def _abort_connection(http_exchange: exchange.Exchange) -> web.StreamResponse:
     """End the exchange with a caller that isn't there."""
-    transport = talk.req.transport
+    transport = http_exchange.req.transport
     if transport is not None:
         transport.abort()
-    return talk.resp or web.Response(status=http.HTTPStatus.BAD_GATEWAY)
+    return http_exchange.resp or web.Response(
+        status=http.HTTPStatus.BAD_GATEWAY
+    )
--- a/libs/daemon/geraniumweir/daemon/claiming.py
+++ b/libs/daemon/geraniumweir/daemon/claiming.py
@@ -16,7 +16,7 @@
 
 from geraniumweir.common import errors, ids
 
-_MOST_KEPT = 100000
+_MAX_CLAIMS = 100000
 
 
 class ClaimsUnavailableError(errors.GeraniumweirError):
@@ -84,7 +84,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Kept:
+class _ClaimRecord:
     request_id: ids.RequestId
     fingerprint: ids.Fingerprint
     state: Claim
@@ -97,15 +97,15 @@
     never forgotten.
     """
 
-    def __init__(self, most_kept: int = _MOST_KEPT) -> None:
+    def __init__(self, max_claims: int = _MAX_CLAIMS) -> None:
         """Start with no claims.
 
-        :param most_kept: claims that are kept at a time.
+        :param max_claims: claims that are kept at a time.
         """
-        self._kept: collections.OrderedDict[ClaimKey, _Kept] = (
+        self._records: collections.OrderedDict[ClaimKey, _ClaimRecord] = (
             collections.OrderedDict()
         )
-        self._most_kept = most_kept
+        self._max_claims = max_claims
 
     async def claim(
         self,
@@ -114,10 +114,12 @@
         fingerprint: ids.Fingerprint,
     ) -> Claim:
         """Claim a call; see :class:`Claims`."""
-        known = self._kept.get(key)
+        known = self._records.get(key)
         if known is None:
-            self._forget()
-            self._kept[key] = _Kept(request_id, fingerprint, Claim.running)
+            self._evict_ended()
+            self._records[key] = _ClaimRecord(
+                request_id, fingerprint, Claim.running
+            )
             return Claim.granted
         if known.fingerprint != fingerprint:
             return Claim.mismatch
@@ -130,20 +132,20 @@
         ending: Ending,
     ) -> None:
         """End a claim; see :class:`Claims`."""
-        known = self._kept.get(key)
+        known = self._records.get(key)
         if known is None or known.request_id != request_id:
             return
         match ending:
             case Ending.not_run:
-                self._kept.pop(key)
+                self._records.pop(key)
             case Ending.done:
                 known.state = Claim.done
             case Ending.unknown:
                 known.state = Claim.unknown
 
-    def _forget(self) -> None:
-        for key, kept in list(self._kept.items()):
-            if len(self._kept) < self._most_kept:
+    def _evict_ended(self) -> None:
+        for key, record in list(self._records.items()):
+            if len(self._records) < self._max_claims:
                 return
-            if kept.state is not Claim.running:
-                self._kept.pop(key)
+            if record.state is not Claim.running:
+                self._records.pop(key)
--- a/libs/daemon/geraniumweir/daemon/dispatching.py
+++ b/libs/daemon/geraniumweir/daemon/dispatching.py
@@ -25,45 +25,49 @@
 from geraniumweir.scheduling import requests, views
 
 _CANCEL_SECONDS = 2.0
-_MOST_TRIES = 6
-_FIRST_PAUSE_SECONDS = 0.02
+_MAX_ATTEMPTS = 6
+_INITIAL_BACKOFF_SECONDS = 0.02
 # Bounds a non-idempotent call that its server never ends.
-_LONGEST_RUN_SECONDS = 900.0
+_MAX_RUN_SECONDS = 900.0
 
 
 @dataclasses.dataclass(slots=True)
 class Job:
     """An admitted call.
 
-    :ivar finished: whether its claim has got its ending.
+    :ivar claim_finished: whether its claim has got its ending.
     """
 
     host: entry_host.EntryHost
-    talk: exchange.Exchange
-    admitted: admission.Admitted
-    flight: inflight.Flight
-    finished: bool = False
+    http_exchange: exchange.Exchange
+    admitted: admission.AdmittedRequest
+    in_flight_request: inflight.InFlightRequest
+    claim_finished: bool = False
 
     @property
     def scheduler(self) -> views.Scheduler:
         """Who grants capacity of the call's pool."""
-        return self.host.scheduler(self.admitted.ask.pool)
+        return self.host.scheduler(self.admitted.slot_request.pool)
 
     @property
     def request_id(self) -> ids.RequestId:
         """The call's id."""
-        return self.talk.request_id
+        return self.http_exchange.request_id
 
-    def note_counted(self) -> None:
+    def exempt_from_rate_limit(self) -> None:
         """Keep the call from counting twice against its rule's rate."""
-        ask = dataclasses.replace(self.admitted.ask, rate_per_s=None)
-        self.admitted = dataclasses.replace(self.admitted, ask=ask)
-
-    async def finish(self, ending: claiming.Ending) -> None:
+        slot_request = dataclasses.replace(
+            self.admitted.slot_request, rate_per_s=None
+        )
+        self.admitted = dataclasses.replace(
+            self.admitted, slot_request=slot_request
+        )
+
+    async def finish_claim(self, ending: claiming.Ending) -> None:
         """Give the call's claim its ending, once."""
-        if self.finished or self.admitted.claim is None:
+        if self.claim_finished or self.admitted.claim is None:
             return
-        self.finished = True
+        self.claim_finished = True
         try:
             await self.host.path.claims.finish(
                 self.admitted.claim,
@@ -72,11 +76,11 @@
             )
         except claiming.ClaimsUnavailableError:
             # The claim goes on counting as running, which is the safe side.
-            self.finished = False
+            self.claim_finished = False
 
-    async def whole(self) -> None:
+    async def record_complete(self) -> None:
         """Note that the whole answer is there."""
-        await self.finish(claiming.Ending.done)
+        await self.finish_claim(claiming.Ending.done)
 
 
 async def serve(job: Job) -> None:
@@ -93,22 +97,22 @@
     try:
         await asyncio.shield(task)
     except asyncio.CancelledError:
-        job.talk.gone = True
-        if not job.flight.sent:
+        job.http_exchange.caller_gone = True
+        if not job.in_flight_request.sent:
             task.cancel()
         raise
 
 
 async def _claim(job: Job, key: claiming.ClaimKey) -> None:
     path = job.host.path
-    ask = job.admitted.ask
+    slot_request = job.admitted.slot_request
     try:
         with path.tracer.span(job.request_id, traces.Hop.claim):
-            async with asyncio.timeout_at(ask.deadline):
+            async with asyncio.timeout_at(slot_request.deadline):
                 claim = await path.claims.claim(
                     key,
                     job.request_id,
-                    ask.fingerprint,
+                    slot_request.fingerprint,
                 )
     except claiming.ClaimsUnavailableError as exc:
         raise refusals.no_claim(exc.message) from exc
@@ -123,54 +127,58 @@
         await _run(job)
     finally:
         ending = claiming.Ending.not_run
-        if job.flight.sent:
+        if job.in_flight_request.sent:
             ending = claiming.Ending.unknown
-        await job.finish(ending)
+        await job.finish_claim(ending)
 
 
 async def _run(job: Job) -> None:
-    flight = job.flight
+    in_flight_request = job.in_flight_request
     try:
-        async with asyncio.timeout_at(job.admitted.ask.deadline) as timeout:
-            flight.timeout = timeout
-            await _until_sent(job, timeout)
+        async with asyncio.timeout_at(
+            job.admitted.slot_request.deadline
+        ) as timeout:
+            in_flight_request.timeout = timeout
+            await _dispatch_until_sent(job, timeout)
     except TimeoutError as exc:
-        raise refusals.stopped(flight.stop, _ran(job)) from exc
+        raise refusals.stopped(
+            in_flight_request.stop_reason, _ran(job)
+        ) from exc
     finally:
-        flight.timeout = None
+        in_flight_request.timeout = None
 
 
 def _ran(job: Job) -> ids.Ran:
-    if job.talk.resp is not None:
+    if job.http_exchange.resp is not None:
         return ids.Ran.yes
-    return ids.Ran.unknown if job.flight.sent else ids.Ran.no
+    return ids.Ran.unknown if job.in_flight_request.sent else ids.Ran.no
 
 
-async def _until_sent(job: Job, timeout: asyncio.Timeout) -> None:
+async def _dispatch_until_sent(job: Job, timeout: asyncio.Timeout) -> None:
     """Ask for servers until one takes the call's connection."""
-    pause = _FIRST_PAUSE_SECONDS
-    for left in reversed(range(_MOST_TRIES)):
-        grant = await _granted(job)
+    backoff_seconds = _INITIAL_BACKOFF_SECONDS
+    for attempts_left in reversed(range(_MAX_ATTEMPTS)):
+        grant = await _request_grant(job)
         try:
             await _dispatch(job, grant, timeout)
         except backend_errors.NotSentError as exc:
-            if not left:
+            if not attempts_left:
                 raise refusals.broken(exc) from exc
-            timeout.reschedule(job.admitted.ask.deadline)
-            job.note_counted()
-            await asyncio.sleep(pause)
-            pause *= 2
+            timeout.reschedule(job.admitted.slot_request.deadline)
+            job.exempt_from_rate_limit()
+            await asyncio.sleep(backoff_seconds)
+            backoff_seconds *= 2
         else:
             return
 
 
-async def _granted(job: Job) -> requests.Grant:
+async def _request_grant(job: Job) -> requests.Grant:
     scheduler = job.scheduler
     tracer = job.host.path.tracer
-    asked = asyncio.get_running_loop().time()
+    requested_at = asyncio.get_running_loop().time()
     try:
         with tracer.span(job.request_id, traces.Hop.queue):
-            answer = await scheduler.request_slot(job.admitted.ask)
+            answer = await scheduler.request_slot(job.admitted.slot_request)
     except asyncio.CancelledError:
         scheduler.withdraw(job.request_id)
         # The grant may have been on its way already.
@@ -182,8 +190,10 @@
             raise refusals.denied(answer)
         case requests.Grant():
             tracer.mark(job.request_id, traces.Hop.grant, answer.server_id)
-            waited = asyncio.get_running_loop().time() - asked
-            job.host.path.meter.granted(job.admitted.ask, waited)
+            queue_seconds = asyncio.get_running_loop().time() - requested_at
+            job.host.path.meter.record_grant(
+                job.admitted.slot_request, queue_seconds
+            )
             return answer
 
 
@@ -193,40 +203,40 @@
     timeout: asyncio.Timeout,
 ) -> None:
     loop = asyncio.get_running_loop()
-    run = relaying.Run(
+    relayed = relaying.RelayedRequest(
         host=job.host,
-        talk=job.talk,
+        http_exchange=job.http_exchange,
         admitted=job.admitted,
         grant=grant,
-        flight=job.flight,
-        whole=job.whole,
-        started=loop.time(),
+        in_flight_request=job.in_flight_request,
+        on_complete=job.record_complete,
+        started_at=loop.time(),
     )
-    job.flight.sent = True
-    if not job.flight.idempotent:
-        timeout.reschedule(loop.time() + _LONGEST_RUN_SECONDS)
+    job.in_flight_request.sent = True
+    if not job.in_flight_request.idempotent:
+        timeout.reschedule(loop.time() + _MAX_RUN_SECONDS)
     outcome = requests.Outcome.failed
     try:
         with job.host.path.tracer.span(job.request_id, traces.Hop.dispatch):
-            await relaying.relay(run)
+            await relaying.relay(relayed)
         outcome = requests.Outcome.done
     except backend_errors.AnswerError as exc:
-        outcome = _failure(job, grant, exc)
-        raise _refused(exc) from exc
+        outcome = _handle_failure(job, grant, exc)
+        raise _caller_error(exc) from exc
     except (asyncio.CancelledError, ConnectionError):
-        outcome = _cut(job, grant)
+        outcome = _abort(job, grant)
         raise
     finally:
-        _release(job, run, outcome)
+        _release(job, relayed, outcome)
 
 
-def _failure(
+def _handle_failure(
     job: Job,
     grant: requests.Grant,
     exc: backend_errors.AnswerError,
 ) -> requests.Outcome:
     if isinstance(exc, backend_errors.NotSentError):
-        job.flight.sent = False
+        job.in_flight_request.sent = False
         return requests.Outcome.not_sent
     # What broke off here may go on there.
     _cancel(job, grant)
@@ -236,22 +246,22 @@
     return requests.Outcome.failed
 
 
-def _refused(exc: backend_errors.AnswerError) -> errors.GeraniumweirError:
+def _caller_error(exc: backend_errors.AnswerError) -> errors.GeraniumweirError:
     if isinstance(exc, backend_errors.NotSentError):
         return exc
     return refusals.broken(exc)
 
 
-def _cut(job: Job, grant: requests.Grant) -> requests.Outcome:
+def _abort(job: Job, grant: requests.Grant) -> requests.Outcome:
     _cancel(job, grant)
-    if job.flight.stop is inflight.Stop.preempted:
+    if job.in_flight_request.stop_reason is inflight.StopReason.preempted:
         return requests.Outcome.preempted
     return requests.Outcome.cancelled
 
 
 def _cancel(job: Job, grant: requests.Grant) -> None:
     server = job.host.server(grant.server_id)
-    if job.admitted.kind != 'engine' or not job.flight.idempotent:
+    if job.admitted.kind != 'engine' or not job.in_flight_request.idempotent:
         return
     if server is not None and not server.can_cancel:
         return
@@ -267,7 +277,7 @@
 
 def _release(
     job: Job,
-    run: relaying.Run,
+    relayed: relaying.RelayedRequest,
     outcome: requests.Outcome,
 ) -> None:
     path = job.host.path
@@ -275,12 +285,14 @@
     release = requests.Release(
         job.request_id,
         outcome,
-        run.first_token,
-        run.output_tokens,
-        run.seconds,
+        relayed.first_token_seconds,
+        relayed.output_tokens,
+        relayed.elapsed_seconds,
     )
-    path.meter.released(job.admitted.ask, release)
+    path.meter.record_release(job.admitted.slot_request, release)
     if outcome is requests.Outcome.done:
         now = asyncio.get_running_loop().time()
-        path.meter.done(job.admitted.ask, now - job.talk.arrival, now)
+        path.meter.record_completion(
+            job.admitted.slot_request, now - job.http_exchange.arrival, now
+        )
     job.scheduler.release(release)
--- a/libs/daemon/geraniumweir/daemon/exchange.py
+++ b/libs/daemon/geraniumweir/daemon/exchange.py
@@ -11,11 +11,11 @@
 from geraniumweir.common import errors, ids
 
 _SSE = 'text/event-stream'
-_LAST_WORD_SECONDS = 1.0
+_ERROR_EVENT_SECONDS = 1.0
 _MS = 1000
 
 
-class _Answer(web.StreamResponse):
+class _DelayedHeadResponse(web.StreamResponse):
     """An answer whose head waits for its first bytes, to go out with them.
 
     The first bytes always follow at once, so nothing is held back, and a
@@ -32,7 +32,7 @@
     :ivar arrival: time of arrival on the loop's clock, in seconds.
     :ivar head: headers that every answer carries, as far as they are known.
     :ivar resp: the answer, once its head has gone out.
-    :ivar gone: whether the caller has gone while the call had to go on.
+    :ivar caller_gone: whether the caller has gone while the call had to go on.
     """
 
     req: web.Request
@@ -42,7 +42,7 @@
     traceparent: str | None = None
     head: dict[str, str] = dataclasses.field(default_factory=dict)
     resp: web.StreamResponse | None = None
-    gone: bool = False
+    caller_gone: bool = False
 
     async def start(
         self,
@@ -53,7 +53,7 @@
 
         :raises ConnectionError: when the caller has gone.
         """
-        resp = _Answer(status=status, headers=headers)
+        resp = _DelayedHeadResponse(status=status, headers=headers)
         resp.headers.update(self.head)
         resp.headers['X-Ran'] = ids.Ran.yes.value
         await resp.prepare(self.req)
@@ -83,14 +83,14 @@
         if self.resp is None:
             return self._refusal(refusal)
         if self.resp.content_type != _SSE:
-            self._cut()
+            self._abort()
             return self.resp
         with contextlib.suppress(ConnectionError, TimeoutError):
-            async with asyncio.timeout(_LAST_WORD_SECONDS):
+            async with asyncio.timeout(_ERROR_EVENT_SECONDS):
                 await self.resp.write(_error_event(refusal))
                 await self.resp.write_eof()
                 return self.resp
-        self._cut()
+        self._abort()
         return self.resp
 
     def _refusal(self, refusal: errors.Refusal) -> web.Response:
@@ -102,7 +102,7 @@
             resp.headers['Retry-After'] = str(seconds)
         return resp
 
-    def _cut(self) -> None:
+    def _abort(self) -> None:
         transport = self.req.transport
         if transport is not None:
             transport.abort()
@@ -112,7 +112,7 @@
     return f'event: error\ndata: {json.dumps(refusal.as_json())}\n\n'.encode()
 
 
-def new_head(request_id: ids.RequestId) -> dict[str, str]:
+def initial_headers(request_id: ids.RequestId) -> dict[str, str]:
     """Give the headers that are known at once."""
     return {'X-Request-Id': request_id}
 
--- a/libs/daemon/geraniumweir/daemon/gauges.py
+++ b/libs/daemon/geraniumweir/daemon/gauges.py
@@ -50,22 +50,28 @@
     """
     follower = joined.follower
     meter.gauge(metricnames.CONFIG_SURE, lambda: int(not follower.unsure))
-    meter.gauge(metricnames.CONFIG_HEARD, lambda: _heard(follower.sure_age()))
+    meter.gauge(
+        metricnames.CONFIG_HEARD, lambda: _age_gauge(follower.sure_age())
+    )
     # A failure domain whose hosts are all gone goes on being told, as 0.
     seen: set[metrics.Labels] = set()
     meter.gauge(metricnames.LIVE_HOSTS, lambda: _live(joined, seen))
     if joined.recording is None:
         return
-    keeper = joined.recording.recorder
-    meter.gauge(metricnames.LOG_ROLE, lambda: _roles(keeper.status().role))
+    local_recorder = joined.recording.recorder
+    meter.gauge(
+        metricnames.LOG_ROLE, lambda: _roles(local_recorder.status().role)
+    )
     meter.gauge(
         metricnames.LOG_UNAPPLIED,
-        lambda: keeper.status().commit - keeper.status().applied,
+        lambda: (
+            local_recorder.status().commit - local_recorder.status().applied
+        ),
     )
-    meter.gauge(metricnames.LOG_LAG, lambda: _lags(keeper.status()))
+    meter.gauge(metricnames.LOG_LAG, lambda: _lags(local_recorder.status()))
 
 
-def _heard(age: float | None) -> dict[metrics.Labels, float]:
+def _age_gauge(age: float | None) -> dict[metrics.Labels, float]:
     return {} if age is None else {(): age}
 
 
--- a/libs/daemon/geraniumweir/daemon/headers.py
+++ b/libs/daemon/geraniumweir/daemon/headers.py
@@ -12,7 +12,7 @@
 from geraniumweir.common import ids
 
 _TO_ENGINES = ('Content-Type', 'Accept', 'tracestate')
-_ONE_HOP = frozenset(
+_HOP_BY_HOP = frozenset(
     (
         'connection',
         'keep-alive',
@@ -29,7 +29,7 @@
     ),
 )
 # The key is a secret between the customer and this system.
-_OURS = frozenset(
+_OWN_HEADERS = frozenset(
     (
         'authorization',
         'x-customer',
@@ -52,10 +52,10 @@
     traceparent: str | None,
 ) -> multidict.CIMultiDict[str]:
     """Give the headers of a call to an engine."""
-    found = _chosen(headers, _TO_ENGINES)
+    found = _select(headers, _TO_ENGINES)
     # What is checked must not come compressed.
     found['Accept-Encoding'] = 'identity'
-    return _stamped(found, request_id, traceparent)
+    return _with_trace_headers(found, request_id, traceparent)
 
 
 def to_service(
@@ -67,12 +67,12 @@
     """Give the headers of a call to a plain service: all but one hop's."""
     found = _end_to_end(headers)
     found['X-Customer'] = customer
-    return _stamped(found, request_id, traceparent)
+    return _with_trace_headers(found, request_id, traceparent)
 
 
 def from_engine(headers: _Headers) -> multidict.CIMultiDict[str]:
     """Give the headers of an engine's answer that go to the caller."""
-    return _chosen(headers, _FROM_ENGINES)
+    return _select(headers, _FROM_ENGINES)
 
 
 def from_service(headers: _Headers) -> multidict.CIMultiDict[str]:
@@ -80,7 +80,7 @@
     return _end_to_end(headers)
 
 
-def _chosen(
+def _select(
     headers: _Headers,
     names: typing.Iterable[str],
 ) -> multidict.CIMultiDict[str]:
@@ -94,15 +94,15 @@
 
 def _end_to_end(headers: _Headers) -> multidict.CIMultiDict[str]:
     named = headers.get('Connection', '').lower().split(',')
-    left_out = _ONE_HOP.union(_OURS, (name.strip() for name in named))
+    excluded = _HOP_BY_HOP.union(_OWN_HEADERS, (name.strip() for name in named))
     found: multidict.CIMultiDict[str] = multidict.CIMultiDict()
     for name, text in headers.items():
-        if name.lower() not in left_out:
+        if name.lower() not in excluded:
             found.add(name, text)
     return found
 
 
-def _stamped(
+def _with_trace_headers(
     found: multidict.CIMultiDict[str],
     request_id: ids.RequestId,
     traceparent: str | None,
--- a/libs/daemon/geraniumweir/daemon/host.py
+++ b/libs/daemon/geraniumweir/daemon/host.py
@@ -5,7 +5,7 @@
 import aiohttp
 from geraniumweir.common import ids, timers
 from geraniumweir.configuration import compiling, document
-from geraniumweir.daemon import callpath, settings
+from geraniumweir.daemon import request_path, settings
 from geraniumweir.membership import servers, sharing
 from geraniumweir.scheduling import (
     broker,
@@ -17,7 +17,7 @@
 )
 from geraniumweir.scheduling import settings as leader_settings
 
-_NEXT_MS = 1000
+_ANNOUNCE_INTERVAL_MS = 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -62,8 +62,8 @@
     )
     draining: bool = False
     sure: bool = True
-    path: callpath.CallPath = dataclasses.field(
-        default_factory=callpath.CallPath,
+    path: request_path.RequestPath = dataclasses.field(
+        default_factory=request_path.RequestPath,
     )
     links: Links | None = None
 
@@ -102,17 +102,17 @@
             return sorted(self.leaders)
         return sorted(self.links.service.pools())
 
-    def announce(self, said: servers.Announcement) -> sharing.Reply:
+    def announce(self, announcement: servers.Announcement) -> sharing.Reply:
         """Take what a backend server says of itself.
 
         :raises geraniumweir.membership.errors.AnnouncementError: when it
             can't be taken.
         """
         if self.links is not None:
-            return self.links.sharing.announce(said)
-        self.registry.announce(said, self.timers.now())
-        self.leader_of(said.pool).grant_waiting()
-        return sharing.Reply(_NEXT_MS, (self.cfg.backend_address,))
+            return self.links.sharing.announce(announcement)
+        self.registry.announce(announcement, self.timers.now())
+        self.leader_of(announcement.pool).grant_waiting()
+        return sharing.Reply(_ANNOUNCE_INTERVAL_MS, (self.cfg.backend_address,))
 
     def report_load(
         self,
--- a/libs/daemon/geraniumweir/daemon/recording.py
+++ b/libs/daemon/geraniumweir/daemon/host_storage.py
@@ -18,13 +18,13 @@
 _VERSION_FILE = 'version'
 
 
-class KeepError(errors.GeraniumweirError):
+class VersionStoreError(errors.GeraniumweirError):
     """The version in force could not be kept in the data folder."""
 
     code = 'GW-5201'
 
 
-class Shelf:
+class VersionStore:
     """Keeps the last version; see :class:`holding.Shelf`."""
 
     def __init__(self, medium: disk.Disk) -> None:
@@ -42,7 +42,7 @@
     async def save(self, version: ids.Version, text: str) -> None:
         """Keep a version; done once it is synced.
 
-        :raises KeepError: when the disk fails.
+        :raises VersionStoreError: when the disk fails.
         """
         payload = f'{version}\n{text}'.encode()
         try:
@@ -53,13 +53,13 @@
                 payload,
             )
         except (OSError, store_errors.StoreError) as exc:
-            raise KeepError(str(exc)) from exc
+            raise VersionStoreError(str(exc)) from exc
 
 
-def open_shelf(
+def open_version_store(
     cfg: settings.Settings,
     stack: contextlib.AsyncExitStack,
-) -> Shelf | None:
+) -> VersionStore | None:
     """Open the folder of the last version, on a host with a data folder.
 
     :raises store_errors.StoreError: when it can't be used.
@@ -69,7 +69,7 @@
     medium = disk.RealDisk(pathlib.Path(cfg.data_folder, 'followed'))
     stack.callback(medium.close)
     wholefiles.remove_drafts(medium)
-    return Shelf(medium)
+    return VersionStore(medium)
 
 
 async def start(
--- a/libs/daemon/geraniumweir/daemon/hoststates.py
+++ b/libs/daemon/geraniumweir/daemon/hoststates.py
@@ -10,7 +10,7 @@
 from geraniumweir.wire import errors, peers
 from geraniumweir.wire.gen.operations import ttypes
 
-_TIMEOUT = 1.0
+_TIMEOUT_SECONDS = 1.0
 
 
 class HostStates:
@@ -46,16 +46,16 @@
             found = await self._peers.call(
                 one.host_id,
                 ttypes.AskHostState(),
-                _TIMEOUT,
+                _TIMEOUT_SECONDS,
             )
         except errors.PeerError:
-            return _unheard(one)
+            return _unreachable_row(one)
         return _row(one, found)
 
     async def _answer(
         self,
         _sender: ids.HostId,
-        _question: ttypes.AskHostState,
+        _request: ttypes.AskHostState,
     ) -> ttypes.HostState:
         return self._own()
 
@@ -74,7 +74,7 @@
         one.host_id,
         one.failure_domain,
         one.region,
-        rows.state_of(draining=found.draining),
+        rows.host_state(draining=found.draining),
         ids.Version(found.version),
         sure=found.sure,
         recorder=found.recorder,
@@ -82,7 +82,7 @@
     )
 
 
-def _unheard(one: hosts.Host) -> operations.HostRow:
+def _unreachable_row(one: hosts.Host) -> operations.HostRow:
     return operations.HostRow(
         one.host_id,
         one.failure_domain,
--- a/libs/daemon/geraniumweir/daemon/inflight.py
+++ b/libs/daemon/geraniumweir/daemon/inflight.py
@@ -11,7 +11,7 @@
 _Result = typing.TypeVar('_Result')
 
 
-class Stop(enum.Enum):
+class StopReason(enum.Enum):
     """Why a running call was ended from this side."""
 
     deadline = 'deadline'
@@ -19,56 +19,58 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Flight:
+class InFlightRequest:
     """One call on its way.
 
     :ivar idempotent: False for a call that nothing may cut off once sent.
     :ivar sent: whether a byte may have reached a backend server.
-    :ivar stop: what ended it, meaningful once its time is up.
+    :ivar stop_reason: what ended it, meaningful once its time is up.
     """
 
     request_id: ids.RequestId
     idempotent: bool = True
     sent: bool = False
-    stop: Stop = Stop.deadline
+    stop_reason: StopReason = StopReason.deadline
     timeout: asyncio.Timeout | None = None
 
 
-class InFlight:
+class InFlightRequests:
     """All flights of one entry host, and the work that goes on after them."""
 
     def __init__(self) -> None:
         """Start with none."""
-        self._flights: dict[ids.RequestId, Flight] = {}
+        self._requests: dict[ids.RequestId, InFlightRequest] = {}
         self._tasks: set[asyncio.Task[typing.Any]] = set()
         self._idle = asyncio.Event()
         self._idle.set()
 
     def __len__(self) -> int:
         """Count the calls."""
-        return len(self._flights)
+        return len(self._requests)
 
     @contextlib.contextmanager
-    def flight(self, request_id: ids.RequestId) -> typing.Iterator[Flight]:
+    def track(
+        self, request_id: ids.RequestId
+    ) -> typing.Iterator[InFlightRequest]:
         """Keep a call listed while the block runs."""
-        flight = Flight(request_id)
-        self._flights[request_id] = flight
+        in_flight_request = InFlightRequest(request_id)
+        self._requests[request_id] = in_flight_request
         self._idle.clear()
         try:
-            yield flight
+            yield in_flight_request
         finally:
-            self._flights.pop(request_id, None)
-            self._settle()
+            self._requests.pop(request_id, None)
+            self._update_idle()
 
     def background(
         self,
-        work: typing.Coroutine[typing.Any, typing.Any, _Result],
+        coroutine: typing.Coroutine[typing.Any, typing.Any, _Result],
     ) -> asyncio.Task[_Result]:
         """Run work that outlives the caller's connection."""
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         self._idle.clear()
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
     def preempt(self, request_id: ids.RequestId) -> bool:
@@ -76,26 +78,30 @@
 
         :returns: whether it is ended; a non-idempotent call never is.
         """
-        flight = self._flights.get(request_id)
-        if flight is None or flight.timeout is None or not flight.idempotent:
+        in_flight_request = self._requests.get(request_id)
+        if (
+            in_flight_request is None
+            or in_flight_request.timeout is None
+            or not in_flight_request.idempotent
+        ):
             return False
-        if flight.timeout.expired():
+        if in_flight_request.timeout.expired():
             return False
-        flight.stop = Stop.preempted
-        flight.timeout.reschedule(asyncio.get_running_loop().time())
+        in_flight_request.stop_reason = StopReason.preempted
+        in_flight_request.timeout.reschedule(asyncio.get_running_loop().time())
         return True
 
     async def wait_idle(self) -> None:
         """Wait until no call and no work of one is left."""
         await self._idle.wait()
 
-    def _ended(self, task: asyncio.Task[typing.Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[typing.Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
             # Whoever waited has it too; here it is only marked as seen.
             task.exception()
-        self._settle()
+        self._update_idle()
 
-    def _settle(self) -> None:
-        if not self._flights and not self._tasks:
+    def _update_idle(self) -> None:
+        if not self._requests and not self._tasks:
             self._idle.set()
--- a/libs/daemon/geraniumweir/daemon/joined.py
+++ b/libs/daemon/geraniumweir/daemon/joined.py
@@ -1,7 +1,7 @@
 """Composes a host that works together with others.
 
-What it starts, it stops in the opposite order; :func:`farewell` comes before,
-while calls in flight still end.
+Parts are stopped in the reverse order of their start. :func:`leave_system`
+runs before that, once the requests in flight have ended or timed out.
 """
 
 import asyncio
@@ -21,12 +21,12 @@
 from geraniumweir.consensus import client
 from geraniumweir.daemon import (
     hoststates,
-    loggedclaims,
+    logged_claims,
     logevents,
-    neighbours,
-    ordering,
+    membership_views,
+    server_orders,
     publishing,
-    recording,
+    host_storage,
     settings,
 )
 from geraniumweir.daemon import host as entry_host
@@ -45,9 +45,9 @@
 from geraniumweir.wire import tcp
 
 _MS = 1000
-_SURE_PERIOD = 0.5
+_SURE_CHECK_SECONDS = 0.5
 # Endings of claims that can't be logged by then become unknown in time.
-_FAREWELL_SECONDS = 2.0
+_CLAIM_DRAIN_SECONDS = 2.0
 
 
 class BusyPeerAddressError(errors.GeraniumweirError):
@@ -68,11 +68,11 @@
     layer: tcp.TcpPeers
     peers: channel.Channel
     members: membership.Membership
-    neighbours: neighbours.Neighbours
+    neighbours: membership_views.Neighbours
     follower: following.Follower
     log: client.LogClient
     claimer: claims.Claimer
-    orderer: ordering.Orderer
+    order_sender: server_orders.OrderSender
     states: hoststates.HostStates
     recording: recordings.Recording | None
 
@@ -92,15 +92,15 @@
     layer = await _listen(cfg, stack)
     peer_layer = channel.Channel(layer)
     stack.push_async_callback(peer_layer.close)
-    shelf = recording.open_shelf(cfg, stack)
-    recorded = await recording.start(cfg, peer_layer, stack)
+    version_store = host_storage.open_version_store(cfg, stack)
+    recorded = await host_storage.start(cfg, peer_layer, stack)
     members = _membership(host, peer_layer, recorded is not None)
     joined = _assemble(
         host,
         (layer, peer_layer),
         members,
         recorded,
-        shelf,
+        version_store,
     )
     _wire(joined, stack)
     await members.start()
@@ -110,10 +110,10 @@
     return joined
 
 
-async def farewell(joined: Joined) -> None:
+async def leave_system(joined: Joined) -> None:
     """Leave: hand over the pools, then the log, then say farewell."""
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(_FAREWELL_SECONDS):
+        async with asyncio.timeout(_CLAIM_DRAIN_SECONDS):
             await joined.claimer.drained()
     await joined.members.leave()
 
@@ -171,18 +171,18 @@
 
 def _assemble(
     host: entry_host.EntryHost,
-    ways: tuple[tcp.TcpPeers, channel.Channel],
+    layers: tuple[tcp.TcpPeers, channel.Channel],
     members: membership.Membership,
     recorded: recordings.Recording | None,
-    shelf: recording.Shelf | None,
+    version_store: host_storage.VersionStore | None,
 ) -> Joined:
-    layer, peer_layer = ways
+    layer, peer_layer = layers
     log = client.LogClient(peer_layer, host.cfg.recorders)
-    near = neighbours.Neighbours(members, host.cfg.recorders)
+    neighbour_view = membership_views.Neighbours(members, host.cfg.recorders)
     follower = following.Follower(
         peer_layer,
-        near,
-        shelf,
+        neighbour_view,
+        version_store,
         recorded,
         _read_document,
     )
@@ -191,12 +191,12 @@
         layer=layer,
         peers=peer_layer,
         members=members,
-        neighbours=near,
+        neighbours=neighbour_view,
         follower=follower,
         log=log,
         claimer=claims.Claimer(host.cfg.host_id, log.propose, wall_ms),
-        orderer=ordering.Orderer(
-            ordering.issuer_of(host.cfg.host_id, members.me.incarnation),
+        order_sender=server_orders.OrderSender(
+            server_orders.issuer_name(host.cfg.host_id, members.me.incarnation),
             log.propose,
             host.session,
         ),
@@ -214,15 +214,15 @@
     """Bind the parts to each other."""
     host = joined.host
     host.registry = joined.members.registry
-    host.path.claims = loggedclaims.LoggedClaims(joined.claimer)
+    host.path.claims = logged_claims.LoggedClaims(joined.claimer)
     # A pool leader is soft state: a new one takes the cases from here.
-    heard = suspects.Suspects(0)
-    host.links = _links(joined, heard, stack)
+    received_cases = suspects.Suspects(0)
+    host.links = _links(joined, received_cases, stack)
     publisher = publishing.Publisher(
         joined.members,
         host.links.service,
         host.timers,
-        heard,
+        received_cases,
     )
     stack.callback(publisher.close)
     _follow(joined, stack)
@@ -232,7 +232,7 @@
             lambda _: joined.log.know(joined.neighbours.recorders()),
         ),
         joined.members.registry.changes.subscribe(
-            lambda happened: _tell_leader(host, happened),
+            lambda event: _notify_leader(host, event),
         ),
     )
     for subscription in subscriptions:
@@ -241,14 +241,14 @@
 
 def _links(
     joined: Joined,
-    heard: suspects.Suspects,
+    received_cases: suspects.Suspects,
     stack: contextlib.AsyncExitStack,
 ) -> entry_host.Links:
     host = joined.host
     domain = host.cfg.failure_domain
     link = joined.peers
-    view = neighbours.LeaderView(joined.members)
-    directory = neighbours.Directory(joined.members)
+    view = membership_views.LeaderView(joined.members)
+    directory = membership_views.Directory(joined.members)
     service = remote.LeaderService(
         link,
         view,
@@ -257,23 +257,25 @@
             joined,
             pool,
             on_preempt,
-            heard,
+            received_cases,
         ),
         host.timers,
     )
     stack.callback(service.close)
-    asker = broker.Broker(link, domain, view, directory, host.timers)
-    asker.on_preempt = host.preempt
-    stack.callback(asker.close)
+    pool_broker = broker.Broker(link, domain, view, directory, host.timers)
+    pool_broker.on_preempt = host.preempt
+    stack.callback(pool_broker.close)
     reporter = reporting.Reporter(link, view, domain, service)
-    return entry_host.Links(asker, service, reporter, joined.members.sharing)
+    return entry_host.Links(
+        pool_broker, service, reporter, joined.members.sharing
+    )
 
 
 def _make_leader(
     joined: Joined,
     pool: ids.PoolName,
     on_preempt: remote.OnPreempt,
-    heard: suspects.Suspects,
+    received_cases: suspects.Suspects,
 ) -> deadline_leader.DeadlinePoolLeader:
     host = joined.host
     me = joined.members.me
@@ -282,27 +284,27 @@
         f'{me.host_id}/{me.incarnation}/{pool}',
         takeover_seconds=takeover.TAKEOVER_WINDOW_SECONDS,
     )
-    made = deadline_leader.DeadlinePoolLeader(
+    new_leader = deadline_leader.DeadlinePoolLeader(
         cfg,
         host.timers.now,
         lambda: host.servers_of(pool),
         on_preempt,
     )
     now = host.timers.now()
-    made.suspects.merge(heard.export(now), now)
-    return made
+    new_leader.suspects.merge(received_cases.export(now), now)
+    return new_leader
 
 
 def _follow(joined: Joined, stack: contextlib.AsyncExitStack) -> None:
     host = joined.host
     host.put_in_force(joined.follower.in_force)
     host.sure = False
-    news = joined.follower.changes.subscribe(
+    change_subscription = joined.follower.changes.subscribe(
         lambda newest: _put_in_force(joined, newest),
     )
-    stack.callback(news.dispose)
-    ticks = host.timers.every(_SURE_PERIOD)
-    checks = ticks.subscribe(lambda _: _note_sure(joined))
+    stack.callback(change_subscription.dispose)
+    ticks = host.timers.every(_SURE_CHECK_SECONDS)
+    checks = ticks.subscribe(lambda _: _update_sure(joined))
     stack.callback(checks.dispose)
 
 
@@ -312,23 +314,23 @@
     eventlog.emit(logevents.IN_FORCE, version=newest.version)
 
 
-def _note_sure(joined: Joined) -> None:
+def _update_sure(joined: Joined) -> None:
     joined.host.sure = not joined.follower.unsure
 
 
-def _tell_leader(
+def _notify_leader(
     host: entry_host.EntryHost,
-    happened: servers.ServerEvent,
+    event: servers.ServerEvent,
 ) -> None:
     """Tell the pool leader on this host of what became of a server."""
-    match happened:
+    match event:
         case servers.ServerCrashed(before, after):
             pool = after.pool
             found = host.led(pool)
             if found is not None:
                 found.server_crashed(before.server_id, before.incarnation)
         case _:
-            pool = happened.announcement.pool
+            pool = event.announcement.pool
             found = host.led(pool)
     if found is not None:
         found.grant_waiting()
--- a/libs/daemon/geraniumweir/daemon/joinedops.py
+++ b/libs/daemon/geraniumweir/daemon/joinedops.py
@@ -13,7 +13,7 @@
 from geraniumweir.consensus import errors as log_errors
 from geraniumweir.daemon import joined as joining
 from geraniumweir.daemon import (
-    neighbours,
+    membership_views,
     observing,
     operations,
     recorderrows,
@@ -23,8 +23,8 @@
 from geraniumweir.scheduling import home
 from geraniumweir.wire.gen.configuration import ttypes
 
-_TIMEOUT = 3.0
-_RECORDER_SECONDS = 20.0
+_TIMEOUT_SECONDS = 3.0
+_MEMBERSHIP_CHANGE_SECONDS = 20.0
 
 
 class JoinedOperations:
@@ -42,7 +42,7 @@
         self._joined = joined
         self._host = joined.host
         self._observed = observed
-        self._started = joined.host.timers.now()
+        self._started_at = joined.host.timers.now()
 
     async def config(self, version: ids.Version | None) -> document.InForce:
         """Give a version, by default the one in force on this host."""
@@ -64,7 +64,7 @@
         none, it's then sure that the change was not accepted.
         """
         checked = await asyncio.to_thread(reading.check, change.document)
-        await _turned(self._joined.log.read_barrier(_TIMEOUT))
+        await _convert_errors(self._joined.log.read_barrier(_TIMEOUT_SECONDS))
         command = commands.change(
             change.change_id,
             change.base,
@@ -106,7 +106,7 @@
         for pool in self._host.in_force.document.pools:
             found.append(self._own_pool(pool))
             found.extend(
-                rows.distant_pool_row(pool, summary)
+                rows.remote_pool_row(pool, summary)
                 for summary in self._joined.members.pools.summaries(pool.name)
                 if summary.failure_domain != self._host.cfg.failure_domain
             )
@@ -123,7 +123,7 @@
             index = seen.applied
         return rows.joined_status(
             self._host,
-            self._started,
+            self._started_at,
             rows.LogView(leader, await self._majority(), index),
         )
 
@@ -137,7 +137,7 @@
                 'host of its failure domain',
             )
         try:
-            return await self._joined.orderer.send(order, server)
+            return await self._joined.order_sender.send(order, server)
         except log_errors.ConsensusError as exc:
             # The number alone may be taken; the order was not sent.
             raise operations.NoMajorityError(
@@ -159,18 +159,20 @@
     ) -> None:
         """Add a recorder, as a learner until it has caught up."""
         self._joined.peers.learn(host_id, address)
-        await _turned(
+        await _convert_errors(
             self._joined.log.add_recorder(
                 host_id,
                 str(address),
-                _RECORDER_SECONDS,
+                _MEMBERSHIP_CHANGE_SECONDS,
             ),
         )
 
     async def remove_recorder(self, host_id: ids.HostId) -> None:
         """Remove a recorder."""
-        await _turned(
-            self._joined.log.remove_recorder(host_id, _RECORDER_SECONDS),
+        await _convert_errors(
+            self._joined.log.remove_recorder(
+                host_id, _MEMBERSHIP_CHANGE_SECONDS
+            ),
         )
 
     async def snapshot(self) -> operations.SnapshotResult:
@@ -193,14 +195,14 @@
         return self._observed.meter.exposition()
 
     def _own_pool(self, pool: document.Pool) -> operations.PoolRow:
-        row = rows.own_pool_row(self._host, pool)
+        row = rows.local_pool_row(self._host, pool)
         if row.leader is not None:
             return row
         cfg = self._host.cfg
         leader = home.leader_by_view(
             cfg.failure_domain,
             pool.name,
-            neighbours.LeaderView(self._joined.members),
+            membership_views.LeaderView(self._joined.members),
             cfg.host_id,
         )
         return dataclasses.replace(row, leader=leader)
@@ -214,7 +216,9 @@
         return kept.state
 
     async def _propose(self, command: bytes) -> bytes:
-        return await _turned(self._joined.log.propose(command, _TIMEOUT))
+        return await _convert_errors(
+            self._joined.log.propose(command, _TIMEOUT_SECONDS)
+        )
 
     async def _majority(self) -> bool:
         try:
@@ -224,7 +228,7 @@
         return True
 
 
-async def _turned(work: object) -> bytes:
+async def _convert_errors(work: object) -> bytes:
     """Turn the log's errors into those of operations."""
     try:
         return await work
--- a/libs/daemon/geraniumweir/daemon/logevents.py
+++ b/libs/daemon/geraniumweir/daemon/logevents.py
@@ -27,7 +27,7 @@
 OPERATOR_FAILED: typing.Final = logevents.Event(
     112, logevents.Level.error, 'fault while answering {path}: {reason}'
 )
-CASES_NOT_SPREAD: typing.Final = logevents.Event(
+CASES_NOT_PUBLISHED: typing.Final = logevents.Event(
     120,
     logevents.Level.warning,
     "suspects' cases could not be told to other hosts: {reason}",
--- a/libs/daemon/geraniumweir/daemon/main.py
+++ b/libs/daemon/geraniumweir/daemon/main.py
@@ -120,18 +120,20 @@
         return await draining.drain(host)
     joined.members.set_roles(joined.members.me.roles | hosts.Role.draining)
     left = await draining.drain(host)
-    await joining.farewell(joined)
+    await joining.leave_system(joined)
     return left
 
 
 def _check_files(cfg: settings.Settings) -> None:
     if cfg.data_folder is not None:
-        _settle('data-folder', settingvalues.folder_fault(cfg.data_folder))
+        _exit_on_fault(
+            'data-folder', settingvalues.folder_fault(cfg.data_folder)
+        )
     if cfg.trace_file is not None:
-        _settle('trace-file', settingvalues.file_fault(cfg.trace_file))
+        _exit_on_fault('trace-file', settingvalues.file_fault(cfg.trace_file))
 
 
-def _settle(setting: str, fault: str | None) -> None:
+def _exit_on_fault(setting: str, fault: str | None) -> None:
     if fault is not None:
         sys.stderr.write(f'geraniumweird: argument --{setting}: {fault}\n')
         sys.exit(settings.EXIT_BAD_SETTING)
--- a/libs/daemon/geraniumweir/daemon/meters.py
+++ b/libs/daemon/geraniumweir/daemon/meters.py
@@ -18,7 +18,7 @@
 )
 
 
-class CallMeter:
+class RequestMeter:
     """The metrics of one host's calls."""
 
     def __init__(self, meter: metrics.Metrics | None = None) -> None:
@@ -28,7 +28,7 @@
         """
         self._meter = meter or metrics.Metrics()
 
-    def refused(self, refusal: errors.Refusal, tier: str) -> None:
+    def record_refusal(self, refusal: errors.Refusal, tier: str) -> None:
         """Count a refusal.
 
         :param tier: of the call, empty where no rule decided it.
@@ -37,62 +37,72 @@
         self._meter.count(metricnames.REFUSALS, refusal.code, ran)
         self._meter.count(metricnames.REQUESTS, tier, 'refused')
 
-    def gone(self, tier: str) -> None:
+    def record_disconnect(self, tier: str) -> None:
         """Count a call whose caller went away."""
         self._meter.count(metricnames.REQUESTS, tier, 'cancelled')
 
-    def done(
-        self, ask: requests.SlotRequest, seconds: float, now: float
+    def record_completion(
+        self, slot_request: requests.SlotRequest, seconds: float, now: float
     ) -> None:
         """Count a whole answer.
 
         :param seconds: from the call's arrival to the end.
         :param now: on the clock of the ask's deadline, in seconds.
         """
-        tier = _tier(ask)
+        tier = _tier(slot_request)
         self._meter.count(metricnames.REQUESTS, tier, 'done')
-        if now <= ask.deadline:
+        if now <= slot_request.deadline:
             self._meter.count(metricnames.IN_TIME, tier)
         self._meter.observe(
-            metricnames.REQUEST_SECONDS, seconds, ask.pool, tier
+            metricnames.REQUEST_SECONDS, seconds, slot_request.pool, tier
         )
 
-    def granted(self, ask: requests.SlotRequest, seconds: float) -> None:
+    def record_grant(
+        self, slot_request: requests.SlotRequest, seconds: float
+    ) -> None:
         """Count a dispatch.
 
         :param seconds: from ask to grant.
         """
-        self._meter.count(metricnames.DISPATCHES, ask.pool)
+        self._meter.count(metricnames.DISPATCHES, slot_request.pool)
         self._meter.observe(
-            metricnames.QUEUE_SECONDS, seconds, ask.pool, _tier(ask)
+            metricnames.QUEUE_SECONDS,
+            seconds,
+            slot_request.pool,
+            _tier(slot_request),
         )
 
-    def first_token(self, ask: requests.SlotRequest, seconds: float) -> None:
+    def record_first_token(
+        self, slot_request: requests.SlotRequest, seconds: float
+    ) -> None:
         """Record a first token.
 
         :param seconds: from the call's arrival.
         """
         self._meter.observe(
-            metricnames.FIRST_TOKEN_SECONDS, seconds, ask.pool, _tier(ask)
+            metricnames.FIRST_TOKEN_SECONDS,
+            seconds,
+            slot_request.pool,
+            _tier(slot_request),
         )
 
-    def released(
-        self, ask: requests.SlotRequest, release: requests.Release
+    def record_release(
+        self, slot_request: requests.SlotRequest, release: requests.Release
     ) -> None:
         """Count tokens passed on, and prefill that gave no whole answer."""
         if release.output_tokens:
             self._meter.count(
                 metricnames.OUTPUT_TOKENS,
-                ask.pool,
+                slot_request.pool,
                 amount=release.output_tokens,
             )
-        if release.outcome in _WASTED and ask.prompt_tokens:
+        if release.outcome in _WASTED and slot_request.prompt_tokens:
             self._meter.count(
                 metricnames.WASTED_PREFILL,
-                ask.pool,
-                amount=ask.prompt_tokens,
+                slot_request.pool,
+                amount=slot_request.prompt_tokens,
             )
 
 
-def _tier(ask: requests.SlotRequest) -> str:
-    return str(int(ask.tier))
+def _tier(slot_request: requests.SlotRequest) -> str:
+    return str(int(slot_request.tier))
--- a/libs/daemon/geraniumweir/daemon/observing.py
+++ b/libs/daemon/geraniumweir/daemon/observing.py
@@ -49,6 +49,6 @@
     stack.callback(tracing.close)
     meter = metrics.Metrics(host.timers.now)
     gauges.register(meter, host, tracing)
-    host.path.tracer = spans.CallTracer(tracing)
-    host.path.meter = meters.CallMeter(meter)
+    host.path.tracer = spans.RequestTracer(tracing)
+    host.path.meter = meters.RequestMeter(meter)
     return Observed(meter, tracing)
--- a/libs/daemon/geraniumweir/daemon/operatorjson.py
+++ b/libs/daemon/geraniumweir/daemon/operatorjson.py
@@ -68,7 +68,7 @@
     return _Fields(body or b'{}', ('drain',)).flag('drain', True)
 
 
-def whole(body: bytes) -> typing.Any:
+def read_json(body: bytes) -> typing.Any:
     """Read JSON of any kind.
 
     :raises operations.MalformedError: when it is none.
@@ -105,7 +105,7 @@
     """The fields of one JSON object."""
 
     def __init__(self, body: bytes, names: typing.Collection[str]) -> None:
-        table = whole(body)
+        table = read_json(body)
         if not isinstance(table, dict):
             raise operations.MalformedError('not a JSON object')
         for key in table:
@@ -132,8 +132,8 @@
 
     def number(self, key: str, default: typing.Any = ...) -> int:
         found = self._get(key, default)
-        whole = isinstance(found, int) and not isinstance(found, bool)
-        if whole and found >= 0:
+        is_integer = isinstance(found, int) and not isinstance(found, bool)
+        if is_integer and found >= 0:
             return int(found)
         raise operations.MalformedError(
             f'{key}: {found!r} is not a whole number from 0 up',
--- a/libs/daemon/geraniumweir/daemon/operators.py
+++ b/libs/daemon/geraniumweir/daemon/operators.py
@@ -23,7 +23,7 @@
 )
 from geraniumweir.observe import logs, metrics
 
-_MAX_BODY = 16777216  # 16 MiB
+_MAX_BODY_BYTES = 16777216  # 16 MiB
 
 _STATUSES: typing.Final = {
     operations.MalformedError: http.HTTPStatus.BAD_REQUEST,
@@ -43,10 +43,10 @@
     :param ops: what it stands on.
     """
     app = web.Application(
-        client_max_size=_MAX_BODY,
+        client_max_size=_MAX_BODY_BYTES,
         middlewares=[_ErrorMiddleware(ops).answer_errors],
     )
-    config = _ConfigFace(ops)
+    config = _ConfigHandlers(ops)
     app.add_routes(
         (
             web.get('/v1/config', config.show),
@@ -57,7 +57,7 @@
             web.post('/v1/servers/{server}/drain', config.drain),
         ),
     )
-    system = _SystemFace(ops)
+    system = _SystemHandlers(ops)
     app.add_routes(
         (
             web.get('/v1/hosts', system.hosts),
@@ -76,7 +76,7 @@
     return app
 
 
-class _ConfigFace:
+class _ConfigHandlers:
     """Handlers of the configuration."""
 
     def __init__(self, ops: operations.Operations) -> None:
@@ -111,7 +111,7 @@
 
     async def explain(self, req: web.Request) -> web.Response:
         status = await self._ops.status()
-        request = operatorjson.whole(await req.read())
+        request = operatorjson.read_json(await req.read())
         facts = explain.facts_from_json(request, status.failure_domain)
         in_force = await self._ops.config(_version(req, 'version'))
         explained = explain.explain(in_force, facts)
@@ -154,7 +154,7 @@
         return web.json_response(operatorjson.plain(accepted))
 
 
-class _SystemFace:
+class _SystemHandlers:
     """Handlers of hosts, backend servers, pools and recorders."""
 
     def __init__(self, ops: operations.Operations) -> None:
@@ -180,8 +180,10 @@
         return _rows('spans', spans)
 
     async def order(self, req: web.Request) -> web.Response:
-        taken = await self._ops.order(operatorjson.order(await req.read()))
-        return web.json_response(operatorjson.plain(taken))
+        accepted_order = await self._ops.order(
+            operatorjson.order(await req.read())
+        )
+        return web.json_response(operatorjson.plain(accepted_order))
 
     async def recorders(self, _req: web.Request) -> web.Response:
         return _rows('recorders', await self._ops.recorders())
--- a/libs/daemon/geraniumweir/daemon/publishing.py
+++ b/libs/daemon/geraniumweir/daemon/publishing.py
@@ -3,15 +3,15 @@
 import typing
 
 from geraniumweir.common import eventlog, ids, timers
-from geraniumweir.daemon import logevents, neighbours
+from geraniumweir.daemon import logevents, membership_views
 from geraniumweir.membership import errors as member_errors
 from geraniumweir.membership import membership
 from geraniumweir.scheduling import case_encoding, remote, suspects
 from geraniumweir.wire import errors as wire_errors
 
-_PERIOD = 0.5
-_MOST_CASES = 64
-_MOST_TOLD = 4096
+_PERIOD_SECONDS = 0.5
+_MAX_CASES_PER_NOTICE = 64
+_MAX_PUBLISHED_KEYS = 4096
 
 _CaseKey = tuple[ids.Fingerprint, str, int, bool]
 
@@ -24,20 +24,20 @@
         members: membership.Membership,
         service: remote.LeaderService,
         clock: timers.TimerService,
-        heard: suspects.Suspects,
+        received: suspects.Suspects,
     ) -> None:
         """Publish every half second from now on.
 
-        :param heard: takes all cases, for pools that this host leads later.
+        :param received: takes all cases, for pools that this host leads later.
         """
-        self._heard = heard
+        self._received = received
         self._members = members
         self._service = service
         self._clock = clock
         self._published: set[ids.PoolName] = set()
-        self._told: set[_CaseKey] = set()
+        self._published_keys: set[_CaseKey] = set()
         self._subscriptions = (
-            clock.every(_PERIOD).subscribe(lambda _: self._publish()),
+            clock.every(_PERIOD_SECONDS).subscribe(lambda _: self._publish()),
             members.notices.subscribe(self._take_cases),
         )
 
@@ -53,36 +53,36 @@
         self._published = led
         for pool in led:
             self._publish_pool(pool)
-        if len(self._told) > _MOST_TOLD:
-            self._forget_told()
+        if len(self._published_keys) > _MAX_PUBLISHED_KEYS:
+            self._evict_published_keys()
 
     def _publish_pool(self, pool: ids.PoolName) -> None:
         leader = self._service.leader(pool)
         if leader is None:
             return
         me = self._members.me
-        summary = neighbours.to_members(
+        summary = membership_views.to_members(
             leader.summary(),
             me.failure_domain,
             me.host_id,
         )
         self._members.pools.publish(summary)
-        self._spread_cases(leader.suspects)
+        self._publish_new_cases(leader.suspects)
 
-    def _spread_cases(self, known: suspects.Suspects) -> None:
+    def _publish_new_cases(self, known: suspects.Suspects) -> None:
         """Tell all hosts of the cases that are new or graver."""
         cases = known.export(self._clock.now())
-        new = [case for case in cases if _key(case) not in self._told]
+        new = [case for case in cases if _key(case) not in self._published_keys]
         if new:
-            self._spread(new[:_MOST_CASES])
+            self._publish_cases(new[:_MAX_CASES_PER_NOTICE])
 
-    def _spread(self, cases: typing.Sequence[suspects.Case]) -> None:
+    def _publish_cases(self, cases: typing.Sequence[suspects.Case]) -> None:
         seconds = max(case.seconds for case in cases)
         try:
             self._members.spread(case_encoding.write(cases), seconds)
         except member_errors.NoticeError as exc:
             # They stay new, and are tried again.
-            eventlog.emit(logevents.CASES_NOT_SPREAD, reason=exc.message)
+            eventlog.emit(logevents.CASES_NOT_PUBLISHED, reason=exc.message)
         else:
             self._merge(cases)
 
@@ -97,16 +97,16 @@
     def _merge(self, cases: typing.Sequence[suspects.Case]) -> None:
         """Let all pools led here, now or later, know of cases."""
         now = self._clock.now()
-        self._told.update(map(_key, cases))
-        self._heard.merge(cases, now)
+        self._published_keys.update(map(_key, cases))
+        self._received.merge(cases, now)
         for pool in self._service.pools():
             leader = self._service.leader(pool)
             if leader is not None:
                 leader.suspects.merge(cases, now)
 
-    def _forget_told(self) -> None:
-        heard = self._heard.export(self._clock.now())
-        self._told.intersection_update(map(_key, heard))
+    def _evict_published_keys(self) -> None:
+        received = self._received.export(self._clock.now())
+        self._published_keys.intersection_update(map(_key, received))
 
 
 def _key(case: suspects.Case) -> _CaseKey:
--- a/libs/daemon/geraniumweir/daemon/recorderrows.py
+++ b/libs/daemon/geraniumweir/daemon/recorderrows.py
@@ -8,7 +8,7 @@
 from geraniumweir.daemon import operations
 from geraniumweir.wire.gen.consensus import ttypes
 
-_SECONDS = 1.0
+_TIMEOUT_SECONDS = 1.0
 
 
 async def rows(
@@ -22,8 +22,10 @@
     :param known: hosts to ask first.
     :raises operations.NoMajorityError: when none answers.
     """
-    asked = await asyncio.gather(*(_ask(log, one) for one in known))
-    answers = [answer for answer in asked if answer is not None]
+    replies = await asyncio.gather(
+        *(_request_status(log, one) for one in known)
+    )
+    answers = [answer for answer in replies if answer is not None]
     if not answers:
         raise operations.NoMajorityError('no recorder answers', ids.Ran.no)
     # The leader's own view first, then the newest.
@@ -31,12 +33,12 @@
     return [_row(found, one) for one in found.recorders]
 
 
-async def _ask(
+async def _request_status(
     log: client.LogClient,
     host_id: ids.HostId,
 ) -> ttypes.StatusAnswer | None:
     try:
-        return await log.status(host_id, _SECONDS)
+        return await log.status(host_id, _TIMEOUT_SECONDS)
     except errors.ConsensusError:
         return None
 
--- a/libs/daemon/geraniumweir/daemon/refusals.py
+++ b/libs/daemon/geraniumweir/daemon/refusals.py
@@ -12,7 +12,7 @@
 from geraniumweir.scheduling import requests
 
 _RETRY_MS = 1000
-_AT_ONCE_MS = 0
+_RETRY_NOW_MS = 0
 
 
 _DENIALS = types.MappingProxyType(
@@ -140,7 +140,7 @@
     return refuse(
         catalogue.DRAINING,
         'this host is leaving; another one answers',
-        retry_after_ms=_AT_ONCE_MS,
+        retry_after_ms=_RETRY_NOW_MS,
     )
 
 
@@ -170,14 +170,14 @@
     return refuse(entry, exc.message, exc.ran, retry)
 
 
-def stopped(stop: inflight.Stop, ran: ids.Ran) -> errors.Refused:
+def stopped(stop: inflight.StopReason, ran: ids.Ran) -> errors.Refused:
     """Refuse a call that was ended from this side."""
     match stop:
-        case inflight.Stop.preempted:
+        case inflight.StopReason.preempted:
             message = 'cancelled to make room for a higher tier'
             return refuse(catalogue.PREEMPTED, message, ran, _RETRY_MS)
-        case inflight.Stop.deadline if ran is ids.Ran.no:
+        case inflight.StopReason.deadline if ran is ids.Ran.no:
             message = 'the deadline passed before a backend server was free'
             return refuse(catalogue.TOO_LATE, message, ran, _RETRY_MS)
-        case inflight.Stop.deadline:
+        case inflight.StopReason.deadline:
             return refuse(catalogue.DEADLINE, 'the deadline has passed', ran)
--- a/libs/daemon/geraniumweir/daemon/relaying.py
+++ b/libs/daemon/geraniumweir/daemon/relaying.py
@@ -21,39 +21,43 @@
 
 _ENGINE = 'engine'
 _SSE = 'text/event-stream'
-_REPORT_SECONDS = 0.25
-_KEPT_BYTES = 1024 * 1024
+_REPORT_INTERVAL_SECONDS = 0.25
+_MAX_BUFFERED_BYTES = 1024 * 1024
 _OK = 200
-_FIRST_FAILURE = 500
+_MIN_FAILURE_STATUS = 500
 
-Hook = typing.Callable[[], typing.Awaitable[None]]
+CompletionCallback = typing.Callable[[], typing.Awaitable[None]]
 
 
 @dataclasses.dataclass(slots=True)
-class Run:
-    """One granted call while it runs.
-
-    :ivar whole: awaited once the answer is known to be whole, before its last
-        bytes go to the caller.
-    :ivar started: time of dispatch on the loop's clock, in seconds.
-    :ivar first_token: seconds from dispatch to the first token, or None.
+class RelayedRequest:
+    """A granted request while its response is relayed.
+
+    :ivar on_complete: awaited once the response is known to be complete,
+        before its last bytes go to the caller.
+    :ivar started_at: time of dispatch on the loop's clock, in seconds.
+    :ivar first_token_seconds: seconds from dispatch to the first token, or
+        None before it.
+    :ivar output_tokens: tokens received so far.
+    :ivar reported_after_seconds: time of the last progress report, in seconds
+        since dispatch.
     """
 
     host: entry_host.EntryHost
-    talk: exchange.Exchange
-    admitted: admission.Admitted
+    http_exchange: exchange.Exchange
+    admitted: admission.AdmittedRequest
     grant: requests.Grant
-    flight: inflight.Flight
-    whole: Hook
-    started: float
-    first_token: float | None = None
+    in_flight_request: inflight.InFlightRequest
+    on_complete: CompletionCallback
+    started_at: float
+    first_token_seconds: float | None = None
     output_tokens: int = 0
-    reported: float = 0
+    reported_after_seconds: float = 0
 
     @property
-    def seconds(self) -> float:
+    def elapsed_seconds(self) -> float:
         """Seconds since dispatch."""
-        return asyncio.get_running_loop().time() - self.started
+        return asyncio.get_running_loop().time() - self.started_at
 
     async def start(
         self,
@@ -61,174 +65,183 @@
         head: multidict.CIMultiDict[str],
     ) -> None:
         """Send the answer's head to the caller."""
-        with self._caller():
-            await self.talk.start(status, head)
+        with self._tolerate_disconnect():
+            await self.http_exchange.start(status, head)
 
     async def write(self, chunk: bytes) -> None:
         """Send bytes to the caller."""
-        with self._caller():
-            await self.talk.write(chunk)
+        with self._tolerate_disconnect():
+            await self.http_exchange.write(chunk)
 
     async def end(self) -> None:
         """End a whole answer."""
-        with self._caller():
-            await self.talk.end()
+        with self._tolerate_disconnect():
+            await self.http_exchange.end()
 
     @contextlib.contextmanager
-    def _caller(self) -> typing.Iterator[None]:
+    def _tolerate_disconnect(self) -> typing.Iterator[None]:
         """Let a non-idempotent call outlive its caller."""
         try:
             yield
         except ConnectionError:
-            if self.flight.idempotent:
+            if self.in_flight_request.idempotent:
                 raise
-            self.talk.gone = True
+            self.http_exchange.caller_gone = True
 
     def count(self, batch: streams.Batch) -> None:
         """Count tokens and report them, at most every 250 ms."""
         self.output_tokens += sum(
             event.kind is sse.Kind.chunk for event in batch
         )
-        seconds = self.seconds
-        if self.first_token is None and self.output_tokens:
-            self.first_token = seconds
+        seconds = self.elapsed_seconds
+        if self.first_token_seconds is None and self.output_tokens:
+            self.first_token_seconds = seconds
             self.host.path.tracer.mark(
-                self.talk.request_id,
+                self.http_exchange.request_id,
                 traces.Hop.first_token,
                 self.grant.server_id,
             )
-            since_arrival = self.started - self.talk.arrival + seconds
-            self.host.path.meter.first_token(self.admitted.ask, since_arrival)
-        elif seconds - self.reported < _REPORT_SECONDS:
+            seconds_since_arrival = (
+                self.started_at - self.http_exchange.arrival + seconds
+            )
+            self.host.path.meter.record_first_token(
+                self.admitted.slot_request, seconds_since_arrival
+            )
+        elif seconds - self.reported_after_seconds < _REPORT_INTERVAL_SECONDS:
             return
-        self.reported = seconds
-        self.host.scheduler(self.admitted.ask.pool).progress(
+        self.reported_after_seconds = seconds
+        self.host.scheduler(self.admitted.slot_request.pool).progress(
             requests.Progress(
-                self.talk.request_id,
-                self.first_token,
+                self.http_exchange.request_id,
+                self.first_token_seconds,
                 self.output_tokens,
             ),
         )
 
 
-async def relay(run: Run) -> None:
+async def relay(relayed: RelayedRequest) -> None:
     """Send a granted call and carry its answer to the caller.
 
     :raises backends.errors.AnswerError: when there is no whole answer.
     :raises ConnectionError: when the caller has gone.
     """
     answer = await calls.send(
-        run.host.session,
-        run.grant.address,
-        _outgoing(run),
+        relayed.host.session,
+        relayed.grant.address,
+        _backend_request(relayed),
     )
     async with answer:
-        whose = identity.Identity(
-            run.talk.request_id,
-            run.admitted.ask.pool,
-            run.host.path.echoes,
+        expected_identity = identity.Identity(
+            relayed.http_exchange.request_id,
+            relayed.admitted.slot_request.pool,
+            relayed.host.path.echoes,
         )
-        whose.check_header(answer.headers.get('X-Request-Id'))
-        if run.admitted.kind == _ENGINE:
-            await _from_engine(run, answer, whose)
+        expected_identity.check_header(answer.headers.get('X-Request-Id'))
+        if relayed.admitted.kind == _ENGINE:
+            await _from_engine(relayed, answer, expected_identity)
         else:
-            await _from_service(run, answer)
+            await _from_service(relayed, answer)
 
 
 async def _from_engine(
-    run: Run,
+    relayed: RelayedRequest,
     answer: calls.Answer,
-    whose: identity.Identity,
+    expected_identity: identity.Identity,
 ) -> None:
-    if answer.status >= _FIRST_FAILURE:
+    if answer.status >= _MIN_FAILURE_STATUS:
         raise errors.ServerFailedError(f'the engine answered {answer.status}')
     if answer.status == _OK and _is_stream(answer):
-        await _stream(run, answer, whose)
+        await _stream(relayed, answer, expected_identity)
         return
     body = await bodies.whole(answer)
     if answer.status == _OK:
-        bodies.check_completion(body, whose)
-    await _give(run, answer.status, headers.from_engine(answer.headers), body)
+        bodies.check_completion(body, expected_identity)
+    await _send_body(
+        relayed, answer.status, headers.from_engine(answer.headers), body
+    )
 
 
 async def _stream(
-    run: Run,
+    relayed: RelayedRequest,
     answer: calls.Answer,
-    whose: identity.Identity,
+    expected_identity: identity.Identity,
 ) -> None:
     head = headers.from_engine(answer.headers)
-    batches = streams.events(answer, whose, _resume(run))
+    batches = streams.events(answer, expected_identity, _resume(relayed))
     async with contextlib.aclosing(batches):
         async for batch in batches:
-            run.count(batch)
-            if run.talk.resp is None and not run.talk.gone:
-                await run.start(_OK, head)
+            relayed.count(batch)
+            if (
+                relayed.http_exchange.resp is None
+                and not relayed.http_exchange.caller_gone
+            ):
+                await relayed.start(_OK, head)
             done = batch[-1].kind is sse.Kind.done
             if done:
-                await run.whole()
-            await run.write(b''.join(event.raw for event in batch))
+                await relayed.on_complete()
+            await relayed.write(b''.join(event.raw for event in batch))
             if done:
                 # What is left to do concerns the engine's connection only.
-                await run.end()
+                await relayed.end()
 
 
-def _resume(run: Run) -> streams.Resume | None:
-    server = run.host.server(run.grant.server_id)
+def _resume(relayed: RelayedRequest) -> streams.Resume | None:
+    server = relayed.host.server(relayed.grant.server_id)
     if server is None or not server.can_resume:
         return None
-    if server.incarnation != run.grant.incarnation:
+    if server.incarnation != relayed.grant.incarnation:
         return None
 
     return functools.partial(
         calls.resume,
-        run.host.session,
-        run.grant.address,
-        run.talk.request_id,
+        relayed.host.session,
+        relayed.grant.address,
+        relayed.http_exchange.request_id,
     )
 
 
-async def _from_service(run: Run, answer: calls.Answer) -> None:
+async def _from_service(relayed: RelayedRequest, answer: calls.Answer) -> None:
     head = headers.from_service(answer.headers)
     if _is_stream(answer):
-        await _pass_on(run, answer, head)
+        await _forward_chunks(relayed, answer, head)
         return
-    if answer.length is not None and answer.length > _KEPT_BYTES:
+    if answer.length is not None and answer.length > _MAX_BUFFERED_BYTES:
         head['Content-Length'] = str(answer.length)
-        await _pass_on(run, answer, head)
+        await _forward_chunks(relayed, answer, head)
         return
     body = await bodies.whole(answer)
-    await _give(run, answer.status, head, body)
+    await _send_body(relayed, answer.status, head, body)
 
 
-async def _pass_on(
-    run: Run,
+async def _forward_chunks(
+    relayed: RelayedRequest,
     answer: calls.Answer,
     head: multidict.CIMultiDict[str],
 ) -> None:
     """Give an answer as it comes; its framing shows whether it is whole."""
     if not answer.ends_visibly:
         raise errors.CutShortError("the answer's end could not be told")
-    await run.start(answer.status, head)
+    await relayed.start(answer.status, head)
     async with contextlib.aclosing(answer.chunks()) as chunks:
         async for chunk in chunks:
-            await run.write(chunk)
-    await run.whole()
-    await run.end()
+            await relayed.write(chunk)
+    await relayed.on_complete()
+    await relayed.end()
 
 
-async def _give(
-    run: Run,
+async def _send_body(
+    relayed: RelayedRequest,
     status: int,
     head: multidict.CIMultiDict[str],
     body: bytes,
 ) -> None:
-    run.first_token = run.seconds
-    await run.whole()
+    relayed.first_token_seconds = relayed.elapsed_seconds
+    await relayed.on_complete()
     if body:
         head['Content-Length'] = str(len(body))
-    await run.start(status, head)
-    await run.write(body)
-    await run.end()
+    await relayed.start(status, head)
+    await relayed.write(body)
+    await relayed.end()
 
 
 def _is_stream(answer: calls.Answer) -> bool:
@@ -236,22 +249,22 @@
     return kind.partition(';')[0].strip().lower() == _SSE
 
 
-def _outgoing(run: Run) -> calls.Call:
-    talk = run.talk
-    path = talk.req.rel_url.raw_path_qs
-    if run.admitted.kind == _ENGINE:
+def _backend_request(relayed: RelayedRequest) -> calls.Call:
+    http_exchange = relayed.http_exchange
+    path = http_exchange.req.rel_url.raw_path_qs
+    if relayed.admitted.kind == _ENGINE:
         head = headers.to_engine(
-            talk.req.headers,
-            talk.request_id,
-            talk.traceparent,
+            http_exchange.req.headers,
+            http_exchange.request_id,
+            http_exchange.traceparent,
         )
     else:
         head = headers.to_service(
-            talk.req.headers,
-            run.admitted.ask.customer,
-            talk.request_id,
-            talk.traceparent,
+            http_exchange.req.headers,
+            relayed.admitted.slot_request.customer,
+            http_exchange.request_id,
+            http_exchange.traceparent,
         )
     if path.startswith(admission.SERVICES):
         path = '/{0}'.format(path.split('/', 3)[3])
-    return calls.Call(talk.req.method, path, head, talk.body)
+    return calls.Call(http_exchange.req.method, path, head, http_exchange.body)
--- a/libs/daemon/geraniumweir/daemon/reports.py
+++ b/libs/daemon/geraniumweir/daemon/reports.py
@@ -11,7 +11,7 @@
 from geraniumweir.common import ids
 from geraniumweir.scheduling import requests
 
-_OLDEST_SECONDS = 3600.0
+_MAX_AGE_SECONDS = 3600.0
 
 Payload = typing.Mapping[str, typing.Any]
 
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         """Start knowing none."""
-        self._least: dict[ids.ServerId, float] = {}
+        self._min_offsets: dict[ids.ServerId, float] = {}
 
     def age(
         self,
@@ -43,13 +43,13 @@
         :param now: on ours, in seconds.
         """
         offset = now - measured_at
-        least = min(self._least.get(server_id, offset), offset)
-        self._least[server_id] = least
-        return min(offset - least, _OLDEST_SECONDS)
+        min_offset = min(self._min_offsets.get(server_id, offset), offset)
+        self._min_offsets[server_id] = min_offset
+        return min(offset - min_offset, _MAX_AGE_SECONDS)
 
-    def forget(self, server_id: ids.ServerId) -> None:
+    def discard(self, server_id: ids.ServerId) -> None:
         """Drop what is known of a server that started anew."""
-        self._least.pop(server_id, None)
+        self._min_offsets.pop(server_id, None)
 
 
 def read_load(
--- a/libs/daemon/geraniumweir/daemon/callpath.py
+++ b/libs/daemon/geraniumweir/daemon/request_path.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class CallPath:
+class RequestPath:
     """What all calls of an entry host share.
 
     :ivar claims: makes and ends the claims of non-idempotent calls.
@@ -21,11 +21,11 @@
         default_factory=claiming.LocalClaims,
     )
     tracer: ports.Tracer = dataclasses.field(default_factory=ports.NoTracer)
-    meter: meters.CallMeter = dataclasses.field(
-        default_factory=meters.CallMeter,
+    meter: meters.RequestMeter = dataclasses.field(
+        default_factory=meters.RequestMeter,
     )
-    in_flight: inflight.InFlight = dataclasses.field(
-        default_factory=inflight.InFlight,
+    in_flight: inflight.InFlightRequests = dataclasses.field(
+        default_factory=inflight.InFlightRequests,
     )
     echoes: identity.Echoes = dataclasses.field(
         default_factory=identity.Echoes,
--- a/libs/daemon/geraniumweir/daemon/rows.py
+++ b/libs/daemon/geraniumweir/daemon/rows.py
@@ -9,7 +9,7 @@
 from geraniumweir.membership import poolsummaries, servers
 
 
-def state_of(*, draining: bool) -> operations.HostState:
+def host_state(*, draining: bool) -> operations.HostState:
     """Name how a host that answers stands."""
     if draining:
         return operations.HostState.draining
@@ -23,7 +23,7 @@
         cfg.host_id,
         cfg.failure_domain,
         cfg.region,
-        state_of(draining=host.draining),
+        host_state(draining=host.draining),
         host.in_force.version,
         sure=True,
         recorder=False,
@@ -31,10 +31,10 @@
     )
 
 
-def status(host: entry_host.EntryHost, started: float) -> operations.Status:
+def status(host: entry_host.EntryHost, started_at: float) -> operations.Status:
     """Tell how a host that stands alone stands.
 
-    :param started: on the timer service's clock, in seconds.
+    :param started_at: on the timer service's clock, in seconds.
     """
     cfg = host.cfg
     return operations.Status(
@@ -48,7 +48,7 @@
         log_leader=None,
         majority=None,
         log_index=0,
-        uptime_seconds=host.timers.now() - started,
+        uptime_seconds=host.timers.now() - started_at,
     )
 
 
@@ -68,15 +68,15 @@
 
 def joined_status(
     host: entry_host.EntryHost,
-    started: float,
+    started_at: float,
     log: LogView,
 ) -> operations.Status:
     """Tell how a host that works together with others stands.
 
-    :param started: on the timer service's clock, in seconds.
+    :param started_at: on the timer service's clock, in seconds.
     """
     return dataclasses.replace(
-        status(host, started),
+        status(host, started_at),
         sure=host.sure,
         log_leader=log.leader,
         majority=log.majority,
@@ -106,7 +106,7 @@
     )
 
 
-def own_pool_row(
+def local_pool_row(
     host: entry_host.EntryHost,
     pool: document.Pool,
 ) -> operations.PoolRow:
@@ -124,7 +124,7 @@
     )
 
 
-def distant_pool_row(
+def remote_pool_row(
     pool: document.Pool,
     summary: poolsummaries.PoolSummary,
 ) -> operations.PoolRow:
--- a/libs/daemon/geraniumweir/daemon/ordering.py
+++ b/libs/daemon/geraniumweir/daemon/server_orders.py
@@ -24,7 +24,7 @@
 
 _LEASE_SECONDS = 10.0
 # Weights come from a rate-limited store, so few loads go on at a time.
-_MOST_AT_ONCE = 2
+_MAX_CONCURRENT_ORDERS = 2
 _MS = 1000
 _SUBJECTS = {
     operations.OrderKind.load_model: 'model',
@@ -38,10 +38,10 @@
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Fence:
     number: int
-    until: float
+    expires_at: float
 
 
-class Orderer:
+class OrderSender:
     """Sends orders on behalf of one run of one entry host."""
 
     def __init__(
@@ -58,7 +58,7 @@
         self._issuer = issuer
         self._propose = propose
         self._session = session
-        self._slots = asyncio.Semaphore(_MOST_AT_ONCE)
+        self._slots = asyncio.Semaphore(_MAX_CONCURRENT_ORDERS)
 
     async def send(
         self,
@@ -75,7 +75,7 @@
         async with self._slots:
             fence = await self._reserve(fences=server.fences)
             try:
-                async with asyncio.timeout_at(fence.until):
+                async with asyncio.timeout_at(fence.expires_at):
                     await self._post(order, server, fence.number)
             except TimeoutError as exc:
                 message = f'{server.server_id} did not answer in time'
@@ -90,7 +90,7 @@
         return operations.OrderResult(order.server_id, fence.number)
 
     async def _reserve(self, *, fences: bool) -> _Fence:
-        asked_at = asyncio.get_running_loop().time()
+        requested_at = asyncio.get_running_loop().time()
         lease_ms = int(_LEASE_SECONDS * _MS)
         at_ms = int(time.time() * _MS)
         command = commands.reserve_fence(self._issuer, lease_ms, at_ms)
@@ -98,7 +98,7 @@
             await self._propose(command),
         )[0].fence
         if fences or not answer.wait_ms:
-            return _Fence(answer.number, asked_at + _LEASE_SECONDS)
+            return _Fence(answer.number, requested_at + _LEASE_SECONDS)
         await asyncio.sleep(answer.wait_ms / _MS)
         # A reservation of the same issuer again renews its lease.
         return await self._reserve(fences=True)
@@ -133,6 +133,6 @@
             )
 
 
-def issuer_of(host_id: ids.HostId, incarnation: ids.Incarnation) -> str:
+def issuer_name(host_id: ids.HostId, incarnation: ids.Incarnation) -> str:
     """Name one run of a process as an issuer of orders."""
     return f'{host_id}/{incarnation}'
--- a/libs/daemon/geraniumweir/daemon/settings.py
+++ b/libs/daemon/geraniumweir/daemon/settings.py
@@ -143,7 +143,7 @@
         action='version',
         version=f'geraniumweird {VERSION}',
     )
-    _add_place(parser)
+    _add_identity(parser)
     _add_system(parser)
     _add_observing(parser)
     _add_testing(parser)
@@ -157,7 +157,7 @@
     return parser
 
 
-def _add_place(parser: configargparse.ArgumentParser) -> None:
+def _add_identity(parser: configargparse.ArgumentParser) -> None:
     name = _checked(settingvalues.name)
     address = _checked(ids.parse_address)
     parser.add_argument(
@@ -165,9 +165,9 @@
     )
     parser.add_argument('--failure-domain', type=name, required=True)
     parser.add_argument('--region', type=name, default='default')
-    for face, who in _ADDRESSES:
+    for listener, who in _ADDRESSES:
         parser.add_argument(
-            f'--{face}-address',
+            f'--{listener}-address',
             type=address,
             required=True,
             metavar='IP:PORT',
--- a/libs/daemon/geraniumweir/daemon/spans.py
+++ b/libs/daemon/geraniumweir/daemon/spans.py
@@ -17,19 +17,19 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Call:
+class _RequestTrace:
     """The trace of one call in flight.
 
     :ivar opened: the newest span of each hop.
-    :ivar part_ns: when the running part of the dispatch began.
+    :ivar part_started_ns: when the running part of the dispatch began.
     """
 
     trace: traces.Trace
     opened: dict[traces.Hop, traces.Span]
-    part_ns: int = 0
+    part_started_ns: int = 0
 
 
-class CallTracer:
+class RequestTracer:
     """Implements the path's tracer by :mod:`geraniumweir.observe.traces`."""
 
     def __init__(self, tracing: traces.Tracing) -> None:
@@ -38,7 +38,7 @@
         :param tracing: of the host.
         """
         self._tracing = tracing
-        self._calls: dict[ids.RequestId, _Call] = {}
+        self._request_traces: dict[ids.RequestId, _RequestTrace] = {}
 
     def begin(
         self,
@@ -55,7 +55,7 @@
             headers[traces.TRACEPARENT] = traceparent
         trace = self._tracing.begin(request_id, headers)
         if trace.root.recording:
-            self._calls[request_id] = _Call(trace, {})
+            self._request_traces[request_id] = _RequestTrace(trace, {})
         return trace.root.headers().get(traces.TRACEPARENT)
 
     @contextlib.contextmanager
@@ -65,19 +65,19 @@
         hop: traces.Hop,
     ) -> typing.Iterator[None]:
         """Time a hop; the caller's hop ends the call's trace."""
-        call = self._calls.get(request_id)
-        if call is None:
+        request_trace = self._request_traces.get(request_id)
+        if request_trace is None:
             yield
             return
         if hop is traces.Hop.caller:
             with contextlib.ExitStack() as stack:
-                stack.callback(self._calls.pop, request_id, None)
-                stack.callback(call.trace.root.finish)
+                stack.callback(self._request_traces.pop, request_id, None)
+                stack.callback(request_trace.trace.root.finish)
                 yield
             return
-        call.part_ns = time.time_ns()
-        with call.trace.hop(hop) as span:
-            call.opened[hop] = span
+        request_trace.part_started_ns = time.time_ns()
+        with request_trace.trace.hop(hop) as span:
+            request_trace.opened[hop] = span
             yield
 
     def mark(
@@ -90,15 +90,17 @@
 
         :param note: the backend server, or how the call ended.
         """
-        call = self._calls.get(request_id)
-        if call is None:
+        request_trace = self._request_traces.get(request_id)
+        if request_trace is None:
             return
         now = time.time_ns()
-        opened = call.opened
+        opened = request_trace.opened
         if hop is traces.Hop.grant:
             queue = opened.get(traces.Hop.queue)
-            call.trace.since(now, hop, queue, server=note)
+            request_trace.trace.since(now, hop, queue, server=note)
         else:
             dispatch = opened.get(traces.Hop.dispatch)
-            call.trace.since(call.part_ns or now, hop, dispatch, note=note)
-            call.part_ns = now
+            request_trace.trace.since(
+                request_trace.part_started_ns or now, hop, dispatch, note=note
+            )
+            request_trace.part_started_ns = now
--- a/libs/daemon/geraniumweir/daemon/standalone.py
+++ b/libs/daemon/geraniumweir/daemon/standalone.py
@@ -68,7 +68,7 @@
         """
         self._host = host
         self._observed = observed
-        self._started = host.timers.now()
+        self._started_at = host.timers.now()
         self._versions = _Versions(host.in_force)
 
     async def config(self, version: ids.Version | None) -> document.InForce:
@@ -115,7 +115,7 @@
 
     async def status(self) -> operations.Status:
         """Tell how this host stands."""
-        return rows.status(self._host, self._started)
+        return rows.status(self._host, self._started_at)
 
     async def order(self, order: operations.Order) -> operations.OrderResult:
         """Refuse: there are no fencing numbers without recorders."""
--- a/libs/daemon/geraniumweir/daemon/tests/joinedbed.py
+++ b/libs/daemon/geraniumweir/daemon/tests/joinedbed.py
@@ -12,7 +12,7 @@
 from geraniumweir.membership import servers
 from geraniumweir.observe import metrics, traces
 
-_PATIENCE_SECONDS = 30
+_TIMEOUT_SECONDS = 30
 
 
 def free_port() -> int:
@@ -69,12 +69,12 @@
 
     async def until(self, line: str) -> None:
         """Wait for a line of its metrics."""
-        async with asyncio.timeout(_PATIENCE_SECONDS):
+        async with asyncio.timeout(_TIMEOUT_SECONDS):
             while line not in self.shown():
                 await asyncio.sleep(0.05)
 
     async def until_sure(self, *, sure: bool) -> None:
         """Wait until it is sure of its version, or isn't."""
-        async with asyncio.timeout(_PATIENCE_SECONDS):
+        async with asyncio.timeout(_TIMEOUT_SECONDS):
             while self.host.sure is not sure:
                 await asyncio.sleep(0.05)
--- a/libs/daemon/geraniumweir/daemon/tests/test_claims.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_claims.py
@@ -7,7 +7,7 @@
 import pytest
 from geraniumweir.common import ids, virtual
 from geraniumweir.configuration import claims, state
-from geraniumweir.daemon import claiming, loggedclaims
+from geraniumweir.daemon import claiming, logged_claims
 from hypothesis import strategies
 
 _CUSTOMER = ids.CustomerName('hal-a')
@@ -49,10 +49,10 @@
         for number, (host, name, content, ending) in enumerate(steps):
             key = claiming.ClaimKey(_CUSTOMER, name)
             request_id = ids.RequestId(f'r{number}')
-            print_of = ids.Fingerprint(content)
-            logged = loggedclaims.LoggedClaims(claimers[host])
-            expected = await local.claim(key, request_id, print_of)
-            assert await logged.claim(key, request_id, print_of) is expected
+            fingerprint = ids.Fingerprint(content)
+            logged = logged_claims.LoggedClaims(claimers[host])
+            expected = await local.claim(key, request_id, fingerprint)
+            assert await logged.claim(key, request_id, fingerprint) is expected
             if ending is not None:
                 await local.finish(key, request_id, ending)
                 await logged.finish(key, request_id, ending)
@@ -69,7 +69,7 @@
 
     async def scenario() -> None:
         claimer = claims.Claimer(ids.HostId('e'), never, _now_ms)
-        logged = loggedclaims.LoggedClaims(claimer)
+        logged = logged_claims.LoggedClaims(claimer)
         key = claiming.ClaimKey(_CUSTOMER, 'k')
         with pytest.raises(claiming.ClaimsUnavailableError):
             await logged.claim(key, ids.RequestId('r'), ids.Fingerprint(1))
--- a/libs/daemon/geraniumweir/daemon/tests/test_gauges.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_gauges.py
@@ -96,9 +96,12 @@
             mine.host.announce(_server())
             calls = [
                 asyncio.create_task(
-                    mine.host.scheduler(_POOL).request_slot(ask)
+                    mine.host.scheduler(_POOL).request_slot(slot_request)
+                )
+                for slot_request in (
+                    _slot_request(mine.host, 1),
+                    _slot_request(mine.host, 2),
                 )
-                for ask in (_ask(mine.host, 1), _ask(mine.host, 2))
             ]
             pool = f'pool="{_POOL}"'
             await mine.until(f'geraniumweir_running{{{pool},tier="1"}} 1.0')
@@ -150,7 +153,9 @@
     )
 
 
-def _ask(host: entry_host.EntryHost, tier: int) -> requests.SlotRequest:
+def _slot_request(
+    host: entry_host.EntryHost, tier: int
+) -> requests.SlotRequest:
     return requests.SlotRequest(
         request_id=ids.RequestId(f'r{tier}'),
         owner=host.cfg.host_id,
--- a/libs/daemon/geraniumweir/daemon/tests/test_main.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_main.py
@@ -32,10 +32,10 @@
         sock.listen()
         port = sock.getsockname()[1]
         status = _start(f'--operator-address=127.0.0.1:{port}')
-    told = capsys.readouterr().err
+    error_text = capsys.readouterr().err
     assert status == 1
-    assert f'127.0.0.1:{port}' in told
-    assert told.count('\n') == 1
+    assert f'127.0.0.1:{port}' in error_text
+    assert error_text.count('\n') == 1
 
 
 @pytest.mark.parametrize('setting', ['data-folder', 'trace-file'])
@@ -48,7 +48,7 @@
     (tmp_path / 'file').touch()
     path = tmp_path / 'file' / 'inside'
     status = _start('--operator-address=127.0.0.1:0', f'--{setting}={path}')
-    told = capsys.readouterr().err
+    error_text = capsys.readouterr().err
     assert status == 2
-    assert f'--{setting}: {str(path)!r}' in told
-    assert told.count('\n') == 1
+    assert f'--{setting}: {str(path)!r}' in error_text
+    assert error_text.count('\n') == 1
--- a/libs/daemon/geraniumweir/daemon/tests/test_neighbours.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_neighbours.py
@@ -3,7 +3,7 @@
 import types
 
 from geraniumweir.common import ids
-from geraniumweir.daemon import neighbours
+from geraniumweir.daemon import membership_views
 from geraniumweir.membership import hosts
 
 _NOWHERE = ids.Address('127.0.0.1', 1)
@@ -34,6 +34,6 @@
             if domain != 'c' and host.failure_domain == domain
         ],
     )
-    found = neighbours.Directory(members).others(_POOL)
+    found = membership_views.Directory(members).others(_POOL)
     assert [(one.domain, one.leader) for one in found] == [('b', 'b1')]
     assert found[0].summary.pool == _POOL
--- a/libs/daemon/geraniumweir/daemon/tests/test_operators.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_operators.py
@@ -65,7 +65,7 @@
         standalone.StandaloneOperations
     ] = standalone.StandaloneOperations,
 ) -> None:
-    async def whole() -> None:
+    async def run_scenario() -> None:
         cfg = _settings(trace_file)
         async with contextlib.AsyncExitStack() as stack:
             session = aiohttp.ClientSession()
@@ -80,10 +80,10 @@
             await stack.enter_async_context(client)
             await scenario(client, host, observed.tracing)
 
-    asyncio.run(whole())
+    asyncio.run(run_scenario())
 
 
-async def _ask(
+async def _send(
     client: test_utils.TestClient,
     method: str,
     path: str,
@@ -102,9 +102,9 @@
 
     async def scenario(client: test_utils.TestClient, *_rest: object) -> None:
         path = '/v1/config'
-        first = await _ask(client, 'PUT', path, _change(0, 'a'))
-        second = await _ask(client, 'PUT', path, _change(0, 'b'))
-        again = await _ask(client, 'PUT', path, _change(0, 'a'))
+        first = await _send(client, 'PUT', path, _change(0, 'a'))
+        second = await _send(client, 'PUT', path, _change(0, 'b'))
+        again = await _send(client, 'PUT', path, _change(0, 'a'))
         assert first == (
             200,
             {'version': 1, 'warnings': [], 'repeated': False},
@@ -113,7 +113,7 @@
         assert second[1]['error']['version'] == 1
         assert second[1]['error']['ran'] == 'no'
         assert again[1] == {'version': 1, 'warnings': [], 'repeated': True}
-        assert await _ask(client, 'GET', f'{path}?version=1') == (
+        assert await _send(client, 'GET', f'{path}?version=1') == (
             200,
             {'version': 1, 'document': _RULES},
         )
@@ -126,12 +126,12 @@
 
     async def scenario(client: test_utils.TestClient, *_rest: object) -> None:
         bad = _RULES.replace('"lm-advisori" }', '"lost" }')
-        status, answer = await _ask(
+        status, answer = await _send(
             client, 'PUT', '/v1/config', _change(0, 'a', bad)
         )
         assert status == 422
         assert [fault['line'] for fault in answer['error']['faults']] == [8]
-        assert (await _ask(client, 'GET', '/v1/config'))[1]['version'] == 0
+        assert (await _send(client, 'GET', '/v1/config'))[1]['version'] == 0
 
     _run(scenario)
 
@@ -140,12 +140,12 @@
     """503 with ``ran``; a fault of ours is a 500 in the same shape."""
 
     async def scenario(client: test_utils.TestClient, *_rest: object) -> None:
-        status, answer = await _ask(
+        status, answer = await _send(
             client, 'PUT', '/v1/config', _change(0, 'a')
         )
         assert status == 503
         assert answer['error']['ran'] == 'unknown'
-        status, answer = await _ask(client, 'GET', '/v1/hosts')
+        status, answer = await _send(client, 'GET', '/v1/hosts')
         assert status == 500
         assert answer['error']['code'] == 'GW-1407'
 
@@ -154,7 +154,7 @@
 
 def test_what_can_not_be_read_is_named() -> None:
     """400 with the field, 404 and 405 in the same shape."""
-    asked = (
+    cases = (
         ('PUT', '/v1/config', {'base': 0, 'document': ''}, 400, 'change_id'),
         ('PUT', '/v1/config', _change(-1, 'a'), 400, 'base'),
         ('PUT', '/v1/config', {**_change(0, 'a'), 'x': 1}, 400, 'x: unknown'),
@@ -172,8 +172,8 @@
     )
 
     async def scenario(client: test_utils.TestClient, *_rest: object) -> None:
-        for method, path, payload, status, words in asked:
-            found, answer = await _ask(client, method, path, payload)
+        for method, path, payload, status, words in cases:
+            found, answer = await _send(client, method, path, payload)
             assert (path, found) == (path, status)
             assert words in answer['error']['message']
             assert answer['error']['ran'] == 'no'
@@ -186,17 +186,17 @@
 
     async def scenario(client: test_utils.TestClient, *_rest: object) -> None:
         rules = f'{_RULES}\n[[server]]\nid = "a"\nforbid = true # burnt\n'
-        await _ask(client, 'PUT', '/v1/config', _change(0, 'x', rules))
+        await _send(client, 'PUT', '/v1/config', _change(0, 'x', rules))
         for payload in (None, None, {'drain': False}):
             path = '/v1/servers/a/drain'
-            assert (await _ask(client, 'POST', path, payload))[0] == 200
-        drained = (await _ask(client, 'GET', '/v1/config?version=2'))[1]
+            assert (await _send(client, 'POST', path, payload))[0] == 200
+        drained = (await _send(client, 'GET', '/v1/config?version=2'))[1]
         text = drained['document']
         assert text == f'{rules}drain = true\n'
-        answer = (await _ask(client, 'GET', '/v1/config'))[1]
+        answer = (await _send(client, 'GET', '/v1/config'))[1]
         assert answer['version'] == 3
         assert answer['document'] == f'{rules}drain = false\n'
-        lines = (await _ask(client, 'GET', '/v1/diff?from=2&to=3'))[1]['lines']
+        lines = (await _send(client, 'GET', '/v1/diff?from=2&to=3'))[1]['lines']
         assert lines[-2:] == ['-drain = true', '+drain = false']
 
     _run(scenario)
@@ -207,10 +207,10 @@
 
     async def scenario(client: test_utils.TestClient, *_rest: object) -> None:
         path = '/v1/servers/advisr-1/drain'
-        answer = (await _ask(client, 'POST', path, None))[1]
+        answer = (await _send(client, 'POST', path, None))[1]
         assert answer['version'] == 1
         assert "'advisr-1' announces itself" in answer['warnings'][0]
-        undone = (await _ask(client, 'POST', path, {'drain': False}))[1]
+        undone = (await _send(client, 'POST', path, {'drain': False}))[1]
         assert not undone['warnings']
 
     _run(scenario)
@@ -224,7 +224,7 @@
         host: entry_host.EntryHost,
         _tracing: traces.Tracing,
     ) -> None:
-        await _ask(client, 'PUT', '/v1/config', _change(0, 'x'))
+        await _send(client, 'PUT', '/v1/config', _change(0, 'x'))
         host.registry.announce(
             servers.Announcement(
                 ids.ServerId('advisor-1'),
@@ -236,9 +236,9 @@
             ),
             host.timers.now(),
         )
-        found = (await _ask(client, 'GET', '/v1/servers'))[1]['servers']
-        pools = (await _ask(client, 'GET', '/v1/pools'))[1]['pools']
-        status = (await _ask(client, 'GET', '/v1/status'))[1]
+        found = (await _send(client, 'GET', '/v1/servers'))[1]['servers']
+        pools = (await _send(client, 'GET', '/v1/pools'))[1]['pools']
+        status = (await _send(client, 'GET', '/v1/status'))[1]
         async with client.get('/metrics') as resp:
             text = await resp.text()
         assert [row['state'] for row in found] == ['ready']
@@ -259,7 +259,7 @@
         tracing: traces.Tracing,
     ) -> None:
         tracing.begin(ids.RequestId('req-9'), {}).root.finish()
-        status, answer = await _ask(client, 'GET', '/v1/trace/req-9')
+        status, answer = await _send(client, 'GET', '/v1/trace/req-9')
         assert status == 200
         assert [span['name'] for span in answer['spans']] == ['caller']
 
