--- a/libs/daemon/geraniumweir/daemon/admission.py
+++ b/libs/daemon/geraniumweir/daemon/admission.py
@@ -1,4 +1,8 @@
-"""From a caller's HTTP request to an ask: customer, facts, rule, deadline."""
+"""Turns a caller's HTTP request into a slot request.
+
+Identifies the customer, reads the facts that rules match on, finds the first
+matching rule and determines the deadline.
+"""
 
 import dataclasses
 import hashlib
@@ -24,10 +28,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmittedRequest:
-    """A call that a rule routes to a pool.
+    """A request that a rule routes to a pool.
 
-    :ivar kind: of the pool, ``engine`` or ``service``.
-    :ivar claim: what a non-idempotent call is claimed by, else None.
+    :ivar slot_request: what is sent to the pool's leader.
+    :ivar kind: kind of the pool, ``engine`` or ``service``.
+    :ivar claim: key of the claim of a non-idempotent request, else None.
     """
 
     slot_request: requests.SlotRequest
@@ -37,10 +42,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Content:
-    """What the body says.
+    """What the scheduler needs to know of a request's body.
 
-    :ivar max_tokens: most output tokens asked for, 0 if unsaid.
-    :ivar streams: whether the answer comes token by token.
+    :ivar max_tokens: highest number of output tokens requested, 0 where the
+        body gives none.
+    :ivar streams: whether the response is streamed token by token.
     """
 
     prompt: prompts.Prompt
@@ -51,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Decision:
-    """Whose call goes where, by which rule."""
+    """The customer of a request and the rule and route chosen for it."""
 
     customer: document.Customer
     rule: ids.RuleName
@@ -62,9 +68,11 @@
     host: entry_host.EntryHost,
     req: web.Request,
 ) -> document.Customer:
-    """Tell who calls, before its body is read.
+    """Return the customer that sent a request.
+
+    Needs only the headers, so it runs before the body is read.
 
-    :raises errors.Refused: when nobody known does.
+    :raises errors.Refused: when the key or the name is unknown.
     """
     doc = host.compiled
     bearer = req.headers.get('Authorization', '')
@@ -83,17 +91,18 @@
 
 
 def read_deadline_seconds(req: web.Request) -> float | None:
-    """Read ``X-Deadline-Ms``.
+    """Return the deadline that ``X-Deadline-Ms`` sets.
 
-    :returns: seconds from arrival, or None where the caller says nothing.
-    :raises errors.Refused: when it is no number of milliseconds.
+    :returns: seconds from arrival, at most 24 hours, or None without the
+        header.
+    :raises errors.Refused: when it is not a positive number of milliseconds.
     """
     text = req.headers.get('X-Deadline-Ms')
     if text is None:
         return None
     if not text.isascii() or not text.isdigit() or not int(text[:10]):
         raise refusals.bad_request(
-            f'X-Deadline-Ms {text!r} is not a whole number of ms from 1 up',
+            f'X-Deadline-Ms {text!r} is not a positive integer of ms',
         )
     return min(int(text[:10]), _MAX_DEADLINE_MS) / _MS
 
@@ -103,10 +112,12 @@
     http_exchange: exchange.Exchange,
     customer: document.Customer,
 ) -> AdmittedRequest:
-    """Decide a call by the rules in force.
+    """Route a request by the rules in force.
 
-    :param http_exchange: with the whole body; its head gets what the rule says.
-    :raises errors.Refused: when the call can't be served.
+    :param http_exchange: with the complete body; pool and tier are added to
+        its response headers.
+    :raises errors.Refused: when no rule matches, the rule refuses the request
+        or the request is malformed.
     """
     doc = host.compiled
     content = _read_content(http_exchange)
@@ -169,7 +180,7 @@
 def _rate(route: document.Route) -> float | None:
     if route.rate_per_s is None:
         return None
-    # A rule may give it as a whole number.
+    # TOML rules may give the rate as an integer.
     return float(route.rate_per_s)
 
 
@@ -183,7 +194,7 @@
     if not key:
         raise refusals.refuse(
             catalogue.KEY_MISSING,
-            'a call that must run at most once needs an Idempotency-Key',
+            'a non-idempotent request needs an Idempotency-Key',
         )
     if len(key) > _MAX_KEY_LENGTH:
         raise refusals.bad_request(
@@ -220,7 +231,8 @@
     if req.path.startswith(SERVICES):
         path = f'{req.method} {req.raw_path}'
         digest = prompts.fingerprint(path.encode(), http_exchange.body)
-        # To the scheduler a service's answer is one token behind no prompt.
+        # The scheduler counts a service's response as one output token
+        # without a prompt.
         prompt = dataclasses.replace(_NO_PROMPT, fingerprint=digest)
         return _Content(prompt, max_tokens=1)
     payload = _payload(http_exchange.body)
@@ -233,7 +245,7 @@
     )
     if not isinstance(token_limit, int | None) or isinstance(token_limit, bool):
         raise refusals.bad_request(
-            f'max_tokens {token_limit!r} is no whole number'
+            f'max_tokens {token_limit!r} is not an integer'
         )
     streams = payload.get('stream') is True
     return _Content(prompt, _model(payload), max(token_limit or 0, 0), streams)
@@ -243,7 +255,7 @@
     model = payload.get('model')
     if model is None or isinstance(model, str):
         return model
-    raise refusals.bad_request(f'model {model!r} is no string')
+    raise refusals.bad_request(f'model {model!r} is not a string')
 
 
 def _payload(body: bytes) -> dict[str, typing.Any]:
--- a/libs/daemon/geraniumweir/daemon/announcements.py
+++ b/libs/daemon/geraniumweir/daemon/announcements.py
@@ -1,4 +1,4 @@
-"""The backend servers' HTTP face: announcements and reports."""
+"""HTTP application for backend servers: announcements and reports."""
 
 import http
 import json
@@ -12,9 +12,9 @@
 
 
 def make_app(host: entry_host.EntryHost) -> web.Application:
-    """Build the backend servers' application.
+    """Return the HTTP application for backend servers.
 
-    :param host: the entry host it serves.
+    :param host: the entry host that receives what they send.
     """
     handlers = _Handlers(host)
     app = web.Application()
@@ -24,7 +24,7 @@
 
 
 def read_announcement(payload: dict[str, typing.Any]) -> servers.Announcement:
-    """Turn the JSON of an announcement into its typed value.
+    """Convert the JSON of an announcement to its typed value.
 
     :raises ValueError: when a field is missing or wrong.
     """
@@ -54,7 +54,7 @@
 
 
 class _Handlers:
-    """Handlers of one entry host."""
+    """HTTP handlers for backend servers."""
 
     def __init__(self, host: entry_host.EntryHost) -> None:
         self._host = host
--- a/libs/daemon/geraniumweir/daemon/callers.py
+++ b/libs/daemon/geraniumweir/daemon/callers.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP face: takes calls and gives each one answer."""
+"""HTTP application for callers: serves each request or refuses it."""
 
 import asyncio
 import http
@@ -25,9 +25,9 @@
 
 
 def make_app(host: entry_host.EntryHost) -> web.Application:
-    """Build the callers' application.
+    """Return the HTTP application for callers.
 
-    :param host: the entry host it serves.
+    :param host: the entry host whose requests it serves.
     """
     handlers = _Handlers(host)
     app = web.Application(client_max_size=MAX_BODY_BYTES)
@@ -41,7 +41,7 @@
 
 
 class _Handlers:
-    """Handlers of one entry host."""
+    """HTTP handlers for callers."""
 
     def __init__(self, host: entry_host.EntryHost) -> None:
         self._host = host
@@ -58,7 +58,8 @@
             'ready': ready,
             'draining': self._host.draining,
             'version': self._host.in_force.version,
-            # A host that started cut off serves by what it found last.
+            # A host that started without a majority serves by the version it
+            # stored last.
             'unsure': not self._host.sure,
         }
         return web.json_response(detail, status=status)
@@ -156,7 +157,7 @@
     if size > MAX_HEADER_BYTES:
         raise refusals.refuse(
             catalogue.HEADERS_TOO_LARGE,
-            f'headers of {size} bytes; at most {MAX_HEADER_BYTES} are taken',
+            f'headers of {size} bytes; at most {MAX_HEADER_BYTES} are accepted',
         )
 
 
@@ -173,7 +174,7 @@
     except web.HTTPRequestEntityTooLarge as exc:
         raise _too_large() from exc
     except TimeoutError as exc:
-        message = 'the body did not come in time'
+        message = 'the body did not arrive in time'
         raise refusals.refuse(catalogue.BODY_LATE, message) from exc
 
 
@@ -187,17 +188,17 @@
 def _internal(
     exc: Exception, in_flight_request: inflight.InFlightRequest
 ) -> errors.Refusal:
-    """Own a fault of this program; the loop's handler logs it."""
+    """Log an internal error by the loop's handler; return its refusal."""
     asyncio.get_running_loop().call_exception_handler(
-        {'message': 'a call met a fault of the program', 'exception': exc},
+        {'message': 'internal error while serving a request', 'exception': exc},
     )
     ran = ids.Ran.unknown if in_flight_request.sent else ids.Ran.no
-    message = 'a fault of the entry host; its log says more'
+    message = 'internal error of the entry host; see its log'
     return refusals.refuse(catalogue.INTERNAL, message, ran).refusal
 
 
 def _abort_connection(http_exchange: exchange.Exchange) -> web.StreamResponse:
-    """End the exchange with a caller that isn't there."""
+    """Abort the connection of a caller that has disconnected."""
     transport = http_exchange.req.transport
     if transport is not None:
         transport.abort()
--- a/libs/daemon/geraniumweir/daemon/claiming.py
+++ b/libs/daemon/geraniumweir/daemon/claiming.py
@@ -1,7 +1,8 @@
-"""Claims: a non-idempotent call runs at most once.
+"""Claims, by which a non-idempotent request runs at most once.
 
-Such a call is claimed by its customer and ``Idempotency-Key`` before it may
-be dispatched. No claim, no dispatch. A repeat learns what became of the first.
+Such a request is claimed by its customer and ``Idempotency-Key`` before it is
+dispatched; without a claim it is not dispatched. A repeat gets the state of
+the first request.
 
 References
 ==========
@@ -20,13 +21,13 @@
 
 
 class ClaimsUnavailableError(errors.GeraniumweirError):
-    """No claim can be made now, for want of a majority."""
+    """No claim can be made, as no majority of the recorders answers."""
 
     code = 'GW-7110'
 
 
 class Claim(enum.Enum):
-    """The answer to a claim: granted, or what became of the first call."""
+    """Answer to a claim: granted, or the state of the first request."""
 
     granted = 'granted'
     done = 'done'
@@ -36,7 +37,7 @@
 
 
 class Ending(enum.Enum):
-    """How a claimed call ended; ``not_run`` gives the claim back."""
+    """Outcome of a claimed request; ``not_run`` releases the claim."""
 
     done = 'done'
     unknown = 'unknown'
@@ -45,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimKey:
-    """What a claim is known by.
+    """Key of a claim.
 
     :ivar key: the caller's ``Idempotency-Key``.
     """
@@ -55,7 +56,7 @@
 
 
 class Claims(typing.Protocol):
-    """Makes claims and ends them."""
+    """Protocol for making claims and recording their outcome."""
 
     async def claim(
         self,
@@ -63,10 +64,10 @@
         request_id: ids.RequestId,
         fingerprint: ids.Fingerprint,
     ) -> Claim:
-        """Claim a call.
+        """Claim a request.
 
-        :param fingerprint: of its content; another one under the same key
-            is a mismatch.
+        :param fingerprint: fingerprint of its content; a different one under
+            the same key is a mismatch.
         :raises ClaimsUnavailableError: when no claim can be made.
         """
 
@@ -76,10 +77,10 @@
         request_id: ids.RequestId,
         ending: Ending,
     ) -> None:
-        """Store how a claimed call ended.
+        """Store the outcome of a claimed request.
 
-        :raises ClaimsUnavailableError: when it can't be stored; the call then
-            goes on counting as running.
+        :raises ClaimsUnavailableError: when it can't be stored; the claim
+            then stays recorded as running.
         """
 
 
@@ -91,16 +92,16 @@
 
 
 class LocalClaims:
-    """Claims of one host alone, kept in memory.
+    """Claims of a standalone host, kept in memory.
 
-    It forgets the oldest ended ones when it holds too many; running ones are
-    never forgotten.
+    The oldest ended claims are evicted above a limit; running ones never are.
     """
 
     def __init__(self, max_claims: int = _MAX_CLAIMS) -> None:
-        """Start with no claims.
+        """Initialize without claims.
 
-        :param max_claims: claims that are kept at a time.
+        :param max_claims: number of claims above which ended ones are
+            evicted.
         """
         self._records: collections.OrderedDict[ClaimKey, _ClaimRecord] = (
             collections.OrderedDict()
@@ -113,7 +114,7 @@
         request_id: ids.RequestId,
         fingerprint: ids.Fingerprint,
     ) -> Claim:
-        """Claim a call; see :class:`Claims`."""
+        """Claim a request; see :class:`Claims`."""
         known = self._records.get(key)
         if known is None:
             self._evict_ended()
@@ -131,7 +132,7 @@
         request_id: ids.RequestId,
         ending: Ending,
     ) -> None:
-        """End a claim; see :class:`Claims`."""
+        """Store the outcome; see :class:`Claims`."""
         known = self._records.get(key)
         if known is None or known.request_id != request_id:
             return
--- a/libs/daemon/geraniumweir/daemon/dispatching.py
+++ b/libs/daemon/geraniumweir/daemon/dispatching.py
@@ -1,9 +1,9 @@
-"""The path of an admitted call: claim, grant, dispatch, end.
+"""Serves an admitted request: claim, grant, dispatch, release.
 
-A call is dispatched once. Only where no connection could be made, so no byte
-was sent, is another server asked for. A non-idempotent call is claimed first
-and, once sent, runs to its end whatever becomes of its caller or its
-deadline.
+A request is dispatched once. Another server is requested only where no
+connection could be made, so that no byte was sent. A non-idempotent request
+is claimed first. Once sent, it runs to its end even when its caller
+disconnects or its deadline passes.
 """
 
 import asyncio
@@ -27,15 +27,15 @@
 _CANCEL_SECONDS = 2.0
 _MAX_ATTEMPTS = 6
 _INITIAL_BACKOFF_SECONDS = 0.02
-# Bounds a non-idempotent call that its server never ends.
+# Bounds a non-idempotent request that its server never finishes.
 _MAX_RUN_SECONDS = 900.0
 
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """An admitted call.
+    """An admitted request while it is served.
 
-    :ivar claim_finished: whether its claim has got its ending.
+    :ivar claim_finished: whether the outcome of its claim was recorded.
     """
 
     host: entry_host.EntryHost
@@ -46,16 +46,19 @@
 
     @property
     def scheduler(self) -> views.Scheduler:
-        """Who grants capacity of the call's pool."""
+        """Scheduler that grants slots of the request's pool."""
         return self.host.scheduler(self.admitted.slot_request.pool)
 
     @property
     def request_id(self) -> ids.RequestId:
-        """The call's id."""
+        """Id of the request."""
         return self.http_exchange.request_id
 
     def exempt_from_rate_limit(self) -> None:
-        """Keep the call from counting twice against its rule's rate."""
+        """Exempt further slot requests from the rule's rate limit.
+
+        A request counts once, however often it is dispatched.
+        """
         slot_request = dataclasses.replace(
             self.admitted.slot_request, rate_per_s=None
         )
@@ -64,7 +67,7 @@
         )
 
     async def finish_claim(self, ending: claiming.Ending) -> None:
-        """Give the call's claim its ending, once."""
+        """Record the outcome of the request's claim, once."""
         if self.claim_finished or self.admitted.claim is None:
             return
         self.claim_finished = True
@@ -75,19 +78,19 @@
                 ending,
             )
         except claiming.ClaimsUnavailableError:
-            # The claim goes on counting as running, which is the safe side.
+            # The claim stays recorded as running, so a repeat is not run.
             self.claim_finished = False
 
     async def record_complete(self) -> None:
-        """Note that the whole answer is there."""
+        """Record in the claim that the response is complete."""
         await self.finish_claim(claiming.Ending.done)
 
 
 async def serve(job: Job) -> None:
-    """Serve an admitted call.
+    """Serve an admitted request.
 
-    :raises errors.Refused: when it gets no whole answer.
-    :raises ConnectionError: when its caller has gone.
+    :raises errors.Refused: when it gets no complete response.
+    :raises ConnectionError: when its caller has disconnected.
     """
     if job.admitted.claim is None:
         await _run(job)
@@ -117,7 +120,9 @@
     except claiming.ClaimsUnavailableError as exc:
         raise refusals.no_claim(exc.message) from exc
     except TimeoutError as exc:
-        raise refusals.no_claim('no claim before the deadline') from exc
+        raise refusals.no_claim(
+            'the claim was not confirmed before the deadline'
+        ) from exc
     if claim is not claiming.Claim.granted:
         raise refusals.repeated(claim)
 
@@ -155,7 +160,7 @@
 
 
 async def _dispatch_until_sent(job: Job, timeout: asyncio.Timeout) -> None:
-    """Ask for servers until one takes the call's connection."""
+    """Request slots until a server accepts the connection."""
     backoff_seconds = _INITIAL_BACKOFF_SECONDS
     for attempts_left in reversed(range(_MAX_ATTEMPTS)):
         grant = await _request_grant(job)
@@ -181,7 +186,7 @@
             answer = await scheduler.request_slot(job.admitted.slot_request)
     except asyncio.CancelledError:
         scheduler.withdraw(job.request_id)
-        # The grant may have been on its way already.
+        # The grant may have been sent already; release it.
         outcome = requests.Outcome.given_up
         scheduler.release(requests.Release(job.request_id, outcome))
         raise
@@ -238,7 +243,7 @@
     if isinstance(exc, backend_errors.NotSentError):
         job.in_flight_request.sent = False
         return requests.Outcome.not_sent
-    # What broke off here may go on there.
+    # The server may still run the request after a connection closed early.
     _cancel(job, grant)
     server = job.host.server(grant.server_id)
     if server is not None and server.incarnation > grant.incarnation:
--- a/libs/daemon/geraniumweir/daemon/draining.py
+++ b/libs/daemon/geraniumweir/daemon/draining.py
@@ -1,4 +1,4 @@
-"""An entry host that leaves: takes nothing new and ends what it has."""
+"""Drains an entry host: no new requests, those in flight may end."""
 
 import asyncio
 import contextlib
@@ -7,12 +7,12 @@
 
 
 async def drain(host: entry_host.EntryHost) -> int:
-    """Refuse new calls and wait for those in flight.
+    """Refuse new requests and wait for those in flight.
 
-    ``/readyz`` answers 503 from the first moment on.
+    ``/readyz`` answers 503 from the start of the drain.
 
-    :param host: whose setting ``--drain-timeout`` bounds the wait.
-    :returns: the number of calls that were not over in time.
+    :param host: its setting ``--drain-timeout`` bounds the wait.
+    :returns: the number of requests that had not ended by then.
     """
     host.draining = True
     in_flight = host.path.in_flight
--- a/libs/daemon/geraniumweir/daemon/exchange.py
+++ b/libs/daemon/geraniumweir/daemon/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's HTTP exchange: what came, and what was answered so far."""
+"""One HTTP exchange with a caller: the request and its response."""
 
 import asyncio
 import contextlib
@@ -16,10 +16,10 @@
 
 
 class _DelayedHeadResponse(web.StreamResponse):
-    """An answer whose head waits for its first bytes, to go out with them.
+    """A response that sends its headers together with its first bytes.
 
-    The first bytes always follow at once, so nothing is held back, and a
-    system call is saved where it counts, before the first token.
+    The first bytes always follow at once, so nothing is delayed, and one
+    system call is saved before the first token.
     """
 
     _send_headers_immediately = False
@@ -27,12 +27,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Exchange:
-    """A caller's request and the answer under way.
+    """A caller's request and its response.
 
     :ivar arrival: time of arrival on the loop's clock, in seconds.
-    :ivar head: headers that every answer carries, as far as they are known.
-    :ivar resp: the answer, once its head has gone out.
-    :ivar caller_gone: whether the caller has gone while the call had to go on.
+    :ivar head: headers of every response, as far as they are known.
+    :ivar resp: the response, once its headers were sent.
+    :ivar caller_gone: whether the caller disconnected from a request that
+        had to go on.
     """
 
     req: web.Request
@@ -49,9 +50,9 @@
         status: int,
         headers: multidict.CIMultiDict[str],
     ) -> None:
-        """Send the answer's head.
+        """Send status and headers of the response.
 
-        :raises ConnectionError: when the caller has gone.
+        :raises ConnectionError: when the caller has disconnected.
         """
         resp = _DelayedHeadResponse(status=status, headers=headers)
         resp.headers.update(self.head)
@@ -62,23 +63,24 @@
     async def write(self, chunk: bytes) -> None:
         """Send bytes; waits while the caller is slow.
 
-        :raises ConnectionError: when the caller has gone.
+        :raises ConnectionError: when the caller has disconnected.
         """
         if self.resp is not None:
             await self.resp.write(chunk)
 
     async def end(self) -> web.StreamResponse:
-        """End a whole answer."""
+        """End a complete response."""
         if self.resp is None:
-            raise ConnectionError('the answer was never started')
+            raise ConnectionError('the response was not started')
         await self.resp.write_eof()
         return self.resp
 
     async def refuse(self, refusal: errors.Refusal) -> web.StreamResponse:
-        """Tell the caller that it gets no whole answer.
+        """Refuse the request.
 
-        Before the head has gone out that is a refusal of its own; a stream
-        ends with an error event, and anything else is cut off.
+        Before the headers were sent, the refusal is the response. After
+        them, an event stream ends with an error event, and the connection of
+        any other response is aborted.
         """
         if self.resp is None:
             return self._refusal(refusal)
@@ -113,7 +115,7 @@
 
 
 def initial_headers(request_id: ids.RequestId) -> dict[str, str]:
-    """Give the headers that are known at once."""
+    """Return the response headers known on arrival."""
     return {'X-Request-Id': request_id}
 
 
@@ -122,6 +124,6 @@
     pool: ids.PoolName,
     tier: ids.Tier,
 ) -> None:
-    """Add the headers that are known once a rule has decided."""
+    """Add the response headers known once a rule has matched."""
     head['X-Pool'] = pool
     head['X-Tier'] = str(int(tier))
--- a/libs/daemon/geraniumweir/daemon/gauges.py
+++ b/libs/daemon/geraniumweir/daemon/gauges.py
@@ -1,4 +1,4 @@
-"""Reads an entry host's state for its gauges, when metrics are asked for."""
+"""Registers an entry host's gauges, which are read when metrics are."""
 
 import collections
 import operator
@@ -20,12 +20,12 @@
     host: entry_host.EntryHost,
     tracing: traces.Tracing,
 ) -> None:
-    """Say how the gauges of a host are read.
+    """Register the gauges of a host.
 
-    :param meter: of the host.
+    :param meter: metrics of the host.
     """
     meter.gauge(metricnames.CONFIG_VERSION, lambda: host.in_force.version)
-    # A host that stands alone is its own majority, and all the hosts it knows.
+    # A standalone host is its own majority and the only live host.
     meter.gauge(metricnames.CONFIG_SURE, lambda: int(host.sure))
     domain = host.cfg.failure_domain
     meter.gauge(metricnames.LIVE_HOSTS, lambda: {(domain,): 1})
@@ -44,16 +44,16 @@
 
 
 def register_joined(meter: metrics.Metrics, joined: joining.Joined) -> None:
-    """Say how the gauges of a host that works together with others are read.
+    """Register the gauges of a host that cooperates with others.
 
-    :param meter: of the host, with the gauges of :func:`register`.
+    :param meter: metrics of the host, with the gauges of :func:`register`.
     """
     follower = joined.follower
     meter.gauge(metricnames.CONFIG_SURE, lambda: int(not follower.unsure))
     meter.gauge(
         metricnames.CONFIG_HEARD, lambda: _age_gauge(follower.sure_age())
     )
-    # A failure domain whose hosts are all gone goes on being told, as 0.
+    # A failure domain without live hosts stays in the gauge, as 0.
     seen: set[metrics.Labels] = set()
     meter.gauge(metricnames.LIVE_HOSTS, lambda: _live(joined, seen))
     if joined.recording is None:
--- a/libs/daemon/geraniumweir/daemon/headers.py
+++ b/libs/daemon/geraniumweir/daemon/headers.py
@@ -1,4 +1,4 @@
-"""Headers on their way: which are passed on, and which belong to one hop.
+"""Selects the headers that are forwarded to servers and to callers.
 
 References
 ==========
@@ -28,7 +28,7 @@
         'expect',
     ),
 )
-# The key is a secret between the customer and this system.
+# The key in Authorization is a secret of the customer and this system.
 _OWN_HEADERS = frozenset(
     (
         'authorization',
@@ -51,9 +51,9 @@
     request_id: ids.RequestId,
     traceparent: str | None,
 ) -> multidict.CIMultiDict[str]:
-    """Give the headers of a call to an engine."""
+    """Return the headers of a request to an engine."""
     found = _select(headers, _TO_ENGINES)
-    # What is checked must not come compressed.
+    # A compressed response could not be checked.
     found['Accept-Encoding'] = 'identity'
     return _with_trace_headers(found, request_id, traceparent)
 
@@ -64,19 +64,22 @@
     request_id: ids.RequestId,
     traceparent: str | None,
 ) -> multidict.CIMultiDict[str]:
-    """Give the headers of a call to a plain service: all but one hop's."""
+    """Return the headers of a request to a plain service.
+
+    All but hop-by-hop headers and those of this system are forwarded.
+    """
     found = _end_to_end(headers)
     found['X-Customer'] = customer
     return _with_trace_headers(found, request_id, traceparent)
 
 
 def from_engine(headers: _Headers) -> multidict.CIMultiDict[str]:
-    """Give the headers of an engine's answer that go to the caller."""
+    """Return the headers of an engine's response for the caller."""
     return _select(headers, _FROM_ENGINES)
 
 
 def from_service(headers: _Headers) -> multidict.CIMultiDict[str]:
-    """Give the headers of a service's answer that go to the caller."""
+    """Return the headers of a service's response for the caller."""
     return _end_to_end(headers)
 
 
--- a/libs/daemon/geraniumweir/daemon/host.py
+++ b/libs/daemon/geraniumweir/daemon/host.py
@@ -1,4 +1,4 @@
-"""An entry host: what its three HTTP faces share."""
+"""An entry host: the state that its three HTTP applications share."""
 
 import dataclasses
 
@@ -22,11 +22,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Links:
-    """What a host that works together with others has besides.
+    """The further parts of a host that cooperates with others.
 
-    :ivar broker: finds the pool leaders.
+    :ivar broker: finds the pool leaders and requests slots from them.
     :ivar service: the pools that this host leads.
-    :ivar reporter: hands engines' reports to the pool leaders.
+    :ivar reporter: forwards engines' reports to the pool leaders.
     :ivar sharing: shares the leases of backend servers.
     """
 
@@ -40,13 +40,13 @@
 class EntryHost:
     """The parts of one entry host.
 
-    :ivar in_force: the configuration that decides new calls.
-    :ivar compiled: the same, ready for deciding them.
-    :ivar leaders: the pools of a host that stands alone.
-    :ivar draining: no new calls are taken.
-    :ivar sure: the configuration was checked against a majority.
-    :ivar path: what the calls share.
-    :ivar links: None on a host that stands alone.
+    :ivar leaders: the pool leaders of a standalone host.
+    :ivar in_force: the configuration that new requests are routed by.
+    :ivar compiled: the same, compiled for matching.
+    :ivar draining: whether new requests are refused.
+    :ivar sure: whether the configuration was checked against a majority.
+    :ivar path: the parts that all requests use.
+    :ivar links: None on a standalone host.
     """
 
     cfg: settings.Settings
@@ -68,7 +68,7 @@
     links: Links | None = None
 
     def scheduler(self, pool: ids.PoolName) -> views.Scheduler:
-        """Give who grants capacity of a pool to this host's calls."""
+        """Return the scheduler that grants slots of a pool to this host."""
         if self.links is None:
             return self.leader_of(pool)
         return self.links.broker
@@ -76,7 +76,7 @@
     def led(
         self, pool: ids.PoolName
     ) -> deadline_leader.DeadlinePoolLeader | None:
-        """Give the leader of a pool, or None when it is on another host."""
+        """Return the leader of a pool, or None when it is on another host."""
         if self.links is None:
             return self.leader_of(pool)
         return self.links.service.leader(pool)
@@ -84,7 +84,7 @@
     def leader_of(
         self, pool: ids.PoolName
     ) -> deadline_leader.DeadlinePoolLeader:
-        """Give the leader of a pool of a host alone, made on first use."""
+        """Return a pool's leader on a standalone host, made on first use."""
         found = self.leaders.get(pool)
         if found is None:
             found = deadline_leader.DeadlinePoolLeader(
@@ -97,16 +97,16 @@
         return found
 
     def leads(self) -> list[ids.PoolName]:
-        """List the pools led here."""
+        """Return the pools led by this host, sorted."""
         if self.links is None:
             return sorted(self.leaders)
         return sorted(self.links.service.pools())
 
     def announce(self, announcement: servers.Announcement) -> sharing.Reply:
-        """Take what a backend server says of itself.
+        """Register the announcement of a backend server.
 
         :raises geraniumweir.membership.errors.AnnouncementError: when it
-            can't be taken.
+            is rejected.
         """
         if self.links is not None:
             return self.links.sharing.announce(announcement)
@@ -119,7 +119,7 @@
         pool: ids.PoolName,
         report: requests.LoadReport,
     ) -> None:
-        """Give a load report to the pool's leader."""
+        """Forward a load report to the pool's leader."""
         if self.links is None:
             self.leader_of(pool).report(report)
         else:
@@ -130,14 +130,14 @@
         pool: ids.PoolName,
         events: requests.CacheEvents,
     ) -> None:
-        """Give cache events to the pool's leader."""
+        """Forward cache events to the pool's leader."""
         if self.links is None:
             self.leader_of(pool).cache_events(events)
         else:
             self.links.reporter.cache_events(pool, events)
 
     def put_in_force(self, in_force: document.InForce) -> None:
-        """Decide new calls by another version from now on."""
+        """Route new requests by another version from now on."""
         self.in_force = in_force
         self.compiled = compiling.CompiledDocument(in_force.document)
         for pool in self.leads():
@@ -149,11 +149,11 @@
         self,
         server_id: ids.ServerId,
     ) -> servers.Announcement | None:
-        """Give what a backend server last said of itself."""
+        """Return the last announcement of a backend server, or None."""
         return self.registry.get(server_id)
 
     def servers_of(self, pool: ids.PoolName) -> list[servers.Announcement]:
-        """List a pool's backend servers that may get new work."""
+        """Return a pool's backend servers that may get new requests."""
         doc = self.compiled
         return [
             server
@@ -165,5 +165,5 @@
         ]
 
     def preempt(self, preempt: requests.Preempt) -> None:
-        """Cancel a stream in flight for a higher tier."""
+        """Stop a request in flight in favour of a higher tier."""
         self.path.in_flight.preempt(preempt.request_id)
--- a/libs/daemon/geraniumweir/daemon/host_storage.py
+++ b/libs/daemon/geraniumweir/daemon/host_storage.py
@@ -1,7 +1,7 @@
-"""What an entry host keeps in its data folder.
+"""The data folder of an entry host.
 
-Two folders lie under it: ``log`` is the recorder's, ``followed`` holds the
-version that this host had in force last.
+It has two subfolders: ``log`` belongs to the recorder, ``followed`` holds the
+configuration version that this host had in force last.
 """
 
 import asyncio
@@ -19,20 +19,20 @@
 
 
 class VersionStoreError(errors.GeraniumweirError):
-    """The version in force could not be kept in the data folder."""
+    """The version in force could not be written to the data folder."""
 
     code = 'GW-5201'
 
 
 class VersionStore:
-    """Keeps the last version; see :class:`holding.Shelf`."""
+    """Storage of the last version in force; see :class:`holding.Shelf`."""
 
     def __init__(self, medium: disk.Disk) -> None:
-        """Keep it in a folder."""
+        """Initialize over a folder."""
         self._medium = medium
 
     def load(self) -> tuple[ids.Version, str] | None:
-        """Give the version kept last, or None."""
+        """Return the stored version and its text, or None."""
         kept = wholefiles.load(self._medium, _VERSION_FILE)
         if kept is None:
             return None
@@ -40,9 +40,9 @@
         return ids.Version(int(version)), text
 
     async def save(self, version: ids.Version, text: str) -> None:
-        """Keep a version; done once it is synced.
+        """Store a version; returns once it is synced.
 
-        :raises VersionStoreError: when the disk fails.
+        :raises VersionStoreError: when writing fails.
         """
         payload = f'{version}\n{text}'.encode()
         try:
@@ -60,9 +60,10 @@
     cfg: settings.Settings,
     stack: contextlib.AsyncExitStack,
 ) -> VersionStore | None:
-    """Open the folder of the last version, on a host with a data folder.
+    """Open the version store, on a host with a data folder.
 
-    :raises store_errors.StoreError: when it can't be used.
+    :returns: None on a host without one.
+    :raises store_errors.StoreError: when the folder can't be used.
     """
     if cfg.data_folder is None:
         return None
@@ -79,8 +80,9 @@
 ) -> recordings.Recording | None:
     """Start the recorder of a host with a data folder.
 
-    One that isn't among the first recorders waits until it is added.
+    A recorder that isn't among the first ones waits until it is added.
 
+    :returns: None on a host without a data folder.
     :raises store_errors.StoreError: when the folder can't be used.
     """
     if cfg.data_folder is None:
--- a/libs/daemon/geraniumweir/daemon/hoststates.py
+++ b/libs/daemon/geraniumweir/daemon/hoststates.py
@@ -1,4 +1,4 @@
-"""How the other entry hosts stand, asked for when an operator wants it."""
+"""State of the entry hosts, requested when an operator wants it."""
 
 import asyncio
 import typing
@@ -14,7 +14,7 @@
 
 
 class HostStates:
-    """Asks other hosts how they stand, and answers them."""
+    """Requests the state of other hosts and answers such requests."""
 
     def __init__(
         self,
@@ -23,9 +23,9 @@
         members: membership.Membership,
         is_recorder: typing.Callable[[], bool],
     ) -> None:
-        """Answer other hosts from now on.
+        """Initialize and register the handler for other hosts' requests.
 
-        :param is_recorder: tells whether this host is a recorder.
+        :param is_recorder: returns whether this host is a recorder.
         """
         self._host = host
         self._peers = peer_layer
@@ -34,7 +34,7 @@
         peer_layer.handle(ttypes.AskHostState, self._answer)
 
     async def rows(self) -> list[operations.HostRow]:
-        """Describe every host that this one knows, by id."""
+        """Return a row for every live host, sorted by id."""
         live = self._members.all_live()
         found = await asyncio.gather(*(self._row(one) for one in live))
         return sorted(found, key=lambda row: row.host_id)
--- a/libs/daemon/geraniumweir/daemon/inflight.py
+++ b/libs/daemon/geraniumweir/daemon/inflight.py
@@ -1,4 +1,4 @@
-"""The calls that one entry host has taken and not yet ended."""
+"""Requests that an entry host has accepted and not yet ended."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 
 class StopReason(enum.Enum):
-    """Why a running call was ended from this side."""
+    """Reason for which this host stopped a request."""
 
     deadline = 'deadline'
     preempted = 'preempted'
@@ -20,11 +20,12 @@
 
 @dataclasses.dataclass(slots=True)
 class InFlightRequest:
-    """One call on its way.
+    """A request in flight.
 
-    :ivar idempotent: False for a call that nothing may cut off once sent.
+    :ivar idempotent: False for a request that must not be stopped once sent.
     :ivar sent: whether a byte may have reached a backend server.
-    :ivar stop_reason: what ended it, meaningful once its time is up.
+    :ivar stop_reason: why it was stopped, valid once ``timeout`` expired.
+    :ivar timeout: the running timeout of its dispatch, or None.
     """
 
     request_id: ids.RequestId
@@ -35,24 +36,24 @@
 
 
 class InFlightRequests:
-    """All flights of one entry host, and the work that goes on after them."""
+    """The requests in flight of an entry host and their background tasks."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Initialize without requests."""
         self._requests: dict[ids.RequestId, InFlightRequest] = {}
         self._tasks: set[asyncio.Task[typing.Any]] = set()
         self._idle = asyncio.Event()
         self._idle.set()
 
     def __len__(self) -> int:
-        """Count the calls."""
+        """Return the number of requests in flight."""
         return len(self._requests)
 
     @contextlib.contextmanager
     def track(
         self, request_id: ids.RequestId
     ) -> typing.Iterator[InFlightRequest]:
-        """Keep a call listed while the block runs."""
+        """Track a request while the block runs."""
         in_flight_request = InFlightRequest(request_id)
         self._requests[request_id] = in_flight_request
         self._idle.clear()
@@ -66,7 +67,7 @@
         self,
         coroutine: typing.Coroutine[typing.Any, typing.Any, _Result],
     ) -> asyncio.Task[_Result]:
-        """Run work that outlives the caller's connection."""
+        """Start a task that may outlive the caller's connection."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         self._idle.clear()
@@ -74,9 +75,9 @@
         return task
 
     def preempt(self, request_id: ids.RequestId) -> bool:
-        """End a running call to make room for a more important one.
+        """Stop a running request in favour of one of a higher tier.
 
-        :returns: whether it is ended; a non-idempotent call never is.
+        :returns: whether it is stopped; a non-idempotent request never is.
         """
         in_flight_request = self._requests.get(request_id)
         if (
@@ -92,13 +93,14 @@
         return True
 
     async def wait_idle(self) -> None:
-        """Wait until no call and no work of one is left."""
+        """Wait until no request and no background task is left."""
         await self._idle.wait()
 
     def _on_task_done(self, task: asyncio.Task[typing.Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
-            # Whoever waited has it too; here it is only marked as seen.
+            # Retrieve the exception, so that asyncio does not log it as lost;
+            # a task that awaits this one gets it too.
             task.exception()
         self._update_idle()
 
--- a/libs/daemon/geraniumweir/daemon/joined.py
+++ b/libs/daemon/geraniumweir/daemon/joined.py
@@ -1,4 +1,4 @@
-"""Composes a host that works together with others.
+"""Composes an entry host that cooperates with other hosts.
 
 Parts are stopped in the reverse order of their start. :func:`leave_system`
 runs before that, once the requests in flight have ended or timed out.
@@ -46,22 +46,23 @@
 
 _MS = 1000
 _SURE_CHECK_SECONDS = 0.5
-# Endings of claims that can't be logged by then become unknown in time.
+# Claims whose outcome is not logged by then later count as unknown.
 _CLAIM_DRAIN_SECONDS = 2.0
 
 
 class BusyPeerAddressError(errors.GeraniumweirError):
-    """The peer address can't be listened on."""
+    """Listening on the peer address failed."""
 
     code = 'GW-1502'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Joined:
-    """The parts of a host that works together with others.
+    """The parts of a host that cooperates with others.
 
-    :ivar layer: the peer layer itself, whose links a test may cut.
-    :ivar recording: None where this host has no data folder.
+    :ivar layer: the transport below ``peers``, whose links a test may cut.
+    :ivar neighbours: the hosts to fetch configuration versions from.
+    :ivar recording: the recorder, or None on a host without a data folder.
     """
 
     host: entry_host.EntryHost
@@ -81,10 +82,10 @@
     host: entry_host.EntryHost,
     stack: contextlib.AsyncExitStack,
 ) -> Joined:
-    """Let a host work together with others.
+    """Connect a host to the others and start its parts.
 
-    :param stack: stops everything at the end.
-    :raises BusyPeerAddressError: when the peer address is taken.
+    :param stack: stops all parts at the end.
+    :raises BusyPeerAddressError: when listening on the peer address fails.
     :raises geraniumweir.store.errors.StoreError: when the data folder can't
         be used.
     """
@@ -111,7 +112,7 @@
 
 
 async def leave_system(joined: Joined) -> None:
-    """Leave: hand over the pools, then the log, then say farewell."""
+    """Log the outcomes of open claims, then leave the membership."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(_CLAIM_DRAIN_SECONDS):
             await joined.claimer.drained()
@@ -143,7 +144,7 @@
 
 def _peer_address(cfg: settings.Settings) -> ids.Address:
     if cfg.peer_address is None:
-        raise ValueError('a host without a peer address stands alone')
+        raise ValueError('a host without a peer address is standalone')
     return cfg.peer_address
 
 
@@ -158,7 +159,7 @@
         cfg.failure_domain,
         cfg.region,
         _peer_address(cfg),
-        # Grows with each start, also on a host without a disk.
+        # The wall clock grows from start to start, also without a disk.
         ids.Incarnation(int(time.time() * _MS)),
         cfg.backend_address,
         hosts.Role.recorder if records else hosts.Role.none,
@@ -211,11 +212,12 @@
 
 
 def _wire(joined: Joined, stack: contextlib.AsyncExitStack) -> None:
-    """Bind the parts to each other."""
+    """Connect the parts to each other."""
     host = joined.host
     host.registry = joined.members.registry
     host.path.claims = logged_claims.LoggedClaims(joined.claimer)
-    # A pool leader is soft state: a new one takes the cases from here.
+    # A pool leader keeps its state in memory only; a new one gets the
+    # suspects' cases from here.
     received_cases = suspects.Suspects(0)
     host.links = _links(joined, received_cases, stack)
     publisher = publishing.Publisher(
@@ -322,7 +324,7 @@
     host: entry_host.EntryHost,
     event: servers.ServerEvent,
 ) -> None:
-    """Tell the pool leader on this host of what became of a server."""
+    """Notify the pool leader on this host of a change of a server."""
     match event:
         case servers.ServerCrashed(before, after):
             pool = after.pool
@@ -337,7 +339,7 @@
 
 
 async def _read_document(text: str) -> document.Document:
-    # A long document takes a tenth of a second to check.
+    # Checking a long document takes 0.1 s, too long for the event loop.
     return await asyncio.to_thread(reading.read, text)
 
 
@@ -352,5 +354,5 @@
 
 
 def wall_ms() -> int:
-    """Give the wall clock, milliseconds since 1970."""
+    """Return the wall clock in milliseconds since 1970."""
     return int(time.time() * _MS)
--- a/libs/daemon/geraniumweir/daemon/joinedops.py
+++ b/libs/daemon/geraniumweir/daemon/joinedops.py
@@ -1,6 +1,6 @@
-"""Operations of a host that works together with others.
+"""Operators' operations on a host that cooperates with others.
 
-What changes the system goes through the replicated log, from any host.
+Changes of the system go through the replicated log, from any host.
 """
 
 import asyncio
@@ -35,9 +35,9 @@
         joined: joining.Joined,
         observed: observing.Observed,
     ) -> None:
-        """Stand on the parts of a host.
+        """Initialize from the parts of a host.
 
-        :param observed: its metrics and its tracer.
+        :param observed: the host's metrics and tracing.
         """
         self._joined = joined
         self._host = joined.host
@@ -45,14 +45,14 @@
         self._started_at = joined.host.timers.now()
 
     async def config(self, version: ids.Version | None) -> document.InForce:
-        """Give a version, by default the one in force on this host."""
+        """Return a version, by default the one in force on this host."""
         in_force = self._host.in_force
         if version in {None, in_force.version}:
             return in_force
         found = self._state().find(ids.Version(version or 0))
         if found is None:
             raise operations.UnknownError(
-                f'version {version} is not kept any more, or never was',
+                f'version {version} does not exist or is no longer stored',
             )
         text = found.text()
         return document.InForce(found.version, reading.read(text), text)
@@ -60,8 +60,8 @@
     async def change(self, change: operations.Change) -> operations.Accepted:
         """Put a change in force; returns once a majority has it synced.
 
-        A majority is asked for before anything is proposed: where there is
-        none, it's then sure that the change was not accepted.
+        A majority is checked for before the change is proposed: without one,
+        the change was certainly not accepted.
         """
         checked = await asyncio.to_thread(reading.check, change.document)
         await _convert_errors(self._joined.log.read_barrier(_TIMEOUT_SECONDS))
@@ -82,7 +82,7 @@
         return operations.Accepted(ids.Version(answer.version), warnings)
 
     async def history(self) -> list[operations.HistoryRow]:
-        """List accepted changes, the oldest first; asked of a recorder."""
+        """Return accepted changes, the oldest first; needs a data folder."""
         return [
             operations.HistoryRow(
                 kept.version, kept.change_id, kept.at_ms / 1000
@@ -91,17 +91,17 @@
         ]
 
     async def hosts(self) -> list[operations.HostRow]:
-        """List the entry hosts that this host knows."""
+        """Return the entry hosts in this host's membership."""
         return await self._joined.states.rows()
 
     async def servers(self) -> list[operations.ServerRow]:
-        """List the backend servers of this host's failure domain."""
+        """Return the backend servers of this host's failure domain."""
         now = self._host.timers.now()
         live = self._host.registry.live(now)
         return [rows.server_row(self._host, server) for server in live]
 
     async def pools(self) -> list[operations.PoolRow]:
-        """List the pools that this host knows of, also in other domains."""
+        """Return the pools, also those known in other failure domains."""
         found = []
         for pool in self._host.in_force.document.pools:
             found.append(self._own_pool(pool))
@@ -113,7 +113,7 @@
         return found
 
     async def status(self) -> operations.Status:
-        """Tell how this host stands."""
+        """Return the state of this host."""
         kept = self._joined.recording
         leader = None
         index = 0
@@ -139,14 +139,14 @@
         try:
             return await self._joined.order_sender.send(order, server)
         except log_errors.ConsensusError as exc:
-            # The number alone may be taken; the order was not sent.
+            # A fencing number may have been reserved; the order was not sent.
             raise operations.NoMajorityError(
                 exc.message,
                 ids.Ran.no,
             ) from exc
 
     async def recorders(self) -> list[operations.RecorderRow]:
-        """List the recorders, as their leader sees them."""
+        """Return the recorders, as their leader sees them."""
         return await recorderrows.rows(
             self._joined.log,
             sorted(self._joined.neighbours.recorders()),
@@ -187,11 +187,11 @@
         return operations.SnapshotResult(index, size)
 
     async def trace(self, wanted: str) -> list[tracefile.SpanRecord]:
-        """Give the spans of a request or trace id recorded on this host."""
+        """Return the spans of a request or trace id on this host."""
         return await self._observed.trace(self._host.cfg.trace_file, wanted)
 
     def metrics(self) -> str:
-        """Write the metrics as Prometheus text."""
+        """Return the metrics as Prometheus text."""
         return self._observed.meter.exposition()
 
     def _own_pool(self, pool: document.Pool) -> operations.PoolRow:
@@ -229,7 +229,7 @@
 
 
 async def _convert_errors(work: object) -> bytes:
-    """Turn the log's errors into those of operations."""
+    """Await a call of the log and convert its errors."""
     try:
         return await work
     except log_errors.RefusedError as exc:
--- a/libs/daemon/geraniumweir/daemon/listening.py
+++ b/libs/daemon/geraniumweir/daemon/listening.py
@@ -1,4 +1,4 @@
-"""Serves the HTTP faces of an entry host at their addresses."""
+"""Serves an HTTP application at an address."""
 
 import contextlib
 import os
@@ -8,7 +8,7 @@
 
 
 class BusyAddressError(errors.GeraniumweirError):
-    """An address of the settings can't be listened on."""
+    """Listening on an address of the settings failed."""
 
     code = 'GW-1501'
 
@@ -19,11 +19,11 @@
     address: ids.Address,
     shutdown_seconds: float,
 ) -> ids.Address:
-    """Serve at an address until the stack ends.
+    """Serve at an address until the stack is closed.
 
-    :param shutdown_seconds: left to requests that are open then.
-    :returns: the address, with the port that was chosen where it said 0.
-    :raises BusyAddressError: when it can't be listened on.
+    :param shutdown_seconds: time left then to open requests.
+    :returns: the address, with the chosen port where the port was 0.
+    :raises BusyAddressError: when listening fails.
     """
     runner = web.AppRunner(
         app,
--- a/libs/daemon/geraniumweir/daemon/logevents.py
+++ b/libs/daemon/geraniumweir/daemon/logevents.py
@@ -14,7 +14,9 @@
     102, logevents.Level.notice, 'draining for at most {seconds} s'
 )
 STOPPED: typing.Final = logevents.Event(
-    103, logevents.Level.notice, 'stopped; {left} calls did not end in time'
+    103,
+    logevents.Level.notice,
+    'stopped; {left} requests did not end within the drain timeout',
 )
 OPERATOR_CHANGE: typing.Final = logevents.Event(
     110,
@@ -22,15 +24,15 @@
     'version {version} accepted, change {change_id}',
 )
 OPERATOR_REFUSED: typing.Final = logevents.Event(
-    111, logevents.Level.info, 'operator refused with {code}: {message}'
+    111, logevents.Level.info, 'operator request refused with {code}: {message}'
 )
 OPERATOR_FAILED: typing.Final = logevents.Event(
-    112, logevents.Level.error, 'fault while answering {path}: {reason}'
+    112, logevents.Level.error, 'internal error while serving {path}: {reason}'
 )
 CASES_NOT_PUBLISHED: typing.Final = logevents.Event(
     120,
     logevents.Level.warning,
-    "suspects' cases could not be told to other hosts: {reason}",
+    "suspects' cases could not be sent to other hosts: {reason}",
 )
 CASES_NOT_READ: typing.Final = logevents.Event(
     121,
@@ -43,5 +45,5 @@
 ORDER_SENT: typing.Final = logevents.Event(
     123,
     logevents.Level.notice,
-    'order {order} of {subject} sent to {server_id}, fencing {fencing}',
+    'order {order} for {subject} sent to {server_id}, fencing number {fencing}',
 )
--- a/libs/daemon/geraniumweir/daemon/logged_claims.py
+++ b/libs/daemon/geraniumweir/daemon/logged_claims.py
@@ -1,4 +1,6 @@
-"""Claims in the replicated log, with the face that the path of a call asks for.
+"""Claims stored in the replicated log.
+
+Adapts the log's claimer to the protocol :class:`claiming.Claims`.
 
 See Also
 ========
@@ -9,17 +11,17 @@
 from geraniumweir.configuration import claims, claimtable, errors
 from geraniumweir.daemon import claiming
 
-# Longer than any call is let run.
+# Longer than any request may run.
 _TTL_SECONDS = 1800.0
 
 
 class LoggedClaims:
-    """Claims that hold across all entry hosts."""
+    """Claims that are valid across all entry hosts."""
 
     def __init__(self, claimer: claims.Claimer) -> None:
-        """Claim through a claimer.
+        """Initialize from the claimer of this entry host.
 
-        :param claimer: of this entry host.
+        :param claimer: proposes claims to the log.
         """
         self._claimer = claimer
 
@@ -29,7 +31,7 @@
         request_id: ids.RequestId,
         fingerprint: ids.Fingerprint,
     ) -> claiming.Claim:
-        """Claim a call; see :class:`claiming.Claims`."""
+        """Claim a request; see :class:`claiming.Claims`."""
         try:
             answer = await self._claimer.claim(
                 _call(key, request_id, fingerprint),
@@ -50,7 +52,7 @@
         request_id: ids.RequestId,
         ending: claiming.Ending,
     ) -> None:
-        """End a claim; the log is not waited for."""
+        """Propose the outcome to the log without waiting for it."""
         call = _call(key, request_id, ids.Fingerprint(0))
         self._claimer.finish(call, claimtable.Outcome[ending.name])
 
--- a/libs/daemon/geraniumweir/daemon/main.py
+++ b/libs/daemon/geraniumweir/daemon/main.py
@@ -33,12 +33,12 @@
 from geraniumweir.store import errors as store_errors
 
 _EXIT_FAILED = 1
-# Calls in flight have had --drain-timeout before this begins.
+# Requests in flight have had --drain-timeout before this begins.
 _SHUTDOWN_SECONDS = 1.0
 
 
 def main(argv: typing.Sequence[str] | None = None) -> None:
-    """Run the daemon until it is told to end.
+    """Run the daemon until SIGTERM or SIGINT.
 
     :param argv: flags, by default those of the process.
     """
@@ -66,7 +66,7 @@
     """Serve until SIGTERM or SIGINT, then drain.
 
     :param cfg: the host's settings.
-    :raises listening.BusyAddressError: when an address can't be listened on.
+    :raises listening.BusyAddressError: when listening on an address fails.
     """
     stop = asyncio.Event()
     async with contextlib.AsyncExitStack() as stack:
--- a/libs/daemon/geraniumweir/daemon/membership_views.py
+++ b/libs/daemon/geraniumweir/daemon/membership_views.py
@@ -1,4 +1,4 @@
-"""What membership knows, in the words that scheduling and following use.
+"""Adapters of membership to the protocols of scheduling and configuration.
 
 See Also
 ========
@@ -16,38 +16,42 @@
 
 
 class LeaderView:
-    """The entry hosts that may lead pools; see :class:`views.HostView`."""
+    """View of the hosts that may lead pools; see :class:`views.HostView`."""
 
     def __init__(self, members: membership.Membership) -> None:
-        """Look at a host's membership."""
+        """Initialize over the membership of a host."""
         self._members = members
 
     @property
     def changes(self) -> reactivex.Observable[typing.Any]:
-        """Fires after each change of the live hosts."""
+        """Emits after each change of the live hosts."""
         return self._members.changes
 
     def live(self, domain: ids.FailureDomain) -> list[ids.HostId]:
-        """List the hosts of a domain that may lead; one that drains may not."""
+        """Return the hosts of a domain that may lead.
+
+        A draining host may not.
+        """
         return [host.host_id for host in self._members.eligible(domain)]
 
     def owners(self, domain: ids.FailureDomain) -> list[ids.HostId]:
-        """List the hosts of a domain that may have grants."""
+        """Return the hosts of a domain that may hold grants."""
         return self.live(domain)
 
 
 class Directory:
-    """Pools of other failure domains; see :class:`views.PoolDirectory`."""
+    """Directory of remote pools; see :class:`views.PoolDirectory`."""
 
     def __init__(self, members: membership.Membership) -> None:
-        """Look at a host's membership."""
+        """Initialize over the membership of a host."""
         self._members = members
 
     def others(self, pool: ids.PoolName) -> list[views.RemotePool]:
-        """List the other failure domains' pools of a name.
+        """Return the pools of a name in other failure domains.
 
-        Summaries come only of pools that were asked, to hosts that wanted
-        them; where there is none, it's known all the same who would lead.
+        A pool has a summary only once it received a slot request, and hosts
+        fetch summaries only while they need them. Without one, the leader is
+        computed from the membership and the summary is empty.
         """
         own = self._members.me.failure_domain
         found = {
@@ -77,22 +81,22 @@
 
 
 class Neighbours:
-    """Whom following asks; see :class:`sources.Neighbours`."""
+    """The hosts to fetch versions from; see :class:`sources.Neighbours`."""
 
     def __init__(
         self,
         members: membership.Membership,
         first: typing.Iterable[ids.HostId],
     ) -> None:
-        """Look at a host's membership.
+        """Initialize over the membership of a host.
 
-        :param first: the first recorders, known from the settings.
+        :param first: the first recorders, from the settings.
         """
         self._members = members
         self._first = frozenset(first)
 
     def recorders(self) -> frozenset[ids.HostId]:
-        """List the hosts that are recorders, as far as this one knows."""
+        """Return the hosts that are recorders by this host's membership."""
         return self._first.union(
             host.host_id
             for host in self._members.all_live()
@@ -100,12 +104,12 @@
         )
 
     def local(self) -> list[ids.HostId]:
-        """List the live hosts of the own failure domain."""
+        """Return the live hosts of the own failure domain."""
         own = self._members.me.failure_domain
         return [host.host_id for host in self._members.live(own)]
 
     def distant(self) -> list[ids.HostId]:
-        """List live hosts of other failure domains."""
+        """Return the live hosts of other failure domains."""
         own = self._members.me.failure_domain
         return [
             host.host_id
@@ -119,7 +123,7 @@
     domain: ids.FailureDomain,
     leader: ids.HostId,
 ) -> poolsummaries.PoolSummary:
-    """Give a pool leader's summary the form that hosts exchange."""
+    """Convert a pool leader's summary to the form that hosts exchange."""
     waits = {wait.tier: wait.expected for wait in summary.waits}
     return poolsummaries.PoolSummary(
         domain,
@@ -133,7 +137,7 @@
 
 
 def from_members(found: poolsummaries.PoolSummary) -> requests.PoolSummary:
-    """Read a summary that came from another host."""
+    """Convert a summary received from another host."""
     return requests.PoolSummary(
         found.pool,
         capacity=tuple(
--- a/libs/daemon/geraniumweir/daemon/meters.py
+++ b/libs/daemon/geraniumweir/daemon/meters.py
@@ -1,7 +1,6 @@
-"""Counts calls as they end, for the operators' metrics.
+"""Counts requests and their latencies for the operators' metrics.
 
-The path of a call tells what became of it; here that becomes counters and
-latencies by pool and tier.
+Most metrics are by pool and tier.
 """
 
 from geraniumweir.common import errors
@@ -19,35 +18,35 @@
 
 
 class RequestMeter:
-    """The metrics of one host's calls."""
+    """The request metrics of one host."""
 
     def __init__(self, meter: metrics.Metrics | None = None) -> None:
-        """Write into a host's metrics.
+        """Initialize over a host's metrics.
 
-        :param meter: by default one that nobody reads.
+        :param meter: by default one that is not exposed.
         """
         self._meter = meter or metrics.Metrics()
 
     def record_refusal(self, refusal: errors.Refusal, tier: str) -> None:
         """Count a refusal.
 
-        :param tier: of the call, empty where no rule decided it.
+        :param tier: tier of the request, empty where no rule matched.
         """
         ran = refusal.ran.value
         self._meter.count(metricnames.REFUSALS, refusal.code, ran)
         self._meter.count(metricnames.REQUESTS, tier, 'refused')
 
     def record_disconnect(self, tier: str) -> None:
-        """Count a call whose caller went away."""
+        """Count a request whose caller disconnected."""
         self._meter.count(metricnames.REQUESTS, tier, 'cancelled')
 
     def record_completion(
         self, slot_request: requests.SlotRequest, seconds: float, now: float
     ) -> None:
-        """Count a whole answer.
+        """Count a complete response.
 
-        :param seconds: from the call's arrival to the end.
-        :param now: on the clock of the ask's deadline, in seconds.
+        :param seconds: time from the request's arrival to its end.
+        :param now: time on the clock of the request's deadline, in seconds.
         """
         tier = _tier(slot_request)
         self._meter.count(metricnames.REQUESTS, tier, 'done')
@@ -62,7 +61,7 @@
     ) -> None:
         """Count a dispatch.
 
-        :param seconds: from ask to grant.
+        :param seconds: time from slot request to grant.
         """
         self._meter.count(metricnames.DISPATCHES, slot_request.pool)
         self._meter.observe(
@@ -77,7 +76,7 @@
     ) -> None:
         """Record a first token.
 
-        :param seconds: from the call's arrival.
+        :param seconds: time from the request's arrival.
         """
         self._meter.observe(
             metricnames.FIRST_TOKEN_SECONDS,
@@ -89,7 +88,7 @@
     def record_release(
         self, slot_request: requests.SlotRequest, release: requests.Release
     ) -> None:
-        """Count tokens passed on, and prefill that gave no whole answer."""
+        """Count output tokens, and prefill without a complete response."""
         if release.output_tokens:
             self._meter.count(
                 metricnames.OUTPUT_TOKENS,
--- a/libs/daemon/geraniumweir/daemon/observing.py
+++ b/libs/daemon/geraniumweir/daemon/observing.py
@@ -1,4 +1,4 @@
-"""Gives a host its metrics and its tracer."""
+"""Connects a host to its metrics and its tracing."""
 
 import asyncio
 import contextlib
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observed:
-    """What a host is observed by."""
+    """Metrics and tracing of a host."""
 
     meter: metrics.Metrics
     tracing: traces.Tracing
@@ -21,10 +21,10 @@
         path: str | None,
         wanted: str,
     ) -> list[tracefile.SpanRecord]:
-        """Read the host's trace file, off the event loop.
+        """Return spans of the host's trace file, read off the event loop.
 
-        :param path: of the trace file, or None where there is none.
-        :param wanted: a request or trace id.
+        :param path: path of the trace file, or None where there is none.
+        :param wanted: request or trace id of the spans.
         :raises operations.UnavailableError: when there is no trace file.
         """
         if path is None:
@@ -37,7 +37,7 @@
     host: entry_host.EntryHost,
     stack: contextlib.AsyncExitStack,
 ) -> Observed:
-    """Give a host its metrics and its tracer.
+    """Set a host's metrics and tracer.
 
     :param stack: closes the trace file at the end.
     :raises OSError: when the trace file can't be written.
--- a/libs/daemon/geraniumweir/daemon/relaying.py
+++ b/libs/daemon/geraniumweir/daemon/relaying.py
@@ -1,9 +1,9 @@
-"""Carries one answer from a backend server to the caller.
+"""Relays a response from a backend server to the caller.
 
-Whatever can be checked whole before a byte goes out is: the answer is kept,
-within a bound, and given only then. Streams of events go out as they come,
-event by event, and count as whole only with their last event. A slow caller
-slows the reading from the server, so each stream holds bounded memory.
+A response of bounded size is buffered and checked before its first byte is
+sent. An event stream is forwarded event by event and is complete only with
+its last event. A slow caller slows down reading from the server, so a stream
+uses bounded memory.
 """
 
 import asyncio
@@ -56,7 +56,7 @@
 
     @property
     def elapsed_seconds(self) -> float:
-        """Seconds since dispatch."""
+        """Time since dispatch, in seconds."""
         return asyncio.get_running_loop().time() - self.started_at
 
     async def start(
@@ -64,7 +64,7 @@
         status: int,
         head: multidict.CIMultiDict[str],
     ) -> None:
-        """Send the answer's head to the caller."""
+        """Send status and headers to the caller."""
         with self._tolerate_disconnect():
             await self.http_exchange.start(status, head)
 
@@ -74,13 +74,13 @@
             await self.http_exchange.write(chunk)
 
     async def end(self) -> None:
-        """End a whole answer."""
+        """End a complete response."""
         with self._tolerate_disconnect():
             await self.http_exchange.end()
 
     @contextlib.contextmanager
     def _tolerate_disconnect(self) -> typing.Iterator[None]:
-        """Let a non-idempotent call outlive its caller."""
+        """Let a non-idempotent request go on when its caller disconnects."""
         try:
             yield
         except ConnectionError:
@@ -89,7 +89,10 @@
             self.http_exchange.caller_gone = True
 
     def count(self, batch: streams.Batch) -> None:
-        """Count tokens and report them, at most every 250 ms."""
+        """Count tokens and report progress to the pool leader.
+
+        The first token is reported at once, later ones at most every 250 ms.
+        """
         self.output_tokens += sum(
             event.kind is sse.Kind.chunk for event in batch
         )
@@ -120,10 +123,10 @@
 
 
 async def relay(relayed: RelayedRequest) -> None:
-    """Send a granted call and carry its answer to the caller.
+    """Send a granted request and relay its response to the caller.
 
-    :raises backends.errors.AnswerError: when there is no whole answer.
-    :raises ConnectionError: when the caller has gone.
+    :raises backends.errors.AnswerError: when there is no complete response.
+    :raises ConnectionError: when the caller has disconnected.
     """
     answer = await calls.send(
         relayed.host.session,
@@ -149,7 +152,9 @@
     expected_identity: identity.Identity,
 ) -> None:
     if answer.status >= _MIN_FAILURE_STATUS:
-        raise errors.ServerFailedError(f'the engine answered {answer.status}')
+        raise errors.ServerFailedError(
+            f'the engine answered with status {answer.status}'
+        )
     if answer.status == _OK and _is_stream(answer):
         await _stream(relayed, answer, expected_identity)
         return
@@ -181,7 +186,7 @@
                 await relayed.on_complete()
             await relayed.write(b''.join(event.raw for event in batch))
             if done:
-                # What is left to do concerns the engine's connection only.
+                # What is left concerns only the engine's connection.
                 await relayed.end()
 
 
@@ -218,9 +223,14 @@
     answer: calls.Answer,
     head: multidict.CIMultiDict[str],
 ) -> None:
-    """Give an answer as it comes; its framing shows whether it is whole."""
+    """Forward a response chunk by chunk.
+
+    Only its framing shows whether it is complete.
+    """
     if not answer.ends_visibly:
-        raise errors.CutShortError("the answer's end could not be told")
+        raise errors.CutShortError(
+            'the response has neither a length nor chunked framing'
+        )
     await relayed.start(answer.status, head)
     async with contextlib.aclosing(answer.chunks()) as chunks:
         async for chunk in chunks:
--- a/libs/daemon/geraniumweir/daemon/request_path.py
+++ b/libs/daemon/geraniumweir/daemon/request_path.py
@@ -1,4 +1,4 @@
-"""The parts that serve calls at one entry host."""
+"""The parts that all requests of an entry host use."""
 
 import dataclasses
 
@@ -8,13 +8,13 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestPath:
-    """What all calls of an entry host share.
+    """The parts that all requests of an entry host use.
 
-    :ivar claims: makes and ends the claims of non-idempotent calls.
-    :ivar tracer: takes the spans of calls.
-    :ivar meter: counts calls as they end.
-    :ivar in_flight: the calls that were taken and have not ended.
-    :ivar echoes: the pools whose engines echo our request ids.
+    :ivar claims: claims non-idempotent requests and records their outcomes.
+    :ivar tracer: records the spans of requests.
+    :ivar meter: counts requests and measures their latency.
+    :ivar in_flight: the requests that were accepted and have not ended.
+    :ivar echoes: the pools whose engines echo the request id sent to them.
     """
 
     claims: claiming.Claims = dataclasses.field(
--- a/libs/daemon/geraniumweir/daemon/server_orders.py
+++ b/libs/daemon/geraniumweir/daemon/server_orders.py
@@ -1,8 +1,8 @@
-"""Orders to backend servers, each with a fencing number of the log.
+"""Sends orders to backend servers, each with a fencing number of the log.
 
-A server that checks fencing numbers refuses an old one with 409. For one that
-doesn't, the issuer waits until the last issuer's lease has surely run out,
-and sends only while its own lease holds.
+A server that checks fencing numbers rejects an old one with status 409. For a
+server that doesn't, the issuer waits until the previous issuer's lease has
+expired and sends only while its own lease is valid.
 
 References
 ==========
@@ -23,7 +23,7 @@
 from geraniumweir.wire.gen.configuration import ttypes
 
 _LEASE_SECONDS = 10.0
-# Weights come from a rate-limited store, so few loads go on at a time.
+# Model weights come from a rate-limited store, so concurrent loads are few.
 _MAX_CONCURRENT_ORDERS = 2
 _MS = 1000
 _SUBJECTS = {
@@ -42,7 +42,7 @@
 
 
 class OrderSender:
-    """Sends orders on behalf of one run of one entry host."""
+    """Sender of orders for one incarnation of an entry host."""
 
     def __init__(
         self,
@@ -50,10 +50,11 @@
         propose: claims.Propose,
         session: aiohttp.ClientSession,
     ) -> None:
-        """Start without a fencing number.
+        """Initialize without a fencing number.
 
-        :param issuer: names this run of the process, never used again.
-        :param propose: brings a command to the log.
+        :param issuer: unique name of this incarnation, see
+            :func:`issuer_name`.
+        :param propose: proposes a command to the log.
         """
         self._issuer = issuer
         self._propose = propose
@@ -67,10 +68,10 @@
     ) -> operations.OrderResult:
         """Send an order.
 
-        :raises operations.NotNowError: when the server refuses it, or the
-            lease runs out before the server answers.
+        :raises operations.NotNowError: when the server rejects it, or the
+            lease expires before the server answers.
         :raises geraniumweir.common.errors.GeraniumweirError: when no fencing
-            number could be had; nothing was sent.
+            number could be reserved; nothing was sent.
         """
         async with self._slots:
             fence = await self._reserve(fences=server.fences)
@@ -78,7 +79,7 @@
                 async with asyncio.timeout_at(fence.expires_at):
                     await self._post(order, server, fence.number)
             except TimeoutError as exc:
-                message = f'{server.server_id} did not answer in time'
+                message = f'{server.server_id} did not answer in the lease'
                 raise operations.NotNowError(message) from exc
         eventlog.emit(
             logevents.ORDER_SENT,
@@ -100,7 +101,7 @@
         if fences or not answer.wait_ms:
             return _Fence(answer.number, requested_at + _LEASE_SECONDS)
         await asyncio.sleep(answer.wait_ms / _MS)
-        # A reservation of the same issuer again renews its lease.
+        # Reserving again as the same issuer renews its lease.
         return await self._reserve(fences=True)
 
     async def _post(
@@ -121,7 +122,7 @@
                 status = resp.status
         except aiohttp.ClientError as exc:
             raise operations.NotNowError(
-                f'{server.server_id} could not be reached: {exc}',
+                f'{server.server_id} is unreachable: {exc}',
             ) from exc
         if status == http.HTTPStatus.CONFLICT:
             raise operations.NotNowError(
@@ -129,10 +130,10 @@
             )
         if status >= http.HTTPStatus.BAD_REQUEST:
             raise operations.NotNowError(
-                f'{server.server_id} answered the order with {status}',
+                f'{server.server_id} answered the order with status {status}',
             )
 
 
 def issuer_name(host_id: ids.HostId, incarnation: ids.Incarnation) -> str:
-    """Name one run of a process as an issuer of orders."""
+    """Return the issuer name of one incarnation of an entry host."""
     return f'{host_id}/{incarnation}'
