--- a/libs/daemon/geraniumweir/daemon/catalogue.py
+++ b/libs/daemon/geraniumweir/daemon/catalogue.py
@@ -1,6 +1,6 @@
-"""The catalogue of refusals: code, status and word of each.
+"""The catalogue of refusals: error code, HTTP status and kind of each.
 
-docs/ERRORS.md explains every entry; a test keeps the two equal.
+docs/ERRORS.md explains every entry; a test checks that both agree.
 """
 
 import dataclasses
@@ -16,7 +16,7 @@
     """One kind of refusal.
 
     :ivar status: the HTTP status.
-    :ivar kind: the word for programs.
+    :ivar kind: machine-readable name of the refusal.
     """
 
     status: int
@@ -59,7 +59,7 @@
     _Status.UNPROCESSABLE_ENTITY, 'GW-7103', 'idempotency_key_reused'
 )
 
-# Whatever a backend server did wrong is a 502 with the code of the error.
+# Every fault of a backend server is a 502 with the code of its error.
 BACKEND: typing.Mapping[str, Entry] = types.MappingProxyType(
     {
         code: Entry(_Status.BAD_GATEWAY, code, kind)
--- a/libs/daemon/geraniumweir/daemon/joinedops.py
+++ b/libs/daemon/geraniumweir/daemon/joinedops.py
@@ -28,7 +28,7 @@
 
 
 class JoinedOperations:
-    """Implements :class:`operations.Operations` over the replicated log."""
+    """Implementation of :class:`operations.Operations` over the log."""
 
     def __init__(
         self,
--- a/libs/daemon/geraniumweir/daemon/operations.py
+++ b/libs/daemon/geraniumweir/daemon/operations.py
@@ -1,8 +1,8 @@
-"""What operators may ask of a host, apart from how they ask it.
+"""Operations that a host offers to operators, independent of HTTP.
 
-:class:`Operations` is the narrow face that the operators' HTTP application
-(:mod:`geraniumweir.daemon.operators`) stands on; the composition of a host
-implements it. Rows are typed values that go to JSON as they are.
+:class:`Operations` is the protocol that the operators' HTTP application
+(:mod:`geraniumweir.daemon.operators`) uses; a host implements it. Rows are
+typed values whose fields are written out as JSON under their own names.
 """
 
 import dataclasses
@@ -15,13 +15,13 @@
 
 
 class MalformedError(errors.GeraniumweirError):
-    """What the operator sent can't be read."""
+    """The operator's request is malformed."""
 
     code = 'GW-1401'
 
 
 class UnknownError(errors.GeraniumweirError):
-    """There is no such version, backend server, request or recorder."""
+    """The version, backend server, request or recorder does not exist."""
 
     code = 'GW-1402'
 
@@ -32,28 +32,31 @@
     code = 'GW-1403'
 
     def __init__(self, message: str, ran: ids.Ran) -> None:
-        """Keep whether the change can have been accepted all the same.
+        """Initialize with whether the change may still have been accepted.
 
-        :param ran: ``no`` only where no recorder can have taken it.
+        :param ran: ``no`` only where no recorder can have stored it.
         """
         super().__init__(message)
         self.ran = ran
 
 
 class UnavailableError(errors.GeraniumweirError):
-    """This host can't do it; nothing was done."""
+    """This host doesn't offer the operation; nothing was done."""
 
     code = 'GW-1404'
 
 
 class NotNowError(errors.GeraniumweirError):
-    """The state doesn't allow it, such as two changes of recorders at once."""
+    """The state doesn't allow the operation now.
+
+    An example is a change of the recorders while another one is pending.
+    """
 
     code = 'GW-1405'
 
 
 class HostState(enum.Enum):
-    """How an entry host stands, as the answering host sees it."""
+    """State of an entry host, as the answering host sees it."""
 
     live = 'live'
     draining = 'draining'
@@ -62,7 +65,7 @@
 
 
 class OrderKind(enum.Enum):
-    """What a backend server can be ordered to do."""
+    """Kind of an order to a backend server."""
 
     load_model = 'load_model'
     unload_model = 'unload_model'
@@ -75,9 +78,9 @@
 class Change:
     """A change of the configuration.
 
-    :ivar base: the version it was made from.
+    :ivar base: the version that the change is based on.
     :ivar change_id: a repeat with the same id gets the first answer.
-    :ivar document: the whole new document, TOML.
+    :ivar document: the complete new document, TOML.
     """
 
     base: ids.Version
@@ -89,8 +92,8 @@
 class Accepted:
     """A change that a majority has synced.
 
-    :ivar warnings: of what is allowed but looks wrong.
-    :ivar repeated: the change had been accepted before.
+    :ivar warnings: what is valid but probably a mistake.
+    :ivar repeated: whether the change had been accepted before.
     """
 
     version: ids.Version
@@ -102,7 +105,7 @@
 class HistoryRow:
     """An accepted change.
 
-    :ivar at: wall clock of the acceptance, seconds since 1970.
+    :ivar at: time of acceptance, seconds since 1970.
     """
 
     version: ids.Version
@@ -114,7 +117,7 @@
 class HostRow:
     """An entry host.
 
-    :ivar sure: its version was checked against a majority.
+    :ivar sure: whether its version was checked against a majority.
     :ivar leads: the pools it leads.
     """
 
@@ -150,7 +153,7 @@
 class PoolRow:
     """A pool in one failure domain.
 
-    :ivar leader: the host that keeps its queue, or None where unknown.
+    :ivar leader: the host that leads the pool, or None where unknown.
     :ivar waiting: requests in its queue, or None where unknown.
     :ivar running: open grants, or None where unknown.
     :ivar lowest_tier: the lowest tier being served, or None.
@@ -168,12 +171,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Status:
-    """How the answering host stands.
+    """State of the answering host.
 
-    :ivar sure: its version was checked against a majority.
-    :ivar log_leader: the recorder that leads, or None where unknown.
-    :ivar majority: None on a host that stands alone.
-    :ivar log_index: newest entry applied.
+    :ivar sure: whether its version was checked against a majority.
+    :ivar log_leader: the recorder that leads the log, or None where unknown.
+    :ivar majority: whether a majority of the recorders answers; None on a
+        standalone host.
+    :ivar log_index: index of the newest entry applied.
     """
 
     host_id: ids.HostId
@@ -191,7 +195,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecorderRow:
-    """A recorder; a learner doesn't vote yet."""
+    """A recorder; one that is no voter is a learner."""
 
     host_id: ids.HostId
     address: str
@@ -217,9 +221,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderResult:
-    """An order that the backend server took.
+    """An order that the backend server accepted.
 
-    :ivar fencing: the number it went out with.
+    :ivar fencing: the fencing number it was sent with.
     """
 
     server_id: ids.ServerId
@@ -228,46 +232,46 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SnapshotResult:
-    """A snapshot that is on disk."""
+    """A snapshot written to disk."""
 
     log_index: int
     size_bytes: int
 
 
 class Operations(typing.Protocol):
-    """What a host's composition offers to operators.
+    """Protocol of the operations that a host offers to operators.
 
-    Errors: :class:`configuration.errors.DocumentError` and
-    :class:`configuration.errors.ConflictError` of a change, and those of this
-    module of everything.
+    A change raises :class:`configuration.errors.DocumentError` or
+    :class:`configuration.errors.ConflictError`; every operation may raise the
+    errors of this module.
     """
 
     async def config(self, version: ids.Version | None) -> document.InForce:
-        """Give a version, by default the one in force on this host."""
+        """Return a version, by default the one in force on this host."""
 
     async def change(self, change: Change) -> Accepted:
         """Put a change in force; returns once a majority has it synced."""
 
     async def history(self) -> typing.Sequence[HistoryRow]:
-        """List accepted changes, the oldest first."""
+        """Return accepted changes, the oldest first."""
 
     async def hosts(self) -> typing.Sequence[HostRow]:
-        """List the entry hosts that this host knows."""
+        """Return the entry hosts in this host's membership."""
 
     async def servers(self) -> typing.Sequence[ServerRow]:
-        """List the backend servers of this host's failure domain."""
+        """Return the backend servers of this host's failure domain."""
 
     async def pools(self) -> typing.Sequence[PoolRow]:
-        """List the pools that this host knows of, also in other domains."""
+        """Return the pools, also those known in other failure domains."""
 
     async def status(self) -> Status:
-        """Tell how this host stands."""
+        """Return the state of this host."""
 
     async def order(self, order: Order) -> OrderResult:
         """Send an order to a backend server, with a fencing number."""
 
     async def recorders(self) -> typing.Sequence[RecorderRow]:
-        """List the recorders."""
+        """Return the recorders."""
 
     async def add_recorder(
         self,
@@ -283,7 +287,7 @@
         """Write a snapshot of this recorder's state, compacting its log."""
 
     async def trace(self, wanted: str) -> typing.Sequence[tracefile.SpanRecord]:
-        """Give the spans of a request or trace id recorded on this host."""
+        """Return the spans of a request or trace id on this host."""
 
     def metrics(self) -> str:
-        """Write the metrics as Prometheus text."""
+        """Return the metrics as Prometheus text."""
--- a/libs/daemon/geraniumweir/daemon/operatorjson.py
+++ b/libs/daemon/geraniumweir/daemon/operatorjson.py
@@ -1,6 +1,6 @@
-"""JSON bodies of the operators' HTTP face, read into typed values.
+"""Converts the operators' JSON bodies to typed values and rows to JSON.
 
-A field that is missing, unknown or of the wrong type is refused by name.
+The error for a missing, unknown or wrongly typed field names the field.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 def change(body: bytes) -> operations.Change:
     """Read a change of the configuration.
 
-    :raises operations.MalformedError: naming the field at fault.
+    :raises operations.MalformedError: naming the invalid field.
     """
     fields = _Fields(body, ('base', 'change_id', 'document'))
     return operations.Change(
@@ -31,7 +31,7 @@
 def order(body: bytes) -> operations.Order:
     """Read an order to a backend server.
 
-    :raises operations.MalformedError: naming the field at fault.
+    :raises operations.MalformedError: naming the invalid field.
 
     >>> order(b'{"server": "a", "order": "set_role", "role": "x"}').subject
     'x'
@@ -53,7 +53,7 @@
 def recorder(body: bytes) -> tuple[ids.HostId, ids.Address]:
     """Read a recorder to add.
 
-    :raises operations.MalformedError: naming the field at fault.
+    :raises operations.MalformedError: naming the invalid field.
     """
     fields = _Fields(body, ('host_id', 'address'))
     try:
@@ -64,14 +64,14 @@
 
 
 def drain(body: bytes) -> bool:
-    """Read whether to drain or to end a drain; an empty body drains."""
+    """Return whether to drain or to end a drain; an empty body drains."""
     return _Fields(body or b'{}', ('drain',)).flag('drain', True)
 
 
 def read_json(body: bytes) -> typing.Any:
-    """Read JSON of any kind.
+    """Return the value of any JSON text.
 
-    :raises operations.MalformedError: when it is none.
+    :raises operations.MalformedError: when it is not JSON.
     """
     try:
         return json.loads(body)
@@ -80,7 +80,7 @@
 
 
 def plain(row: typing.Any) -> typing.Any:
-    """Turn a typed value into what JSON can hold.
+    """Convert a typed value to one that JSON can represent.
 
     >>> plain(operations.OrderResult(ids.ServerId('a'), 7))
     {'server_id': 'a', 'fencing': 7}
@@ -136,14 +136,16 @@
         if is_integer and found >= 0:
             return int(found)
         raise operations.MalformedError(
-            f'{key}: {found!r} is not a whole number from 0 up',
+            f'{key}: {found!r} is not an integer from 0 up',
         )
 
     def flag(self, key: str, default: bool) -> bool:
         found = self._get(key, default)
         if isinstance(found, bool):
             return found
-        raise operations.MalformedError(f'{key}: {found!r} is no true or false')
+        raise operations.MalformedError(
+            f'{key}: {found!r} is not true or false'
+        )
 
     def choice(
         self,
@@ -156,7 +158,7 @@
         except ValueError:
             accepted = ', '.join(kind.value for kind in kinds)
         raise operations.MalformedError(
-            f'{key}: {found!r} is none of {accepted}',
+            f'{key}: {found!r} is not one of {accepted}',
         )
 
     def _get(self, key: str, default: typing.Any) -> typing.Any:
--- a/libs/daemon/geraniumweir/daemon/operators.py
+++ b/libs/daemon/geraniumweir/daemon/operators.py
@@ -1,8 +1,8 @@
-"""The operators' HTTP face, over :class:`operations.Operations`.
+"""HTTP application for operators, over :class:`operations.Operations`.
 
-Every answer is JSON but for ``/metrics``. An error is ``{"error": {"code",
-"message", "ran"}}``; a conflict adds ``version``, the one in force, and a bad
-document adds ``faults``, each with its place.
+Every response but that of ``/metrics`` is JSON. An error is ``{"error":
+{"code", "message", "ran"}}``; a conflict adds ``version``, the one in force,
+and an invalid document adds ``faults``, each with its position.
 """
 
 import dataclasses
@@ -38,9 +38,9 @@
 
 
 def make_app(ops: operations.Operations) -> web.Application:
-    """Build the operators' application.
+    """Return the HTTP application for operators.
 
-    :param ops: what it stands on.
+    :param ops: the operations of the host.
     """
     app = web.Application(
         client_max_size=_MAX_BODY_BYTES,
@@ -77,7 +77,7 @@
 
 
 class _ConfigHandlers:
-    """Handlers of the configuration."""
+    """HTTP handlers for the configuration."""
 
     def __init__(self, ops: operations.Operations) -> None:
         self._ops = ops
@@ -155,7 +155,7 @@
 
 
 class _SystemHandlers:
-    """Handlers of hosts, backend servers, pools and recorders."""
+    """HTTP handlers for hosts, backend servers, pools and recorders."""
 
     def __init__(self, ops: operations.Operations) -> None:
         self._ops = ops
@@ -209,7 +209,7 @@
 
 
 class _ErrorMiddleware:
-    """Turns every error into the JSON of a refusal."""
+    """Middleware that converts every error to a JSON response."""
 
     def __init__(self, ops: operations.Operations) -> None:
         self._ops = ops
@@ -235,7 +235,12 @@
 def _fault(req: web.Request, exc: Exception) -> web.Response:
     logs.log(logevents.OPERATOR_FAILED, path=req.path, reason=repr(exc))
     status = http.HTTPStatus.INTERNAL_SERVER_ERROR
-    return _error(status, 'GW-1407', 'a fault of this host', ids.Ran.unknown)
+    return _error(
+        status,
+        'GW-1407',
+        'internal error of this host; see its log',
+        ids.Ran.unknown,
+    )
 
 
 async def _refuse(
@@ -292,6 +297,6 @@
         return None
     if not text.isascii() or not text.isdigit():
         raise operations.MalformedError(
-            f'{key}: {text!r} is not a whole number from 0 up',
+            f'{key}: {text!r} is not an integer from 0 up',
         )
     return ids.Version(int(text))
--- a/libs/daemon/geraniumweir/daemon/overrides.py
+++ b/libs/daemon/geraniumweir/daemon/overrides.py
@@ -1,8 +1,8 @@
-"""Edits what a document says of one backend server, leaving the rest as is.
+"""Edits the override of one backend server in a configuration document.
 
-The document is the operators' own text, with their comments and order, so a
-drain changes only the lines it must. The result is read again and compared:
-an edit that would say anything else is refused.
+The document is the operators' own text with their comments and order, so a
+drain changes only the lines that it must. The result is parsed again and
+compared; an edit that would change anything else is refused.
 """
 
 import dataclasses
@@ -20,11 +20,12 @@
 
 
 def with_drain(text: str, server_id: ids.ServerId, drain: bool) -> str:
-    """Write a document that drains a backend server, or ends its drain.
+    """Return a document that drains a backend server, or ends its drain.
 
     :param text: the document in force, TOML.
-    :raises operations.NotNowError: when the text is written in a way that
-        can't be edited safely.
+    :param drain: whether the server is to be drained.
+    :raises operations.NotNowError: when the text can't be edited without
+        changing its other content.
 
     >>> print(with_drain('', ids.ServerId('advisor-3'), drain=True))
     [[server]]
--- a/libs/daemon/geraniumweir/daemon/ports.py
+++ b/libs/daemon/geraniumweir/daemon/ports.py
@@ -1,6 +1,6 @@
-"""What the path of a call needs of the rest, as narrow protocols.
+"""Protocols that the request path uses for tracing.
 
-The entry host composes real parts behind them; tests put small ones there.
+The entry host provides the real implementation, tests a small one.
 """
 
 import contextlib
@@ -11,17 +11,17 @@
 
 
 class Tracer(typing.Protocol):
-    """Takes the spans of calls."""
+    """Protocol for recording the spans of requests."""
 
     def begin(
         self,
         request_id: ids.RequestId,
         traceparent: str | None,
     ) -> str | None:
-        """Open a call's trace.
+        """Begin the trace of a request.
 
-        :param traceparent: as the caller sent it.
-        :returns: the ``traceparent`` to send on, or None for the caller's.
+        :param traceparent: the caller's ``traceparent``, or None.
+        :returns: the ``traceparent`` to forward, or None for the caller's.
         """
 
     def span(
@@ -29,30 +29,30 @@
         request_id: ids.RequestId,
         hop: traces.Hop,
     ) -> contextlib.AbstractContextManager[typing.Any]:
-        """Time a part of a call's path."""
+        """Record a hop of a request as a span around the block."""
 
     def mark(
         self, request_id: ids.RequestId, hop: traces.Hop, note: str
     ) -> None:
-        """Note a moment of a call's path."""
+        """Record an event of a request."""
 
 
 class NoTracer:
-    """A tracer that keeps nothing."""
+    """A tracer that records nothing."""
 
     def begin(
         self,
         _request_id: ids.RequestId,
         _traceparent: str | None,
     ) -> str | None:
-        """Leave the caller's ``traceparent`` as it is."""
+        """Return None: the caller's ``traceparent`` is forwarded."""
 
     def span(
         self,
         _request_id: ids.RequestId,
         _hop: traces.Hop,
     ) -> contextlib.AbstractContextManager[typing.Any]:
-        """Time nothing."""
+        """Record nothing."""
         return contextlib.nullcontext()
 
     def mark(
@@ -61,4 +61,4 @@
         _hop: traces.Hop,
         _note: str,
     ) -> None:
-        """Note nothing."""
+        """Record nothing."""
--- a/libs/daemon/geraniumweir/daemon/publishing.py
+++ b/libs/daemon/geraniumweir/daemon/publishing.py
@@ -1,4 +1,4 @@
-"""What the pools led here tell other hosts: summaries and suspects' cases."""
+"""Publishes summaries and suspects' cases of the pools led by this host."""
 
 import typing
 
@@ -17,7 +17,7 @@
 
 
 class Publisher:
-    """Publishes for the pools that one host leads."""
+    """Publisher for the pools that one host leads."""
 
     def __init__(
         self,
@@ -26,9 +26,10 @@
         clock: timers.TimerService,
         received: suspects.Suspects,
     ) -> None:
-        """Publish every half second from now on.
+        """Initialize and publish every half second.
 
-        :param received: takes all cases, for pools that this host leads later.
+        :param received: collects all cases, for pools that this host leads
+            later.
         """
         self._received = received
         self._members = members
@@ -42,7 +43,7 @@
         )
 
     def close(self) -> None:
-        """Publish no more."""
+        """Stop publishing."""
         for subscription in self._subscriptions:
             subscription.dispose()
 
@@ -70,7 +71,7 @@
         self._publish_new_cases(leader.suspects)
 
     def _publish_new_cases(self, known: suspects.Suspects) -> None:
-        """Tell all hosts of the cases that are new or graver."""
+        """Send all hosts the cases that are new or more severe."""
         cases = known.export(self._clock.now())
         new = [case for case in cases if _key(case) not in self._published_keys]
         if new:
@@ -81,7 +82,7 @@
         try:
             self._members.spread(case_encoding.write(cases), seconds)
         except member_errors.NoticeError as exc:
-            # They stay new, and are tried again.
+            # The cases stay unpublished and are sent again at the next tick.
             eventlog.emit(logevents.CASES_NOT_PUBLISHED, reason=exc.message)
         else:
             self._merge(cases)
@@ -95,7 +96,7 @@
             self._merge(cases)
 
     def _merge(self, cases: typing.Sequence[suspects.Case]) -> None:
-        """Let all pools led here, now or later, know of cases."""
+        """Merge cases into all pools led here and keep them for later ones."""
         now = self._clock.now()
         self._published_keys.update(map(_key, cases))
         self._received.merge(cases, now)
--- a/libs/daemon/geraniumweir/daemon/recorderrows.py
+++ b/libs/daemon/geraniumweir/daemon/recorderrows.py
@@ -1,4 +1,4 @@
-"""The recorders as operators see them."""
+"""Rows that show the recorders to operators."""
 
 import asyncio
 import typing
@@ -15,11 +15,12 @@
     log: client.LogClient,
     known: typing.Sequence[ids.HostId],
 ) -> list[operations.RecorderRow]:
-    """List the recorders, as their leader sees them.
+    """Return the recorders, as their leader sees them.
 
-    Where no leader answers, the view of any recorder that does.
+    Where the leader doesn't answer, the view of the recorder with the highest
+    term is returned.
 
-    :param known: hosts to ask first.
+    :param known: ids of the recorders to query.
     :raises operations.NoMajorityError: when none answers.
     """
     replies = await asyncio.gather(
@@ -27,8 +28,10 @@
     )
     answers = [answer for answer in replies if answer is not None]
     if not answers:
-        raise operations.NoMajorityError('no recorder answers', ids.Ran.no)
-    # The leader's own view first, then the newest.
+        raise operations.NoMajorityError(
+            'no recorder answered within 1 s', ids.Ran.no
+        )
+    # Prefer the leader's own view, then the highest term.
     found = max(answers, key=lambda one: (one.role == 'leader', one.term))
     return [_row(found, one) for one in found.recorders]
 
--- a/libs/daemon/geraniumweir/daemon/refusals.py
+++ b/libs/daemon/geraniumweir/daemon/refusals.py
@@ -1,6 +1,6 @@
-"""Turns what went wrong into the refusal a caller gets.
+"""Builds the refusals that callers get.
 
-The codes, statuses and words are those of :mod:`geraniumweir.daemon.catalogue`.
+Code, status and kind come from :mod:`geraniumweir.daemon.catalogue`.
 """
 
 import dataclasses
@@ -19,7 +19,7 @@
     {
         requests.DenialReason.shed: (
             catalogue.SHED,
-            'no capacity for this tier',
+            'no capacity for the tier of this request',
         ),
         requests.DenialReason.too_late: (
             catalogue.TOO_LATE,
@@ -43,7 +43,7 @@
         ),
         requests.DenialReason.not_leader: (
             catalogue.NO_LEADER,
-            'the pool has no leader just now',
+            'the pool has no leader at the moment',
         ),
         requests.DenialReason.withdrawn: (
             catalogue.WITHDRAWN,
@@ -56,22 +56,23 @@
         claiming.Claim.done: (
             catalogue.REPEAT_DONE,
             ids.Ran.yes,
-            'the first call of this Idempotency-Key ran and ended',
+            'the first request with this Idempotency-Key has completed',
         ),
         claiming.Claim.running: (
             catalogue.REPEAT_RUNNING,
             ids.Ran.unknown,
-            'the first call of this Idempotency-Key is still on its way',
+            'the first request with this Idempotency-Key is still running',
         ),
         claiming.Claim.unknown: (
             catalogue.REPEAT_UNKNOWN,
             ids.Ran.unknown,
-            'nobody knows how the first call of this Idempotency-Key ended',
+            'the outcome of the first request with this Idempotency-Key is '
+            'unknown',
         ),
         claiming.Claim.mismatch: (
             catalogue.KEY_REUSED,
             ids.Ran.no,
-            'this Idempotency-Key belongs to a call with another content',
+            'this Idempotency-Key was used for a request with other content',
         ),
     }
 )
@@ -83,10 +84,11 @@
     ran: ids.Ran = ids.Ran.no,
     retry_after_ms: int | None = None,
 ) -> errors.Refused:
-    """Make a refusal of the catalogue.
+    """Build a refusal of the catalogue.
 
-    :param message: a sentence for people.
-    :param retry_after_ms: when to come back, None where that can't help.
+    :param message: human-readable reason.
+    :param retry_after_ms: time after which a retry may succeed, None where a
+        retry can't help.
 
     >>> refuse(catalogue.DRAINING, 'leaving').refusal.code
     'GW-1105'
@@ -104,21 +106,21 @@
 
 
 def bad_request(message: str) -> errors.Refused:
-    """Refuse a call that can't be read."""
+    """Refuse a malformed request."""
     return refuse(catalogue.BAD_REQUEST, message)
 
 
 def unknown_key() -> errors.Refused:
-    """Refuse a call with a key of nobody we know."""
+    """Refuse a request with an unknown key."""
     return refuse(catalogue.UNKNOWN_CUSTOMER, 'no customer has this key')
 
 
 def unknown_customer(name: str) -> errors.Refused:
-    """Refuse a call of nobody we know.
+    """Refuse a request of an unknown customer.
 
-    Whether a customer of the name has a key isn't told.
+    The message doesn't disclose whether a customer of this name has a key.
 
-    :param name: empty where the call gives none.
+    :param name: name in the request, empty where it gives none.
     """
     message = f'there is no customer {name!r} without a key'
     if not name:
@@ -130,48 +132,48 @@
 
 
 def by_rule(status: int, rule: ids.RuleName, reason: str) -> errors.Refused:
-    """Refuse a call because a rule says so, with the rule's status."""
+    """Refuse a request by a rule, with the rule's status and reason."""
     entry = dataclasses.replace(catalogue.BY_RULE, status=status)
     return refuse(entry, f'{rule}: {reason}')
 
 
 def draining() -> errors.Refused:
-    """Refuse a call because this host is leaving."""
+    """Refuse a request because this host is draining."""
     return refuse(
         catalogue.DRAINING,
-        'this host is leaving; another one answers',
+        'this host is draining; send the request to another one',
         retry_after_ms=_RETRY_NOW_MS,
     )
 
 
 def denied(denial: requests.Denial) -> errors.Refused:
-    """Refuse a call that a pool leader denied."""
+    """Refuse a request whose slot request was denied."""
     entry, message = _DENIALS[denial.reason]
     retry = denial.retry_after_ms or _RETRY_MS
     return refuse(entry, message, retry_after_ms=retry)
 
 
 def repeated(claim: claiming.Claim) -> errors.Refused:
-    """Refuse a call whose claim was not granted."""
+    """Refuse a repeat, whose claim was not granted."""
     entry, ran, message = _REPEATS[claim]
     retry = _RETRY_MS if claim is claiming.Claim.running else None
     return refuse(entry, message, ran, retry)
 
 
 def no_claim(message: str) -> errors.Refused:
-    """Refuse a call that can't be claimed now."""
+    """Refuse a request that can't be claimed now."""
     return refuse(catalogue.NO_CLAIM, message, retry_after_ms=_RETRY_MS)
 
 
 def broken(exc: backend_errors.AnswerError) -> errors.Refused:
-    """Refuse a call whose backend server gave no whole answer."""
+    """Refuse a request that got no complete response from its server."""
     entry = catalogue.BACKEND[exc.code]
     retry = _RETRY_MS if exc.ran is ids.Ran.no else None
     return refuse(entry, exc.message, exc.ran, retry)
 
 
 def stopped(stop: inflight.StopReason, ran: ids.Ran) -> errors.Refused:
-    """Refuse a call that was ended from this side."""
+    """Refuse a request that this host stopped."""
     match stop:
         case inflight.StopReason.preempted:
             message = 'cancelled to make room for a higher tier'
--- a/libs/daemon/geraniumweir/daemon/reports.py
+++ b/libs/daemon/geraniumweir/daemon/reports.py
@@ -1,9 +1,10 @@
-"""What backend servers report: their load and their cache's events.
+"""Reads the reports of backend servers: load and cache events.
 
-Reports come late, repeated, out of order and with gaps; all of it is handed
-on as it is, with its age. A server's clock is not ours: of all reports of one
-incarnation the one that came soonest after its measuring counts as fresh, and
-the age of the others is told against it.
+Reports arrive late, repeated, out of order and with gaps; they are forwarded
+as they are, with their age. A server's clock differs from this host's by an
+unknown offset. So of all reports of one incarnation, the one with the smallest
+difference between arrival and measurement counts as age 0, and the age of the
+others is relative to it.
 """
 
 import typing
@@ -17,7 +18,7 @@
 
 
 class ClockOffsets:
-    """How far the clocks of servers are from ours, at least.
+    """Smallest difference seen between this host's and each server's clock.
 
     >>> offsets = ClockOffsets()
     >>> server = ids.ServerId('a')
@@ -28,7 +29,7 @@
     """
 
     def __init__(self) -> None:
-        """Start knowing none."""
+        """Initialize without offsets."""
         self._min_offsets: dict[ids.ServerId, float] = {}
 
     def age(
@@ -37,10 +38,10 @@
         measured_at: float,
         now: float,
     ) -> float:
-        """Tell how old a measurement is.
+        """Return the age of a measurement in seconds, at most one hour.
 
-        :param measured_at: on the server's clock, in seconds.
-        :param now: on ours, in seconds.
+        :param measured_at: time on the server's clock, in seconds.
+        :param now: time of arrival on this host's clock, in seconds.
         """
         offset = now - measured_at
         min_offset = min(self._min_offsets.get(server_id, offset), offset)
@@ -48,7 +49,7 @@
         return min(offset - min_offset, _MAX_AGE_SECONDS)
 
     def discard(self, server_id: ids.ServerId) -> None:
-        """Drop what is known of a server that started anew."""
+        """Discard the offset of a server that restarted."""
         self._min_offsets.pop(server_id, None)
 
 
@@ -57,7 +58,7 @@
     offsets: ClockOffsets,
     now: float,
 ) -> requests.LoadReport | None:
-    """Read the load out of a report.
+    """Return the load in a report.
 
     :param now: time of arrival, in seconds.
     :returns: None where the report has no load.
@@ -76,11 +77,11 @@
             offsets.age(server_id, measured_at, now),
         )
     except (KeyError, TypeError) as exc:
-        raise ValueError(f'no load: {exc!r}') from exc
+        raise ValueError(f'invalid load report: {exc!r}') from exc
 
 
 def read_cache_events(payload: Payload) -> requests.CacheEvents | None:
-    """Read the cache's events out of a report.
+    """Return the cache events in a report.
 
     :returns: None where the report has none.
     :raises ValueError: when a field is missing or wrong.
@@ -96,7 +97,7 @@
             _hashes(payload, 'evicted'),
         )
     except (KeyError, TypeError) as exc:
-        raise ValueError(f'no cache events: {exc!r}') from exc
+        raise ValueError(f'invalid cache events: {exc!r}') from exc
 
 
 def _hashes(payload: Payload, key: str) -> tuple[ids.BlockHash, ...]:
--- a/libs/daemon/geraniumweir/daemon/rows.py
+++ b/libs/daemon/geraniumweir/daemon/rows.py
@@ -1,4 +1,4 @@
-"""Turns what an entry host knows into the rows that operators see."""
+"""Builds the rows that operators see from an entry host's state."""
 
 import dataclasses
 
@@ -10,14 +10,14 @@
 
 
 def host_state(*, draining: bool) -> operations.HostState:
-    """Name how a host that answers stands."""
+    """Return the state of a host that answers."""
     if draining:
         return operations.HostState.draining
     return operations.HostState.live
 
 
 def host_row(host: entry_host.EntryHost) -> operations.HostRow:
-    """Describe a host that stands alone."""
+    """Return the row of a standalone host."""
     cfg = host.cfg
     return operations.HostRow(
         cfg.host_id,
@@ -32,9 +32,9 @@
 
 
 def status(host: entry_host.EntryHost, started_at: float) -> operations.Status:
-    """Tell how a host that stands alone stands.
+    """Return the state of a standalone host.
 
-    :param started_at: on the timer service's clock, in seconds.
+    :param started_at: start time on the timer service's clock, in seconds.
     """
     cfg = host.cfg
     return operations.Status(
@@ -56,9 +56,9 @@
 class LogView:
     """The replicated log as one host sees it.
 
-    :ivar leader: the recorder that leads, or None where unknown.
+    :ivar leader: the recorder that leads the log, or None where unknown.
     :ivar majority: whether a majority of the recorders answers.
-    :ivar index: newest entry applied here.
+    :ivar index: index of the newest entry applied here.
     """
 
     leader: ids.HostId | None
@@ -71,9 +71,9 @@
     started_at: float,
     log: LogView,
 ) -> operations.Status:
-    """Tell how a host that works together with others stands.
+    """Return the state of a host that cooperates with others.
 
-    :param started_at: on the timer service's clock, in seconds.
+    :param started_at: start time on the timer service's clock, in seconds.
     """
     return dataclasses.replace(
         status(host, started_at),
@@ -89,7 +89,7 @@
     server: servers.Announcement,
     running: int | None = None,
 ) -> operations.ServerRow:
-    """Describe a backend server.
+    """Return the row of a backend server.
 
     :param running: open grants, where this host leads the server's pool.
     """
@@ -110,7 +110,7 @@
     host: entry_host.EntryHost,
     pool: document.Pool,
 ) -> operations.PoolRow:
-    """Describe a pool in this host's failure domain."""
+    """Return the row of a pool in this host's failure domain."""
     row = pool_row(host, pool)
     found = host.led(pool.name)
     if found is None:
@@ -128,7 +128,7 @@
     pool: document.Pool,
     summary: poolsummaries.PoolSummary,
 ) -> operations.PoolRow:
-    """Describe a pool in another failure domain, by the last word of it."""
+    """Return the row of a pool in another failure domain, by its summary."""
     return operations.PoolRow(
         pool=pool.name,
         kind=pool.kind,
@@ -143,7 +143,7 @@
     host: entry_host.EntryHost,
     pool: document.Pool,
 ) -> operations.PoolRow:
-    """Describe a pool that this host leads, as one that stands alone does."""
+    """Return the row of a pool that this host leads."""
     cfg = host.cfg
     return operations.PoolRow(
         pool=pool.name,
@@ -158,7 +158,10 @@
     server: servers.Announcement,
     override: document.ServerOverride,
 ) -> str:
-    """Name how a backend server stands, the operators' word first."""
+    """Return the state of a backend server.
+
+    The operators' override has precedence over the announced state.
+    """
     if override.forbid:
         return 'forbidden'
     if override.drain:
--- a/libs/daemon/geraniumweir/daemon/settings.py
+++ b/libs/daemon/geraniumweir/daemon/settings.py
@@ -1,8 +1,8 @@
 """Settings of an entry host, each a flag and an environment variable.
 
-``--host-id`` is ``GERANIUMWEIR_HOST_ID`` and so on; a flag goes before the
-variable. A setting at fault ends the start with status 2 and one line that
-names it, its value and what is accepted.
+``--host-id`` is ``GERANIUMWEIR_HOST_ID`` and so on; a flag overrides the
+variable. An invalid setting ends the process with status 2 and one line that
+names the setting, its value and what is accepted.
 """
 
 import argparse
@@ -19,7 +19,7 @@
 EXIT_BAD_SETTING = 2
 _DEFAULT_DRAIN_SECONDS = 30.0
 _MS = 1000
-# geraniumctl reads these, perhaps in the same environment.
+# geraniumctl reads these and may run in the same environment.
 _TOOL_VARIABLES = frozenset((f'{ENV_PREFIX}OUTPUT', f'{ENV_PREFIX}TIMEOUT'))
 _ADDRESSES = (
     ('caller', 'callers'),
@@ -32,19 +32,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """What one entry host is told at its start.
+    """Settings of one entry host.
 
-    :ivar data_folder: where state is kept, or None on a host without a disk.
-    :ivar drain_timeout: longest wait for calls in flight, in seconds.
-    :ivar peer_address: where other entry hosts reach this one, or None where
-        it stands alone.
-    :ivar peers: addresses of some other entry hosts, to start from.
+    :ivar data_folder: folder for stored state, or None without a disk.
+    :ivar drain_timeout: longest wait for requests in flight, in seconds.
+    :ivar peer_address: address for other entry hosts, or None on a
+        standalone host.
+    :ivar peers: addresses of some other entry hosts, contacted at the start.
     :ivar recorders: the first recorders, by id.
-    :ivar test_links: whether operators may cut links to other hosts, which
-        only tests of partitions want.
-    :ivar trace_file: where spans are appended, or None.
-    :ivar trace_sample: share of calls traced, 0 to 1.
-    :ivar test_link_delay: added to each message to another host, in seconds;
+    :ivar test_links: whether operators may cut links to other hosts; only
+        for tests of partitions.
+    :ivar trace_file: file that spans are appended to, or None.
+    :ivar trace_sample: share of requests traced, 0 to 1.
+    :ivar test_link_delay: delay of each message to another host, in seconds;
         for tests only.
     """
 
@@ -112,7 +112,7 @@
     variables: typing.Iterable[str],
     opts: argparse.Namespace,
 ) -> list[str]:
-    """List variables that look like settings and are none."""
+    """Return variables with the prefix of settings that are none."""
     known = {f'{ENV_PREFIX}{name.upper()}' for name in opts.__dict__}
     known |= _TOOL_VARIABLES
     return sorted(
@@ -123,7 +123,7 @@
 
 
 class _OneLineParser(configargparse.ArgumentParser):
-    """Ends with one line that names the setting at fault."""
+    """Argument parser whose errors are one line that names the setting."""
 
     def error(self, message: str) -> typing.NoReturn:
         line = ' '.join(message.split())
@@ -152,7 +152,7 @@
         type=_checked(settingvalues.seconds),
         default=_DEFAULT_DRAIN_SECONDS,
         metavar='SECONDS',
-        help='longest wait for calls in flight at the end',
+        help='longest wait for requests in flight at shutdown',
     )
     return parser
 
@@ -180,7 +180,7 @@
         '--peer-address',
         type=_checked(ids.parse_address),
         metavar='IP:PORT',
-        help='where other entry hosts reach this one; absent: it stands alone',
+        help='address for other entry hosts; without it the host is standalone',
     )
     parser.add_argument(
         '--peers',
@@ -200,7 +200,7 @@
         '--data-folder',
         type=_checked(settingvalues.path),
         metavar='PATH',
-        help='absent on a host without a disk',
+        help='folder for stored state; without it nothing is stored',
     )
     parser.add_argument(
         '--test-links',
@@ -215,7 +215,7 @@
         type=_checked(settingvalues.milliseconds),
         default=0,
         metavar='MS',
-        help='for tests only: holds back each message to another host',
+        help='for tests only: delays each message to another host',
     )
 
 
@@ -226,19 +226,19 @@
         '--trace-file',
         type=_checked(settingvalues.path),
         metavar='PATH',
-        help='where spans are appended; absent: none are recorded',
+        help='file that spans are appended to; without it none are recorded',
     )
     parser.add_argument(
         '--trace-sample',
         type=_checked(settingvalues.share),
         default=1,
         metavar='SHARE',
-        help='share of calls traced, 0 to 1, where the caller does not say',
+        help='share of requests traced, 0 to 1, unless the caller decides',
     )
 
 
 def _faults(cfg: Settings) -> typing.Iterator[str]:
-    """Find settings that don't go together."""
+    """Yield an error for each contradiction between settings."""
     addresses = (
         cfg.caller_address,
         cfg.backend_address,
@@ -267,7 +267,7 @@
 def _checked(
     read: typing.Callable[[str], settingvalues.Read],
 ) -> typing.Callable[[str], settingvalues.Read]:
-    """Let a reader's own message reach the user."""
+    """Wrap a reader so that argparse shows the reader's own message."""
 
     def wrapper(text: str) -> settingvalues.Read:
         try:
--- a/libs/daemon/geraniumweir/daemon/settingvalues.py
+++ b/libs/daemon/geraniumweir/daemon/settingvalues.py
@@ -1,4 +1,4 @@
-"""Reads the values of settings; each error says what is accepted.
+"""Parsers for the values of settings; each error says what is accepted.
 
 >>> [str(address) for address in addresses('10.0.0.1:7404, 10.0.0.2:7404')]
 ['10.0.0.1:7404', '10.0.0.2:7404']
@@ -18,9 +18,9 @@
 
 
 def name(text: str) -> str:
-    """Read the name of a host, failure domain or region.
+    """Return the name of a host, failure domain or region.
 
-    :raises ValueError: when it is no name.
+    :raises ValueError: when it is not a valid name.
 
     >>> name('gent-hal-a')
     'gent-hal-a'
@@ -34,9 +34,9 @@
 
 
 def seconds(text: str) -> float:
-    """Read a time span.
+    """Return a duration in seconds.
 
-    :raises ValueError: when it is no finite number from 0 up.
+    :raises ValueError: when it is not a finite number from 0 up.
 
     >>> seconds('2.5')
     2.5
@@ -45,9 +45,9 @@
 
 
 def milliseconds(text: str) -> float:
-    """Read a short time span.
+    """Return a duration in milliseconds.
 
-    :raises ValueError: when it is no number from 0 to 1000.
+    :raises ValueError: when it is not a number from 0 to 1000.
 
     >>> milliseconds('0.5')
     0.5
@@ -56,9 +56,9 @@
 
 
 def share(text: str) -> float:
-    """Read a share.
+    """Return a share.
 
-    :raises ValueError: when it is no number from 0 to 1.
+    :raises ValueError: when it is not a number from 0 to 1.
 
     >>> share('0.01')
     0.01
@@ -67,7 +67,7 @@
 
 
 def path(text: str) -> str:
-    """Read the path of a file or folder.
+    """Return the path of a file or folder.
 
     :raises ValueError: when it is empty.
     """
@@ -77,17 +77,17 @@
 
 
 def addresses(text: str) -> tuple[ids.Address, ...]:
-    """Read a list of addresses; an empty text is an empty list.
+    """Return a list of addresses; an empty text is an empty list.
 
-    :raises ValueError: naming the part that is no address.
+    :raises ValueError: naming the part that is not an address.
     """
     return tuple(ids.parse_address(part) for part in _parts(text))
 
 
 def recorders(text: str) -> dict[ids.HostId, ids.Address]:
-    """Read the first recorders.
+    """Return the first recorders.
 
-    :raises ValueError: naming the part at fault.
+    :raises ValueError: naming the invalid part.
 
     >>> list(recorders('entry-1=10.0.0.1:7404'))
     ['entry-1']
@@ -99,7 +99,7 @@
             raise ValueError(f'{part!r} is not ID=IP:PORT')
         host_id = ids.HostId(name(host.strip()))
         if host_id in found:
-            raise ValueError(f'{host_id!r} stands twice in {text!r}')
+            raise ValueError(f'{host_id!r} is listed twice in {text!r}')
         found[host_id] = ids.parse_address(address.strip())
     if found and len(found) not in _RECORDER_COUNTS:
         raise ValueError(f'{text!r} names {len(found)}, not 1, 3, 5 or 7')
@@ -109,16 +109,16 @@
 
 
 def folder_fault(folder: str) -> str | None:
-    """Make a folder where it is missing.
+    """Create a folder where it is missing.
 
     :returns: why it can't be used, or None.
     """
     try:
         pathlib.Path(folder).mkdir(parents=True, exist_ok=True)
     except OSError as exc:
-        return f'{folder!r} is not a folder that can be made: {exc.strerror}'
+        return f'{folder!r} is a folder that can not be created: {exc.strerror}'
     if not os.access(folder, os.R_OK | os.W_OK | os.X_OK):
-        return f'{folder!r} is not a folder that can be written'
+        return f'{folder!r} is not a writable folder'
     return None
 
 
@@ -130,7 +130,7 @@
     try:
         pathlib.Path(file).open('ab').close()
     except OSError as exc:
-        return f'{file!r} is not a file that can be written: {exc.strerror}'
+        return f'{file!r} is not a writable file: {exc.strerror}'
     return None
 
 
--- a/libs/daemon/geraniumweir/daemon/spans.py
+++ b/libs/daemon/geraniumweir/daemon/spans.py
@@ -1,8 +1,7 @@
-"""The spans of calls, for the path of a call to report its hops to.
+"""Records the hops of a request as spans of one trace.
 
-The path names a hop when it passes it; here hops become spans of one tree. A
-grant stands below its queue; the first token and the end stand below the
-dispatch, as the two parts of it.
+The span of a grant is a child of its queue span. The first token and the end
+are children of the dispatch span and divide it into two parts.
 """
 
 import contextlib
@@ -18,10 +17,11 @@
 
 @dataclasses.dataclass(slots=True)
 class _RequestTrace:
-    """The trace of one call in flight.
+    """The trace of a request in flight.
 
     :ivar opened: the newest span of each hop.
-    :ivar part_started_ns: when the running part of the dispatch began.
+    :ivar part_started_ns: start of the current part of the dispatch, in ns
+        since 1970.
     """
 
     trace: traces.Trace
@@ -30,12 +30,12 @@
 
 
 class RequestTracer:
-    """Implements the path's tracer by :mod:`geraniumweir.observe.traces`."""
+    """Tracer of the request path over :mod:`geraniumweir.observe.traces`."""
 
     def __init__(self, tracing: traces.Tracing) -> None:
-        """Start with no call in flight.
+        """Initialize without traces.
 
-        :param tracing: of the host.
+        :param tracing: tracing of the host.
         """
         self._tracing = tracing
         self._request_traces: dict[ids.RequestId, _RequestTrace] = {}
@@ -45,10 +45,10 @@
         request_id: ids.RequestId,
         traceparent: str | None,
     ) -> str | None:
-        """Open a call's trace; the span of the caller's hop must follow.
+        """Begin a request's trace; the span of the caller's hop must follow.
 
-        :param traceparent: as the caller sent it.
-        :returns: the ``traceparent`` to send on, or None for the caller's.
+        :param traceparent: the caller's ``traceparent``, or None.
+        :returns: the ``traceparent`` to forward, or None for the caller's.
         """
         headers = {}
         if traceparent is not None:
@@ -64,7 +64,7 @@
         request_id: ids.RequestId,
         hop: traces.Hop,
     ) -> typing.Iterator[None]:
-        """Time a hop; the caller's hop ends the call's trace."""
+        """Record a hop; the end of the caller's hop ends the trace."""
         request_trace = self._request_traces.get(request_id)
         if request_trace is None:
             yield
@@ -86,9 +86,9 @@
         hop: traces.Hop,
         note: str,
     ) -> None:
-        """Note a moment of a call's path.
+        """Record an event of a request.
 
-        :param note: the backend server, or how the call ended.
+        :param note: the backend server, or the outcome of the request.
         """
         request_trace = self._request_traces.get(request_id)
         if request_trace is None:
--- a/libs/daemon/geraniumweir/daemon/standalone.py
+++ b/libs/daemon/geraniumweir/daemon/standalone.py
@@ -1,7 +1,8 @@
-"""Operations of a host that stands alone, without recorders.
+"""Operators' operations on a standalone host, without recorders.
 
-It keeps its configuration in memory: what it accepts is in force at once and
-is gone with the process. What needs a recorder is refused as unavailable.
+The configuration is kept in memory: an accepted change is in force at once and
+is lost when the process ends. Operations that need a recorder are refused as
+unavailable.
 """
 
 import dataclasses
@@ -17,7 +18,7 @@
 
 
 class _Versions:
-    """The configurations that were accepted since the start."""
+    """The configurations accepted since the start of the process."""
 
     def __init__(self, first: document.InForce) -> None:
         self._by_number = {first.version: first}
@@ -55,16 +56,16 @@
 
 
 class StandaloneOperations:
-    """Implements :class:`operations.Operations` for one host alone."""
+    """Implementation of :class:`operations.Operations` without other hosts."""
 
     def __init__(
         self,
         host: entry_host.EntryHost,
         observed: observing.Observed,
     ) -> None:
-        """Start with what the host has in force.
+        """Initialize with the version that the host has in force.
 
-        :param observed: its metrics and its tracer.
+        :param observed: the host's metrics and tracing.
         """
         self._host = host
         self._observed = observed
@@ -72,7 +73,7 @@
         self._versions = _Versions(host.in_force)
 
     async def config(self, version: ids.Version | None) -> document.InForce:
-        """Give a version that this host still holds."""
+        """Return a version that this host still stores."""
         if version is None:
             return self._host.in_force
         return self._versions.get(version)
@@ -95,34 +96,34 @@
         return accepted
 
     async def history(self) -> list[operations.HistoryRow]:
-        """List the changes since the start."""
+        """Return the changes since the start."""
         return self._versions.rows
 
     async def hosts(self) -> list[operations.HostRow]:
-        """Give this host."""
+        """Return the row of this host."""
         return [rows.host_row(self._host)]
 
     async def servers(self) -> list[operations.ServerRow]:
-        """List the backend servers whose lease holds."""
+        """Return the backend servers whose lease is valid."""
         now = self._host.timers.now()
         live = self._host.registry.live(now)
         return [rows.server_row(self._host, server) for server in live]
 
     async def pools(self) -> list[operations.PoolRow]:
-        """List the pools of the configuration."""
+        """Return the pools of the configuration."""
         doc = self._host.in_force.document
         return [rows.pool_row(self._host, pool) for pool in doc.pools]
 
     async def status(self) -> operations.Status:
-        """Tell how this host stands."""
+        """Return the state of this host."""
         return rows.status(self._host, self._started_at)
 
     async def order(self, order: operations.Order) -> operations.OrderResult:
-        """Refuse: there are no fencing numbers without recorders."""
+        """Refuse, as there are no fencing numbers without recorders."""
         raise _no_recorders()
 
     async def recorders(self) -> list[operations.RecorderRow]:
-        """Give none."""
+        """Return no recorders."""
         return []
 
     async def add_recorder(
@@ -130,27 +131,27 @@
         host_id: ids.HostId,
         address: ids.Address,
     ) -> None:
-        """Refuse."""
+        """Refuse, as there are no recorders."""
         raise _no_recorders()
 
     async def remove_recorder(self, host_id: ids.HostId) -> None:
-        """Refuse."""
+        """Refuse, as there are no recorders."""
         raise _no_recorders()
 
     async def snapshot(self) -> operations.SnapshotResult:
-        """Refuse."""
+        """Refuse, as there are no recorders."""
         raise _no_recorders()
 
     async def trace(self, wanted: str) -> list[tracefile.SpanRecord]:
-        """Read the host's trace file, off the event loop."""
+        """Return spans of the host's trace file."""
         return await self._observed.trace(self._host.cfg.trace_file, wanted)
 
     def metrics(self) -> str:
-        """Write the metrics as Prometheus text."""
+        """Return the metrics as Prometheus text."""
         return self._observed.meter.exposition()
 
 
 def _no_recorders() -> operations.UnavailableError:
     return operations.UnavailableError(
-        'this host stands alone, without recorders',
+        'this host is standalone and has no recorders',
     )
--- a/libs/daemon/geraniumweir/daemon/testlinks.py
+++ b/libs/daemon/geraniumweir/daemon/testlinks.py
@@ -1,8 +1,8 @@
-"""Cuts links to other entry hosts, so that tests can part failure domains.
+"""Cuts links to other entry hosts, for tests of network partitions.
 
-Off unless the daemon was started with ``--test-links``. ``PUT
-/v1/test/links`` with ``{"cut": ["host", ...]}`` loses all frames to and from
-these hosts; the links to all others are whole again.
+Available only with ``--test-links``. ``PUT /v1/test/links`` with ``{"cut":
+["host", ...]}`` drops all frames to and from these hosts; the links to all
+others are restored.
 """
 
 import functools
@@ -16,9 +16,9 @@
 
 
 def add_routes(app: web.Application, layer: tcp.TcpPeers) -> None:
-    """Let operators cut the links of one host.
+    """Add the route that cuts the links of one host.
 
-    :param app: the operators' application.
+    :param app: the HTTP application for operators.
     """
     app.router.add_put(PATH, functools.partial(_cut, layer))
 
--- a/libs/daemon/geraniumweir/daemon/tests/joinedbed.py
+++ b/libs/daemon/geraniumweir/daemon/tests/joinedbed.py
@@ -1,4 +1,4 @@
-"""Entry hosts of one process that work together, without HTTP ports."""
+"""Cooperating entry hosts in one process, without HTTP ports."""
 
 import asyncio
 import contextlib
@@ -16,14 +16,14 @@
 
 
 def free_port() -> int:
-    """Find a free port of loopback."""
+    """Return a free port on loopback."""
     with socket.socket() as sock:
         sock.bind(('127.0.0.1', 0))
         return int(sock.getsockname()[1])
 
 
 class Host:
-    """An entry host of this process, joined but without HTTP faces."""
+    """A cooperating entry host in this process, without HTTP ports."""
 
     def __init__(self, *flags: str, domain: str = 'milano-a') -> None:
         self._flags = flags
@@ -31,7 +31,7 @@
         self.meter = metrics.Metrics()
 
     async def start(self, stack: contextlib.AsyncExitStack) -> None:
-        """Join; the stack ends it."""
+        """Start the host; the stack stops it."""
         cfg = settings.parse(
             (
                 f'--failure-domain={self._domain}',
@@ -58,23 +58,23 @@
         self.client = await stack.enter_async_context(client)
 
     async def ready(self) -> dict[str, object]:
-        """Ask whether it takes calls."""
+        """Return the JSON of ``/readyz``."""
         async with self.client.get('/readyz') as resp:
             assert resp.status == 200
             return dict(await resp.json())
 
     def shown(self) -> set[str]:
-        """Give the lines of its metrics."""
+        """Return the lines of its metrics."""
         return set(self.meter.exposition().splitlines())
 
     async def until(self, line: str) -> None:
-        """Wait for a line of its metrics."""
+        """Wait until its metrics contain a line."""
         async with asyncio.timeout(_TIMEOUT_SECONDS):
             while line not in self.shown():
                 await asyncio.sleep(0.05)
 
     async def until_sure(self, *, sure: bool) -> None:
-        """Wait until it is sure of its version, or isn't."""
+        """Wait until its ``sure`` has a value."""
         async with asyncio.timeout(_TIMEOUT_SECONDS):
             while self.host.sure is not sure:
                 await asyncio.sleep(0.05)
--- a/libs/daemon/geraniumweir/daemon/tests/test_catalogue.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue of errors in the docs is that of the code."""
+"""Tests that the documented errors are those of the code."""
 
 import importlib
 import pathlib
@@ -32,7 +32,7 @@
 
 
 def _import_everything() -> None:
-    """Import every module there is, so that no error class is overlooked."""
+    """Import every module, so that all error classes are defined."""
     for path in _modules():
         parts = path.relative_to(_ROOT).with_suffix('').parts
         parts = parts[parts.index('geraniumweir') :]
@@ -46,7 +46,7 @@
 
 
 def test_refusals_are_documented_as_they_are() -> None:
-    """Code, status and word of each refusal stand in the page."""
+    """Code, status and kind of each refusal are in the page."""
     found = _documented()
     entries = {entry.code: entry for entry in catalogue.ENTRIES}
     assert len(entries) == len(catalogue.ENTRIES)
@@ -57,7 +57,7 @@
 
 
 def test_every_error_has_its_own_documented_code() -> None:
-    """No code stands twice in the code, none is missing in the page."""
+    """No two error classes share a code, and each code is in the page."""
     _import_everything()
     codes: dict[str, str] = {}
     for found in _classes(errors.GeraniumweirError):
@@ -70,7 +70,7 @@
 
 
 def test_page_and_code_name_the_same_codes() -> None:
-    """No code in any module lacks in the page, and none is left over."""
+    """Each code in a module is in the page, and the page has no others."""
     named = {
         code
         for path in _modules()
--- a/libs/daemon/geraniumweir/daemon/tests/test_catalogue_pages.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_catalogue_pages.py
@@ -1,4 +1,4 @@
-"""The pages of events and metrics hold what the code holds."""
+"""Tests that the pages of events and metrics agree with the code."""
 
 import importlib
 import inspect
@@ -45,7 +45,7 @@
 
 
 def test_every_event_is_in_the_page_with_a_meaning() -> None:
-    """Number, level and line are equal, and none is left over."""
+    """Number, level and template agree, and the page has no other rows."""
     page = (_ROOT / 'docs' / 'EVENTS.md').read_text()
     rows = {
         (int(number), level, line): meaning
@@ -60,7 +60,7 @@
 
 
 def test_event_numbers_are_unique_and_of_their_library() -> None:
-    """No number stands for two things."""
+    """No two events share a number, and each is in its library's range."""
     events = _events()
     numbers = [event.number for _, event in events]
     assert len(set(numbers)) == len(numbers)
@@ -73,7 +73,7 @@
 
 
 def test_every_metric_is_in_the_page() -> None:
-    """Name, kind, labels and meaning are equal, and none is left over."""
+    """Name, kind, labels and meaning agree, and the page has no others."""
     page = (_ROOT / 'docs' / 'METRICS.md').read_text()
     in_code = {
         (
@@ -89,7 +89,7 @@
 
 
 def test_only_one_module_writes_to_the_log() -> None:
-    """A logger elsewhere would make lines that the formats can't write."""
+    """Records of another logger would not have the log's formats."""
     loggers = {
         str(path.relative_to(_ROOT))
         for path in _ROOT.glob('libs/*/geraniumweir/**/*.py')
--- a/libs/daemon/geraniumweir/daemon/tests/test_claims.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims in the log answer as those of one host's memory do."""
+"""Tests that claims in the log behave like those in memory."""
 
 import itertools
 import typing
@@ -41,7 +41,7 @@
 @hypothesis.settings(derandomize=True, max_examples=80, deadline=None)
 @hypothesis.given(_STEPS)
 def test_logged_claims_answer_as_local_ones(steps: list[_Step]) -> None:
-    """Two hosts over one log, against one host's memory."""
+    """Two hosts over one log give the answers of one host in memory."""
 
     async def scenario() -> None:
         claimers = _claimers(state.SystemState())
@@ -62,7 +62,7 @@
 
 
 def test_no_majority_is_no_claim() -> None:
-    """Where the log can't be reached nothing is granted."""
+    """An unreachable log must not grant a claim."""
 
     async def never(_command: bytes) -> typing.Any:
         raise TimeoutError
--- a/libs/daemon/geraniumweir/daemon/tests/test_examples.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The example configurations of both deployments load."""
+"""Tests that the example configurations of both deployments load."""
 
 import pathlib
 
--- a/libs/daemon/geraniumweir/daemon/tests/test_gauges.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges and the detail of ``/readyz`` on hosts that work together."""
+"""Tests of gauges and ``/readyz`` on hosts that cooperate."""
 
 import asyncio
 import contextlib
@@ -18,8 +18,8 @@
 """
 
 
-def test_host_that_started_cut_off_says_so() -> None:
-    """Its recorder doesn't answer: it serves, and is unsure."""
+def test_host_that_started_without_majority_reports_unsure() -> None:
+    """Without an answer of its recorder the host serves and is unsure."""
 
     async def scenario() -> None:
         async with contextlib.AsyncExitStack() as stack:
@@ -41,10 +41,10 @@
     asyncio.run(scenario())
 
 
-def test_joined_hosts_tell_of_each_other_and_of_the_log(
+def test_gauges_show_live_hosts_and_the_log(
     tmp_path: pathlib.Path,
 ) -> None:
-    """A recorder that leads, and a host beside it that becomes sure."""
+    """A leading recorder and a second host, which becomes sure."""
 
     async def scenario() -> None:
         peer = f'127.0.0.1:{joinedbed.free_port()}'
@@ -73,14 +73,14 @@
                 assert not (await host.ready())['unsure']
             await first.until('geraniumweir_log_lag{recorder="entry-1"} 0.0')
             await first.until('geraniumweir_log_unapplied 0.0')
-            # A host without a data folder says nothing of a log of its own.
+            # A host without a data folder has no gauges of a log.
             assert not any('_log_' in line for line in second.shown())
 
     asyncio.run(scenario())
 
 
-def test_waiting_and_running_are_told_by_tier_where_the_pool_is_led() -> None:
-    """One slot, so that one runs and one of another tier waits."""
+def test_pool_leader_reports_waiting_and_running_by_tier() -> None:
+    """With one slot, one request runs and one of another tier waits."""
 
     async def scenario() -> None:
         async with contextlib.AsyncExitStack() as stack:
@@ -115,7 +115,7 @@
 
 
 def test_failure_domain_whose_hosts_are_gone_counts_as_none() -> None:
-    """An alarm on the number of hosts has a number to look at."""
+    """The gauge stays as 0, so that an alarm on it can fire."""
 
     async def scenario() -> None:
         first = joinedbed.free_port()
--- a/libs/daemon/geraniumweir/daemon/tests/test_joinedops.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_joinedops.py
@@ -1,4 +1,4 @@
-"""What operators are told by a host that works together with others."""
+"""Tests of operators' operations on hosts that cooperate."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 
 def test_lost_majority_is_named() -> None:
-    """The cause alone doesn't tell an operator what is wrong."""
+    """The message must name the lost majority, not only its cause."""
 
     async def scenario() -> None:
         async with contextlib.AsyncExitStack() as stack:
@@ -39,7 +39,7 @@
 
 
 def test_every_host_names_the_leader_of_every_pool() -> None:
-    """Also of those that another host of the failure domain leads."""
+    """Pools led by another host of the failure domain are included."""
 
     async def scenario() -> None:
         first = joinedbed.free_port()
--- a/libs/daemon/geraniumweir/daemon/tests/test_main.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_main.py
@@ -1,4 +1,4 @@
-"""Starts that must fail with one line."""
+"""Tests that a failed start prints one line."""
 
 import pathlib
 import socket
@@ -23,10 +23,10 @@
     raise AssertionError('the daemon did not exit')
 
 
-def test_busy_port_is_told_with_its_address(
+def test_busy_port_is_reported_with_its_address(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """Status 1 and one line."""
+    """Exit status 1 and one line with the address."""
     with socket.socket() as sock:
         sock.bind(('127.0.0.1', 0))
         sock.listen()
@@ -44,7 +44,7 @@
     capsys: pytest.CaptureFixture[str],
     setting: str,
 ) -> None:
-    """Status 2 before anything listens."""
+    """Exit status 2 before any port is opened."""
     (tmp_path / 'file').touch()
     path = tmp_path / 'file' / 'inside'
     status = _start('--operator-address=127.0.0.1:0', f'--{setting}={path}')
--- a/libs/daemon/geraniumweir/daemon/tests/test_neighbours.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_neighbours.py
@@ -1,4 +1,4 @@
-"""What scheduling hears of other failure domains."""
+"""Tests of the view of pools in other failure domains."""
 
 import types
 
@@ -22,7 +22,7 @@
 
 
 def test_pools_are_known_before_their_summaries_come() -> None:
-    """A domain nobody told of is asked at the host that would lead there."""
+    """Without a summary, the leader is computed from the membership."""
     live = [_host('a1'), _host('a2'), _host('b1'), _host('c1')]
     members = types.SimpleNamespace(
         me=live[0],
--- a/libs/daemon/geraniumweir/daemon/tests/test_operators.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP face over loopback, on a host that stands alone."""
+"""Tests of the operators' HTTP application on a standalone host."""
 
 import asyncio
 import contextlib
@@ -98,7 +98,7 @@
 
 
 def test_of_two_changes_one_wins_and_a_repeat_gets_the_first_answer() -> None:
-    """The other learns the version in force, and nothing changes."""
+    """The second change is rejected with the version in force."""
 
     async def scenario(client: test_utils.TestClient, *_rest: object) -> None:
         path = '/v1/config'
@@ -122,7 +122,7 @@
 
 
 def test_faults_come_with_line_and_place() -> None:
-    """A refused document leaves the one before in force."""
+    """A refused document leaves the previous one in force."""
 
     async def scenario(client: test_utils.TestClient, *_rest: object) -> None:
         bad = _RULES.replace('"lm-advisori" }', '"lost" }')
@@ -137,7 +137,7 @@
 
 
 def test_no_majority_says_whether_it_can_have_been_accepted() -> None:
-    """503 with ``ran``; a fault of ours is a 500 in the same shape."""
+    """503 with ``ran``; an internal error is a 500 in the same format."""
 
     async def scenario(client: test_utils.TestClient, *_rest: object) -> None:
         status, answer = await _send(
@@ -152,8 +152,8 @@
     _run(scenario, kind=_NoMajority)
 
 
-def test_what_can_not_be_read_is_named() -> None:
-    """400 with the field, 404 and 405 in the same shape."""
+def test_malformed_request_names_the_field() -> None:
+    """400 names the field; 404 and 405 have the same format."""
     cases = (
         ('PUT', '/v1/config', {'base': 0, 'document': ''}, 400, 'change_id'),
         ('PUT', '/v1/config', _change(-1, 'a'), 400, 'base'),
@@ -167,7 +167,7 @@
         ('POST', '/v1/recorders', {'host_id': 'a', 'address': 'b'}, 400, 'b'),
         ('GET', '/v1/nothing', None, 404, ''),
         ('DELETE', '/v1/config', None, 405, ''),
-        ('POST', '/v1/snapshot', None, 503, 'stands alone'),
+        ('POST', '/v1/snapshot', None, 503, 'is standalone'),
         ('GET', '/v1/trace/x', None, 503, '--trace-file'),
     )
 
@@ -182,7 +182,7 @@
 
 
 def test_drain_edits_only_its_lines_and_can_be_undone() -> None:
-    """The operators' own text stays, and so does another override."""
+    """The rest of the text and another override stay unchanged."""
 
     async def scenario(client: test_utils.TestClient, *_rest: object) -> None:
         rules = f'{_RULES}\n[[server]]\nid = "a"\nforbid = true # burnt\n'
@@ -202,8 +202,8 @@
     _run(scenario)
 
 
-def test_drain_of_a_server_that_nobody_knows_warns() -> None:
-    """It is accepted, as the server may come; its undoing needs no word."""
+def test_drain_of_an_unknown_server_warns() -> None:
+    """Accepted, as the server may announce itself; undoing has no warning."""
 
     async def scenario(client: test_utils.TestClient, *_rest: object) -> None:
         path = '/v1/servers/advisr-1/drain'
@@ -217,7 +217,7 @@
 
 
 def test_rows_and_metrics_show_the_same_state() -> None:
-    """Servers, pools and gauges agree."""
+    """Servers, pools, status and gauges agree."""
 
     async def scenario(
         client: test_utils.TestClient,
@@ -251,7 +251,7 @@
 
 
 def test_trace_is_found_at_once(tmp_path: pathlib.Path) -> None:
-    """A span that just ended need not wait for the writer's turn."""
+    """Reading flushes a span that has just ended."""
 
     async def scenario(
         client: test_utils.TestClient,
--- a/libs/daemon/geraniumweir/daemon/tests/test_settings.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of settings: each wrong one is named, with what is accepted."""
+"""Tests that an invalid setting is named with what is accepted."""
 
 import pytest
 from geraniumweir.daemon import settings
@@ -22,7 +22,7 @@
 
 
 def test_flag_goes_before_variable() -> None:
-    """A flag on the command line wins over the environment."""
+    """A flag on the command line overrides the environment."""
     cfg = _parse(('--host-id=entry-1', '--region=be-vl'), REGION='nord-ovest')
     assert cfg.region == 'be-vl'
     assert list(cfg.recorders) == ['entry-1']
@@ -79,7 +79,7 @@
     changes: dict[str, str | None],
     flag: str,
 ) -> None:
-    """What one setting needs of another is said."""
+    """The message names the setting that contradicts another one."""
     merged = {**_GOOD, **changes}
     if 'PEERS' in changes:
         merged.pop('PEER_ADDRESS')
@@ -97,7 +97,7 @@
 def test_mistyped_variable_is_named(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    """A host doesn't start without what its operator thinks it has."""
+    """A mistyped variable must not leave a setting silently unset."""
     with pytest.raises(SystemExit) as exited:
         _parse(RECORDER='entry-1=127.0.0.1:7404')
     line = capsys.readouterr().err
@@ -107,5 +107,5 @@
 
 
 def test_variables_of_the_operators_tool_are_no_fault() -> None:
-    """Both programs may run in one environment."""
+    """The daemon and geraniumctl may run in one environment."""
     assert _parse(OUTPUT='json', TIMEOUT='5').host_id == 'entry-1'
