--- a/libs/daemon/geraniumweir/daemon/admission.py
+++ b/libs/daemon/geraniumweir/daemon/admission.py
@@ -102,7 +102,7 @@
         return None
     if not text.isascii() or not text.isdigit() or not int(text[:10]):
         raise refusals.bad_request(
-            f'X-Deadline-Ms {text!r} is not a positive integer of ms',
+            f'X-Deadline-Ms {text!r} is not a whole number of ms from 1 up',
         )
     return min(int(text[:10]), _MAX_DEADLINE_MS) / _MS
 
