--- a/libs/daemon/geraniumweir/daemon/callers.py
+++ b/libs/daemon/geraniumweir/daemon/callers.py
@@ -31,9 +31,11 @@
     """
     handlers = _Handlers(host)
     app = web.Application(client_max_size=MAX_BODY_BYTES)
-    app.router.add_post('/v1/chat/completions', handlers.call)
-    app.router.add_post('/v1/completions', handlers.call)
-    app.router.add_route(_ANY, '/services/{pool}/{path:.*}', handlers.call)
+    app.router.add_post('/v1/chat/completions', handlers.handle_request)
+    app.router.add_post('/v1/completions', handlers.handle_request)
+    app.router.add_route(
+        _ANY, '/services/{pool}/{path:.*}', handlers.handle_request
+    )
     app.router.add_get('/healthz', handlers.healthz)
     app.router.add_get('/readyz', handlers.readyz)
     app.router.add_route(_ANY, '/{path:.*}', handlers.no_such_path)
@@ -71,7 +73,7 @@
         )
         return await _new_exchange(req).refuse(refused.refusal)
 
-    async def call(self, req: web.Request) -> web.StreamResponse:
+    async def handle_request(self, req: web.Request) -> web.StreamResponse:
         http_exchange = _new_exchange(req)
         path = self._host.path
         if self._host.draining:
--- a/libs/daemon/geraniumweir/daemon/host_storage.py
+++ b/libs/daemon/geraniumweir/daemon/host_storage.py
@@ -73,7 +73,7 @@
     return VersionStore(medium)
 
 
-async def start(
+async def start_recorder(
     cfg: settings.Settings,
     peer_layer: peers.Peers,
     stack: contextlib.AsyncExitStack,
--- a/libs/daemon/geraniumweir/daemon/joined.py
+++ b/libs/daemon/geraniumweir/daemon/joined.py
@@ -94,7 +94,7 @@
     peer_layer = channel.Channel(layer)
     stack.push_async_callback(peer_layer.close)
     version_store = host_storage.open_version_store(cfg, stack)
-    recorded = await host_storage.start(cfg, peer_layer, stack)
+    recorded = await host_storage.start_recorder(cfg, peer_layer, stack)
     members = _membership(host, peer_layer, recorded is not None)
     joined = _assemble(
         host,
@@ -103,7 +103,7 @@
         recorded,
         version_store,
     )
-    _wire(joined, stack)
+    _connect_parts(joined, stack)
     await members.start()
     stack.callback(members.stop)
     following_task = asyncio.create_task(joined.follower.run())
@@ -211,7 +211,7 @@
     )
 
 
-def _wire(joined: Joined, stack: contextlib.AsyncExitStack) -> None:
+def _connect_parts(joined: Joined, stack: contextlib.AsyncExitStack) -> None:
     """Connect the parts to each other."""
     host = joined.host
     host.registry = joined.members.registry
--- a/libs/daemon/geraniumweir/daemon/publishing.py
+++ b/libs/daemon/geraniumweir/daemon/publishing.py
@@ -39,7 +39,7 @@
         self._published_keys: set[_CaseKey] = set()
         self._subscriptions = (
             clock.every(_PERIOD_SECONDS).subscribe(lambda _: self._publish()),
-            members.notices.subscribe(self._take_cases),
+            members.notices.subscribe(self._handle_cases),
         )
 
     def close(self) -> None:
@@ -87,7 +87,7 @@
         else:
             self._merge(cases)
 
-    def _take_cases(self, payload: bytes) -> None:
+    def _handle_cases(self, payload: bytes) -> None:
         try:
             cases = case_encoding.read(payload)
         except wire_errors.FrameError as exc:
--- a/libs/daemon/geraniumweir/daemon/standalone.py
+++ b/libs/daemon/geraniumweir/daemon/standalone.py
@@ -40,7 +40,7 @@
             return None
         return dataclasses.replace(first, repeated=True)
 
-    def keep(
+    def store(
         self,
         change_id: ids.ChangeId,
         in_force: document.InForce,
@@ -92,7 +92,7 @@
         self._host.put_in_force(in_force)
         warnings = tuple(str(fault) for fault in checked.warnings)
         accepted = operations.Accepted(version, warnings)
-        self._versions.keep(change.change_id, in_force, accepted)
+        self._versions.store(change.change_id, in_force, accepted)
         return accepted
 
     async def history(self) -> list[operations.HistoryRow]:
--- a/libs/daemon/geraniumweir/daemon/tests/test_claims.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_claims.py
@@ -40,7 +40,7 @@
 
 @hypothesis.settings(derandomize=True, max_examples=80, deadline=None)
 @hypothesis.given(_STEPS)
-def test_logged_claims_answer_as_local_ones(steps: list[_Step]) -> None:
+def test_logged_claims_behave_like_local_claims(steps: list[_Step]) -> None:
     """Two hosts over one log give the answers of one host in memory."""
 
     async def scenario() -> None:
@@ -61,7 +61,7 @@
     virtual.run(scenario())
 
 
-def test_no_majority_is_no_claim() -> None:
+def test_claim_fails_without_a_majority() -> None:
     """An unreachable log must not grant a claim."""
 
     async def never(_command: bytes) -> typing.Any:
--- a/libs/daemon/geraniumweir/daemon/tests/test_gauges.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_gauges.py
@@ -114,7 +114,7 @@
     asyncio.run(scenario())
 
 
-def test_failure_domain_whose_hosts_are_gone_counts_as_none() -> None:
+def test_failure_domain_without_hosts_stays_in_the_gauge() -> None:
     """The gauge stays as 0, so that an alarm on it can fire."""
 
     async def scenario() -> None:
--- a/libs/daemon/geraniumweir/daemon/tests/test_neighbours.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_neighbours.py
@@ -21,7 +21,7 @@
     )
 
 
-def test_pools_are_known_before_their_summaries_come() -> None:
+def test_pool_leader_is_computed_without_a_summary() -> None:
     """Without a summary, the leader is computed from the membership."""
     live = [_host('a1'), _host('a2'), _host('b1'), _host('c1')]
     members = types.SimpleNamespace(
--- a/libs/daemon/geraniumweir/daemon/tests/test_operators.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_operators.py
@@ -97,7 +97,7 @@
     return {'base': base, 'change_id': change_id, 'document': text}
 
 
-def test_of_two_changes_one_wins_and_a_repeat_gets_the_first_answer() -> None:
+def test_second_change_of_a_version_fails_and_a_repeat_succeeds() -> None:
     """The second change is rejected with the version in force."""
 
     async def scenario(client: test_utils.TestClient, *_rest: object) -> None:
@@ -121,7 +121,7 @@
     _run(scenario)
 
 
-def test_faults_come_with_line_and_place() -> None:
+def test_invalid_document_is_rejected_with_line_numbers() -> None:
     """A refused document leaves the previous one in force."""
 
     async def scenario(client: test_utils.TestClient, *_rest: object) -> None:
@@ -250,7 +250,9 @@
     _run(scenario)
 
 
-def test_trace_is_found_at_once(tmp_path: pathlib.Path) -> None:
+def test_ended_span_is_found_before_the_next_flush(
+    tmp_path: pathlib.Path,
+) -> None:
     """Reading flushes a span that has just ended."""
 
     async def scenario(
--- a/libs/daemon/geraniumweir/daemon/tests/test_settings.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_settings.py
@@ -21,7 +21,7 @@
     return settings.parse(argv, env)
 
 
-def test_flag_goes_before_variable() -> None:
+def test_flag_overrides_variable() -> None:
     """A flag on the command line overrides the environment."""
     cfg = _parse(('--host-id=entry-1', '--region=be-vl'), REGION='nord-ovest')
     assert cfg.region == 'be-vl'
@@ -74,7 +74,7 @@
         ({'DATA_FOLDER': None}, '--data-folder'),
     ],
 )
-def test_settings_that_do_not_go_together(
+def test_contradicting_settings_are_named(
     capsys: pytest.CaptureFixture[str],
     changes: dict[str, str | None],
     flag: str,
