--- a/libs/daemon/geraniumweir/daemon/exchange.py
+++ b/libs/daemon/geraniumweir/daemon/exchange.py
@@ -79,8 +79,9 @@
         """Refuse the request.
 
         Before the headers were sent, the refusal is the response. After
-        them, an event stream ends with an error event, and the connection of
-        any other response is aborted.
+        them, an event stream ends with an error event. The connection is
+        aborted where the event can't be sent within 1 s, and for any other
+        response.
         """
         if self.resp is None:
             return self._refusal(refusal)
--- a/libs/daemon/geraniumweir/daemon/joined.py
+++ b/libs/daemon/geraniumweir/daemon/joined.py
@@ -112,7 +112,7 @@
 
 
 async def leave_system(joined: Joined) -> None:
-    """Log the outcomes of open claims, then leave the membership."""
+    """Log the outcomes of open claims, then announce the departure."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(_CLAIM_DRAIN_SECONDS):
             await joined.claimer.drained()
