--- a/libs/daemon/geraniumweir/daemon/announcements.py
+++ b/libs/daemon/geraniumweir/daemon/announcements.py
@@ -1,4 +1,4 @@
-"""The backend servers' HTTP face: announcements and reports."""
+"""HTTP application for backend servers: announcements and reports."""
 
 import http
 import json
@@ -12,19 +12,19 @@
 
 
 def make_app(host: entry_host.EntryHost) -> web.Application:
-    """Build the backend servers' application.
+    """Return the HTTP application for backend servers.
 
-    :param host: the entry host it serves.
+    :param host: the entry host that receives what they send.
     """
-    front = _Front(host)
+    handlers = _Handlers(host)
     app = web.Application()
-    app.router.add_post('/v1/announce', front.announce)
-    app.router.add_post('/v1/reports', front.report)
+    app.router.add_post('/v1/announce', handlers.announce)
+    app.router.add_post('/v1/reports', handlers.report)
     return app
 
 
 def read_announcement(payload: dict[str, typing.Any]) -> servers.Announcement:
-    """Turn the JSON of an announcement into its typed value.
+    """Convert the JSON of an announcement to its typed value.
 
     :raises ValueError: when a field is missing or wrong.
     """
@@ -53,8 +53,8 @@
         raise ValueError(f'a field has the wrong type: {exc}') from exc
 
 
-class _Front:
-    """Handlers of one entry host."""
+class _Handlers:
+    """HTTP handlers for backend servers."""
 
     def __init__(self, host: entry_host.EntryHost) -> None:
         self._host = host
@@ -68,7 +68,7 @@
         except ValueError as exc:
             return _fault(exc)
         if known and known.incarnation != announcement.incarnation:
-            self._offsets.forget(announcement.server_id)
+            self._offsets.discard(announcement.server_id)
         return web.json_response(
             {
                 'next_ms': reply.next_ms,
--- a/libs/daemon/geraniumweir/daemon/exchange.py
+++ b/libs/daemon/geraniumweir/daemon/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's HTTP exchange: what came, and what was answered so far."""
+"""One HTTP exchange with a caller: the request and its response."""
 
 import asyncio
 import contextlib
@@ -11,15 +11,15 @@
 from geraniumweir.common import errors, ids
 
 _SSE = 'text/event-stream'
-_LAST_WORD_SECONDS = 1.0
+_ERROR_EVENT_SECONDS = 1.0
 _MS = 1000
 
 
-class _Answer(web.StreamResponse):
-    """An answer whose head waits for its first bytes, to go out with them.
+class _DelayedHeadResponse(web.StreamResponse):
+    """A response that sends its headers together with its first bytes.
 
-    The first bytes always follow at once, so nothing is held back, and a
-    system call is saved where it counts, before the first token.
+    The first bytes always follow at once, so nothing is delayed, and one
+    system call is saved before the first token.
     """
 
     _send_headers_immediately = False
@@ -27,12 +27,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Exchange:
-    """A caller's request and the answer under way.
+    """A caller's request and its response.
 
     :ivar arrival: time of arrival on the loop's clock, in seconds.
-    :ivar head: headers that every answer carries, as far as they are known.
-    :ivar resp: the answer, once its head has gone out.
-    :ivar gone: whether the caller has gone while the call had to go on.
+    :ivar head: headers of every response, as far as they are known.
+    :ivar resp: the response, once its headers were sent.
+    :ivar caller_gone: whether the caller disconnected from a request that
+        had to go on.
     """
 
     req: web.Request
@@ -42,18 +43,18 @@
     traceparent: str | None = None
     head: dict[str, str] = dataclasses.field(default_factory=dict)
     resp: web.StreamResponse | None = None
-    gone: bool = False
+    caller_gone: bool = False
 
     async def start(
         self,
         status: int,
         headers: multidict.CIMultiDict[str],
     ) -> None:
-        """Send the answer's head.
+        """Send status and headers of the response.
 
-        :raises ConnectionError: when the caller has gone.
+        :raises ConnectionError: when the caller has disconnected.
         """
-        resp = _Answer(status=status, headers=headers)
+        resp = _DelayedHeadResponse(status=status, headers=headers)
         resp.headers.update(self.head)
         resp.headers['X-Ran'] = ids.Ran.yes.value
         await resp.prepare(self.req)
@@ -62,35 +63,37 @@
     async def write(self, chunk: bytes) -> None:
         """Send bytes; waits while the caller is slow.
 
-        :raises ConnectionError: when the caller has gone.
+        :raises ConnectionError: when the caller has disconnected.
         """
         if self.resp is not None:
             await self.resp.write(chunk)
 
     async def end(self) -> web.StreamResponse:
-        """End a whole answer."""
+        """End a complete response."""
         if self.resp is None:
-            raise ConnectionError('the answer was never started')
+            raise ConnectionError('the response was not started')
         await self.resp.write_eof()
         return self.resp
 
     async def refuse(self, refusal: errors.Refusal) -> web.StreamResponse:
-        """Tell the caller that it gets no whole answer.
+        """Refuse the request.
 
-        Before the head has gone out that is a refusal of its own; a stream
-        ends with an error event, and anything else is cut off.
+        Before the headers were sent, the refusal is the response. After
+        them, an event stream ends with an error event. The connection is
+        aborted where the event can't be sent within 1 s, and for any other
+        response.
         """
         if self.resp is None:
             return self._refusal(refusal)
         if self.resp.content_type != _SSE:
-            self._cut()
+            self._abort()
             return self.resp
         with contextlib.suppress(ConnectionError, TimeoutError):
-            async with asyncio.timeout(_LAST_WORD_SECONDS):
+            async with asyncio.timeout(_ERROR_EVENT_SECONDS):
                 await self.resp.write(_error_event(refusal))
                 await self.resp.write_eof()
                 return self.resp
-        self._cut()
+        self._abort()
         return self.resp
 
     def _refusal(self, refusal: errors.Refusal) -> web.Response:
@@ -102,7 +105,7 @@
             resp.headers['Retry-After'] = str(seconds)
         return resp
 
-    def _cut(self) -> None:
+    def _abort(self) -> None:
         transport = self.req.transport
         if transport is not None:
             transport.abort()
@@ -112,8 +115,8 @@
     return f'event: error\ndata: {json.dumps(refusal.as_json())}\n\n'.encode()
 
 
-def new_head(request_id: ids.RequestId) -> dict[str, str]:
-    """Give the headers that are known at once."""
+def initial_headers(request_id: ids.RequestId) -> dict[str, str]:
+    """Return the response headers known on arrival."""
     return {'X-Request-Id': request_id}
 
 
@@ -122,6 +125,6 @@
     pool: ids.PoolName,
     tier: ids.Tier,
 ) -> None:
-    """Add the headers that are known once a rule has decided."""
+    """Add the response headers known once a rule has matched."""
     head['X-Pool'] = pool
     head['X-Tier'] = str(int(tier))
--- a/libs/daemon/geraniumweir/daemon/gauges.py
+++ b/libs/daemon/geraniumweir/daemon/gauges.py
@@ -1,4 +1,4 @@
-"""Reads an entry host's state for its gauges, when metrics are asked for."""
+"""Registers an entry host's gauges, which are read when metrics are."""
 
 import collections
 import operator
@@ -20,12 +20,12 @@
     host: entry_host.EntryHost,
     tracing: traces.Tracing,
 ) -> None:
-    """Say how the gauges of a host are read.
+    """Register the gauges of a host.
 
-    :param meter: of the host.
+    :param meter: metrics of the host.
     """
     meter.gauge(metricnames.CONFIG_VERSION, lambda: host.in_force.version)
-    # A host that stands alone is its own majority, and all the hosts it knows.
+    # A standalone host is its own majority and the only live host.
     meter.gauge(metricnames.CONFIG_SURE, lambda: int(host.sure))
     domain = host.cfg.failure_domain
     meter.gauge(metricnames.LIVE_HOSTS, lambda: {(domain,): 1})
@@ -44,28 +44,34 @@
 
 
 def register_joined(meter: metrics.Metrics, joined: joining.Joined) -> None:
-    """Say how the gauges of a host that works together with others are read.
+    """Register the gauges of a host that cooperates with others.
 
-    :param meter: of the host, with the gauges of :func:`register`.
+    :param meter: metrics of the host, with the gauges of :func:`register`.
     """
     follower = joined.follower
     meter.gauge(metricnames.CONFIG_SURE, lambda: int(not follower.unsure))
-    meter.gauge(metricnames.CONFIG_HEARD, lambda: _heard(follower.sure_age()))
-    # A failure domain whose hosts are all gone goes on being told, as 0.
+    meter.gauge(
+        metricnames.CONFIG_HEARD, lambda: _age_gauge(follower.sure_age())
+    )
+    # A failure domain without live hosts stays in the gauge, as 0.
     seen: set[metrics.Labels] = set()
     meter.gauge(metricnames.LIVE_HOSTS, lambda: _live(joined, seen))
     if joined.recording is None:
         return
-    keeper = joined.recording.recorder
-    meter.gauge(metricnames.LOG_ROLE, lambda: _roles(keeper.status().role))
+    local_recorder = joined.recording.recorder
+    meter.gauge(
+        metricnames.LOG_ROLE, lambda: _roles(local_recorder.status().role)
+    )
     meter.gauge(
         metricnames.LOG_UNAPPLIED,
-        lambda: keeper.status().commit - keeper.status().applied,
+        lambda: (
+            local_recorder.status().commit - local_recorder.status().applied
+        ),
     )
-    meter.gauge(metricnames.LOG_LAG, lambda: _lags(keeper.status()))
+    meter.gauge(metricnames.LOG_LAG, lambda: _lags(local_recorder.status()))
 
 
-def _heard(age: float | None) -> dict[metrics.Labels, float]:
+def _age_gauge(age: float | None) -> dict[metrics.Labels, float]:
     return {} if age is None else {(): age}
 
 
--- a/libs/daemon/geraniumweir/daemon/headers.py
+++ b/libs/daemon/geraniumweir/daemon/headers.py
@@ -1,4 +1,4 @@
-"""Headers on their way: which are passed on, and which belong to one hop.
+"""Selects the headers that are forwarded to servers and to callers.
 
 References
 ==========
@@ -12,7 +12,7 @@
 from geraniumweir.common import ids
 
 _TO_ENGINES = ('Content-Type', 'Accept', 'tracestate')
-_ONE_HOP = frozenset(
+_HOP_BY_HOP = frozenset(
     (
         'connection',
         'keep-alive',
@@ -28,8 +28,8 @@
         'expect',
     ),
 )
-# The key is a secret between the customer and this system.
-_OURS = frozenset(
+# The key in Authorization is a secret of the customer and this system.
+_OWN_HEADERS = frozenset(
     (
         'authorization',
         'x-customer',
@@ -51,11 +51,11 @@
     request_id: ids.RequestId,
     traceparent: str | None,
 ) -> multidict.CIMultiDict[str]:
-    """Give the headers of a call to an engine."""
-    found = _chosen(headers, _TO_ENGINES)
-    # What is checked must not come compressed.
+    """Return the headers of a request to an engine."""
+    found = _select(headers, _TO_ENGINES)
+    # A compressed response could not be checked.
     found['Accept-Encoding'] = 'identity'
-    return _stamped(found, request_id, traceparent)
+    return _with_trace_headers(found, request_id, traceparent)
 
 
 def to_service(
@@ -64,23 +64,26 @@
     request_id: ids.RequestId,
     traceparent: str | None,
 ) -> multidict.CIMultiDict[str]:
-    """Give the headers of a call to a plain service: all but one hop's."""
+    """Return the headers of a request to a plain service.
+
+    All but hop-by-hop headers and those of this system are forwarded.
+    """
     found = _end_to_end(headers)
     found['X-Customer'] = customer
-    return _stamped(found, request_id, traceparent)
+    return _with_trace_headers(found, request_id, traceparent)
 
 
 def from_engine(headers: _Headers) -> multidict.CIMultiDict[str]:
-    """Give the headers of an engine's answer that go to the caller."""
-    return _chosen(headers, _FROM_ENGINES)
+    """Return the headers of an engine's response for the caller."""
+    return _select(headers, _FROM_ENGINES)
 
 
 def from_service(headers: _Headers) -> multidict.CIMultiDict[str]:
-    """Give the headers of a service's answer that go to the caller."""
+    """Return the headers of a service's response for the caller."""
     return _end_to_end(headers)
 
 
-def _chosen(
+def _select(
     headers: _Headers,
     names: typing.Iterable[str],
 ) -> multidict.CIMultiDict[str]:
@@ -94,15 +97,15 @@
 
 def _end_to_end(headers: _Headers) -> multidict.CIMultiDict[str]:
     named = headers.get('Connection', '').lower().split(',')
-    left_out = _ONE_HOP.union(_OURS, (name.strip() for name in named))
+    excluded = _HOP_BY_HOP.union(_OWN_HEADERS, (name.strip() for name in named))
     found: multidict.CIMultiDict[str] = multidict.CIMultiDict()
     for name, text in headers.items():
-        if name.lower() not in left_out:
+        if name.lower() not in excluded:
             found.add(name, text)
     return found
 
 
-def _stamped(
+def _with_trace_headers(
     found: multidict.CIMultiDict[str],
     request_id: ids.RequestId,
     traceparent: str | None,
--- a/libs/daemon/geraniumweir/daemon/recording.py
+++ b/libs/daemon/geraniumweir/daemon/host_storage.py
@@ -1,7 +1,7 @@
-"""What an entry host keeps in its data folder.
+"""The data folder of an entry host.
 
-Two folders lie under it: ``log`` is the recorder's, ``followed`` holds the
-version that this host had in force last.
+It has two subfolders: ``log`` belongs to the recorder, ``followed`` holds the
+configuration version that this host had in force last.
 """
 
 import asyncio
@@ -18,21 +18,21 @@
 _VERSION_FILE = 'version'
 
 
-class KeepError(errors.GeraniumweirError):
-    """The version in force could not be kept in the data folder."""
+class VersionStoreError(errors.GeraniumweirError):
+    """The version in force could not be written to the data folder."""
 
     code = 'GW-5201'
 
 
-class Shelf:
-    """Keeps the last version; see :class:`holding.Shelf`."""
+class VersionStore:
+    """Storage of the last version in force; see :class:`holding.Shelf`."""
 
     def __init__(self, medium: disk.Disk) -> None:
-        """Keep it in a folder."""
+        """Initialize over a folder."""
         self._medium = medium
 
     def load(self) -> tuple[ids.Version, str] | None:
-        """Give the version kept last, or None."""
+        """Return the stored version and its text, or None."""
         kept = wholefiles.load(self._medium, _VERSION_FILE)
         if kept is None:
             return None
@@ -40,9 +40,9 @@
         return ids.Version(int(version)), text
 
     async def save(self, version: ids.Version, text: str) -> None:
-        """Keep a version; done once it is synced.
+        """Store a version; returns once it is synced.
 
-        :raises KeepError: when the disk fails.
+        :raises VersionStoreError: when writing fails.
         """
         payload = f'{version}\n{text}'.encode()
         try:
@@ -53,34 +53,36 @@
                 payload,
             )
         except (OSError, store_errors.StoreError) as exc:
-            raise KeepError(str(exc)) from exc
+            raise VersionStoreError(str(exc)) from exc
 
 
-def open_shelf(
+def open_version_store(
     cfg: settings.Settings,
     stack: contextlib.AsyncExitStack,
-) -> Shelf | None:
-    """Open the folder of the last version, on a host with a data folder.
+) -> VersionStore | None:
+    """Open the version store, on a host with a data folder.
 
-    :raises store_errors.StoreError: when it can't be used.
+    :returns: None on a host without one.
+    :raises store_errors.StoreError: when the folder can't be used.
     """
     if cfg.data_folder is None:
         return None
     medium = disk.RealDisk(pathlib.Path(cfg.data_folder, 'followed'))
     stack.callback(medium.close)
     wholefiles.remove_drafts(medium)
-    return Shelf(medium)
+    return VersionStore(medium)
 
 
-async def start(
+async def start_recorder(
     cfg: settings.Settings,
     peer_layer: peers.Peers,
     stack: contextlib.AsyncExitStack,
 ) -> recordings.Recording | None:
     """Start the recorder of a host with a data folder.
 
-    One that isn't among the first recorders waits until it is added.
+    A recorder that isn't among the first ones waits until it is added.
 
+    :returns: None on a host without a data folder.
     :raises store_errors.StoreError: when the folder can't be used.
     """
     if cfg.data_folder is None:
--- a/libs/daemon/geraniumweir/daemon/hoststates.py
+++ b/libs/daemon/geraniumweir/daemon/hoststates.py
@@ -1,4 +1,4 @@
-"""How the other entry hosts stand, asked for when an operator wants it."""
+"""State of the entry hosts, requested when an operator wants it."""
 
 import asyncio
 import typing
@@ -10,11 +10,11 @@
 from geraniumweir.wire import errors, peers
 from geraniumweir.wire.gen.operations import ttypes
 
-_TIMEOUT = 1.0
+_TIMEOUT_SECONDS = 1.0
 
 
 class HostStates:
-    """Asks other hosts how they stand, and answers them."""
+    """Requests the state of other hosts and answers such requests."""
 
     def __init__(
         self,
@@ -23,9 +23,9 @@
         members: membership.Membership,
         is_recorder: typing.Callable[[], bool],
     ) -> None:
-        """Answer other hosts from now on.
+        """Initialize and register the handler for other hosts' requests.
 
-        :param is_recorder: tells whether this host is a recorder.
+        :param is_recorder: returns whether this host is a recorder.
         """
         self._host = host
         self._peers = peer_layer
@@ -34,7 +34,7 @@
         peer_layer.handle(ttypes.AskHostState, self._answer)
 
     async def rows(self) -> list[operations.HostRow]:
-        """Describe every host that this one knows, by id."""
+        """Return a row for every live host, sorted by id."""
         live = self._members.all_live()
         found = await asyncio.gather(*(self._row(one) for one in live))
         return sorted(found, key=lambda row: row.host_id)
@@ -46,16 +46,16 @@
             found = await self._peers.call(
                 one.host_id,
                 ttypes.AskHostState(),
-                _TIMEOUT,
+                _TIMEOUT_SECONDS,
             )
         except errors.PeerError:
-            return _unheard(one)
+            return _unreachable_row(one)
         return _row(one, found)
 
     async def _answer(
         self,
         _sender: ids.HostId,
-        _question: ttypes.AskHostState,
+        _request: ttypes.AskHostState,
     ) -> ttypes.HostState:
         return self._own()
 
@@ -74,7 +74,7 @@
         one.host_id,
         one.failure_domain,
         one.region,
-        rows.state_of(draining=found.draining),
+        rows.host_state(draining=found.draining),
         ids.Version(found.version),
         sure=found.sure,
         recorder=found.recorder,
@@ -82,7 +82,7 @@
     )
 
 
-def _unheard(one: hosts.Host) -> operations.HostRow:
+def _unreachable_row(one: hosts.Host) -> operations.HostRow:
     return operations.HostRow(
         one.host_id,
         one.failure_domain,
--- a/libs/daemon/geraniumweir/daemon/inflight.py
+++ b/libs/daemon/geraniumweir/daemon/inflight.py
@@ -1,4 +1,4 @@
-"""The calls that one entry host has taken and not yet ended."""
+"""Requests that an entry host has accepted and not yet ended."""
 
 import asyncio
 import contextlib
@@ -11,91 +11,99 @@
 _Result = typing.TypeVar('_Result')
 
 
-class Stop(enum.Enum):
-    """Why a running call was ended from this side."""
+class StopReason(enum.Enum):
+    """Reason for which this host stopped a request."""
 
     deadline = 'deadline'
     preempted = 'preempted'
 
 
 @dataclasses.dataclass(slots=True)
-class Flight:
-    """One call on its way.
+class InFlightRequest:
+    """A request in flight.
 
-    :ivar idempotent: False for a call that nothing may cut off once sent.
+    :ivar idempotent: False for a request that must not be stopped once sent.
     :ivar sent: whether a byte may have reached a backend server.
-    :ivar stop: what ended it, meaningful once its time is up.
+    :ivar stop_reason: why it was stopped, valid once ``timeout`` expired.
+    :ivar timeout: the running timeout of its dispatch, or None.
     """
 
     request_id: ids.RequestId
     idempotent: bool = True
     sent: bool = False
-    stop: Stop = Stop.deadline
+    stop_reason: StopReason = StopReason.deadline
     timeout: asyncio.Timeout | None = None
 
 
-class InFlight:
-    """All flights of one entry host, and the work that goes on after them."""
+class InFlightRequests:
+    """The requests in flight of an entry host and their background tasks."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        self._flights: dict[ids.RequestId, Flight] = {}
+        """Initialize without requests."""
+        self._requests: dict[ids.RequestId, InFlightRequest] = {}
         self._tasks: set[asyncio.Task[typing.Any]] = set()
         self._idle = asyncio.Event()
         self._idle.set()
 
     def __len__(self) -> int:
-        """Count the calls."""
-        return len(self._flights)
+        """Return the number of requests in flight."""
+        return len(self._requests)
 
     @contextlib.contextmanager
-    def flight(self, request_id: ids.RequestId) -> typing.Iterator[Flight]:
-        """Keep a call listed while the block runs."""
-        flight = Flight(request_id)
-        self._flights[request_id] = flight
+    def track(
+        self, request_id: ids.RequestId
+    ) -> typing.Iterator[InFlightRequest]:
+        """Track a request while the block runs."""
+        in_flight_request = InFlightRequest(request_id)
+        self._requests[request_id] = in_flight_request
         self._idle.clear()
         try:
-            yield flight
+            yield in_flight_request
         finally:
-            self._flights.pop(request_id, None)
-            self._settle()
+            self._requests.pop(request_id, None)
+            self._update_idle()
 
     def background(
         self,
-        work: typing.Coroutine[typing.Any, typing.Any, _Result],
+        coroutine: typing.Coroutine[typing.Any, typing.Any, _Result],
     ) -> asyncio.Task[_Result]:
-        """Run work that outlives the caller's connection."""
-        task = asyncio.get_running_loop().create_task(work)
+        """Start a task that may outlive the caller's connection."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         self._idle.clear()
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
     def preempt(self, request_id: ids.RequestId) -> bool:
-        """End a running call to make room for a more important one.
+        """Stop a running request in favour of one of a higher tier.
 
-        :returns: whether it is ended; a non-idempotent call never is.
+        :returns: whether it is stopped; a non-idempotent request never is.
         """
-        flight = self._flights.get(request_id)
-        if flight is None or flight.timeout is None or not flight.idempotent:
+        in_flight_request = self._requests.get(request_id)
+        if (
+            in_flight_request is None
+            or in_flight_request.timeout is None
+            or not in_flight_request.idempotent
+        ):
             return False
-        if flight.timeout.expired():
+        if in_flight_request.timeout.expired():
             return False
-        flight.stop = Stop.preempted
-        flight.timeout.reschedule(asyncio.get_running_loop().time())
+        in_flight_request.stop_reason = StopReason.preempted
+        in_flight_request.timeout.reschedule(asyncio.get_running_loop().time())
         return True
 
     async def wait_idle(self) -> None:
-        """Wait until no call and no work of one is left."""
+        """Wait until no request and no background task is left."""
         await self._idle.wait()
 
-    def _ended(self, task: asyncio.Task[typing.Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[typing.Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
-            # Whoever waited has it too; here it is only marked as seen.
+            # Retrieve the exception, so that asyncio does not log it as lost;
+            # a task that awaits this one gets it too.
             task.exception()
-        self._settle()
+        self._update_idle()
 
-    def _settle(self) -> None:
-        if not self._flights and not self._tasks:
+    def _update_idle(self) -> None:
+        if not self._requests and not self._tasks:
             self._idle.set()
--- a/libs/daemon/geraniumweir/daemon/main.py
+++ b/libs/daemon/geraniumweir/daemon/main.py
@@ -11,7 +11,6 @@
 from geraniumweir.common import stopping, timers
 from geraniumweir.common import logevents as levels
 from geraniumweir.daemon import (
-    alone,
     announcements,
     callers,
     draining,
@@ -24,6 +23,7 @@
     operators,
     settings,
     settingvalues,
+    standalone,
     testlinks,
 )
 from geraniumweir.daemon import host as entry_host
@@ -33,12 +33,12 @@
 from geraniumweir.store import errors as store_errors
 
 _EXIT_FAILED = 1
-# Calls in flight have had --drain-timeout before this begins.
+# Requests in flight have had --drain-timeout before this begins.
 _SHUTDOWN_SECONDS = 1.0
 
 
 def main(argv: typing.Sequence[str] | None = None) -> None:
-    """Run the daemon until it is told to end.
+    """Run the daemon until SIGTERM or SIGINT.
 
     :param argv: flags, by default those of the process.
     """
@@ -66,7 +66,7 @@
     """Serve until SIGTERM or SIGINT, then drain.
 
     :param cfg: the host's settings.
-    :raises listening.BusyAddressError: when an address can't be listened on.
+    :raises listening.BusyAddressError: when listening on an address fails.
     """
     stop = asyncio.Event()
     async with contextlib.AsyncExitStack() as stack:
@@ -76,7 +76,9 @@
         host = await _make_host(cfg, stack)
         observed = observing.observe(host, stack)
         joined: joining.Joined | None = None
-        ops: operations.Operations = alone.StandaloneOperations(host, observed)
+        ops: operations.Operations = standalone.StandaloneOperations(
+            host, observed
+        )
         if cfg.peer_address is not None:
             joined = await joining.join(host, stack)
             gauges.register_joined(observed.meter, joined)
@@ -118,18 +120,20 @@
         return await draining.drain(host)
     joined.members.set_roles(joined.members.me.roles | hosts.Role.draining)
     left = await draining.drain(host)
-    await joining.farewell(joined)
+    await joining.leave_system(joined)
     return left
 
 
 def _check_files(cfg: settings.Settings) -> None:
     if cfg.data_folder is not None:
-        _settle('data-folder', settingvalues.folder_fault(cfg.data_folder))
+        _exit_on_fault(
+            'data-folder', settingvalues.folder_fault(cfg.data_folder)
+        )
     if cfg.trace_file is not None:
-        _settle('trace-file', settingvalues.file_fault(cfg.trace_file))
+        _exit_on_fault('trace-file', settingvalues.file_fault(cfg.trace_file))
 
 
-def _settle(setting: str, fault: str | None) -> None:
+def _exit_on_fault(setting: str, fault: str | None) -> None:
     if fault is not None:
         sys.stderr.write(f'geraniumweird: argument --{setting}: {fault}\n')
         sys.exit(settings.EXIT_BAD_SETTING)
--- a/libs/daemon/geraniumweir/daemon/operators.py
+++ b/libs/daemon/geraniumweir/daemon/operators.py
@@ -1,8 +1,8 @@
-"""The operators' HTTP face, over :class:`operations.Operations`.
+"""HTTP application for operators, over :class:`operations.Operations`.
 
-Every answer is JSON but for ``/metrics``. An error is ``{"error": {"code",
-"message", "ran"}}``; a conflict adds ``version``, the one in force, and a bad
-document adds ``faults``, each with its place.
+Every response but that of ``/metrics`` is JSON. An error is ``{"error":
+{"code", "message", "ran"}}``; a conflict adds ``version``, the one in force,
+and an invalid document adds ``faults``, each with its position.
 """
 
 import dataclasses
@@ -23,7 +23,7 @@
 )
 from geraniumweir.observe import logs, metrics
 
-_MAX_BODY = 16777216  # 16 MiB
+_MAX_BODY_BYTES = 16777216  # 16 MiB
 
 _STATUSES: typing.Final = {
     operations.MalformedError: http.HTTPStatus.BAD_REQUEST,
@@ -38,15 +38,15 @@
 
 
 def make_app(ops: operations.Operations) -> web.Application:
-    """Build the operators' application.
+    """Return the HTTP application for operators.
 
-    :param ops: what it stands on.
+    :param ops: the operations of the host.
     """
     app = web.Application(
-        client_max_size=_MAX_BODY,
+        client_max_size=_MAX_BODY_BYTES,
         middlewares=[_ErrorMiddleware(ops).answer_errors],
     )
-    config = _ConfigFace(ops)
+    config = _ConfigHandlers(ops)
     app.add_routes(
         (
             web.get('/v1/config', config.show),
@@ -57,7 +57,7 @@
             web.post('/v1/servers/{server}/drain', config.drain),
         ),
     )
-    system = _SystemFace(ops)
+    system = _SystemHandlers(ops)
     app.add_routes(
         (
             web.get('/v1/hosts', system.hosts),
@@ -76,8 +76,8 @@
     return app
 
 
-class _ConfigFace:
-    """Handlers of the configuration."""
+class _ConfigHandlers:
+    """HTTP handlers for the configuration."""
 
     def __init__(self, ops: operations.Operations) -> None:
         self._ops = ops
@@ -111,7 +111,7 @@
 
     async def explain(self, req: web.Request) -> web.Response:
         status = await self._ops.status()
-        request = operatorjson.whole(await req.read())
+        request = operatorjson.read_json(await req.read())
         facts = explain.facts_from_json(request, status.failure_domain)
         in_force = await self._ops.config(_version(req, 'version'))
         explained = explain.explain(in_force, facts)
@@ -154,8 +154,8 @@
         return web.json_response(operatorjson.plain(accepted))
 
 
-class _SystemFace:
-    """Handlers of hosts, backend servers, pools and recorders."""
+class _SystemHandlers:
+    """HTTP handlers for hosts, backend servers, pools and recorders."""
 
     def __init__(self, ops: operations.Operations) -> None:
         self._ops = ops
@@ -180,8 +180,10 @@
         return _rows('spans', spans)
 
     async def order(self, req: web.Request) -> web.Response:
-        taken = await self._ops.order(operatorjson.order(await req.read()))
-        return web.json_response(operatorjson.plain(taken))
+        accepted_order = await self._ops.order(
+            operatorjson.order(await req.read())
+        )
+        return web.json_response(operatorjson.plain(accepted_order))
 
     async def recorders(self, _req: web.Request) -> web.Response:
         return _rows('recorders', await self._ops.recorders())
@@ -207,7 +209,7 @@
 
 
 class _ErrorMiddleware:
-    """Turns every error into the JSON of a refusal."""
+    """Middleware that converts every error to a JSON response."""
 
     def __init__(self, ops: operations.Operations) -> None:
         self._ops = ops
@@ -233,7 +235,12 @@
 def _fault(req: web.Request, exc: Exception) -> web.Response:
     logs.log(logevents.OPERATOR_FAILED, path=req.path, reason=repr(exc))
     status = http.HTTPStatus.INTERNAL_SERVER_ERROR
-    return _error(status, 'GW-1407', 'a fault of this host', ids.Ran.unknown)
+    return _error(
+        status,
+        'GW-1407',
+        'internal error of this host; see its log',
+        ids.Ran.unknown,
+    )
 
 
 async def _refuse(
@@ -290,6 +297,6 @@
         return None
     if not text.isascii() or not text.isdigit():
         raise operations.MalformedError(
-            f'{key}: {text!r} is not a whole number from 0 up',
+            f'{key}: {text!r} is not an integer from 0 up',
         )
     return ids.Version(int(text))
--- a/libs/daemon/geraniumweir/daemon/recorderrows.py
+++ b/libs/daemon/geraniumweir/daemon/recorderrows.py
@@ -1,4 +1,4 @@
-"""The recorders as operators see them."""
+"""Rows that show the recorders to operators."""
 
 import asyncio
 import typing
@@ -8,35 +8,40 @@
 from geraniumweir.daemon import operations
 from geraniumweir.wire.gen.consensus import ttypes
 
-_SECONDS = 1.0
+_TIMEOUT_SECONDS = 1.0
 
 
 async def rows(
     log: client.LogClient,
     known: typing.Sequence[ids.HostId],
 ) -> list[operations.RecorderRow]:
-    """List the recorders, as their leader sees them.
+    """Return the recorders, as their leader sees them.
 
-    Where no leader answers, the view of any recorder that does.
+    Where the leader doesn't answer, the view of the recorder with the highest
+    term is returned.
 
-    :param known: hosts to ask first.
+    :param known: ids of the recorders to query.
     :raises operations.NoMajorityError: when none answers.
     """
-    asked = await asyncio.gather(*(_ask(log, one) for one in known))
-    answers = [answer for answer in asked if answer is not None]
+    replies = await asyncio.gather(
+        *(_request_status(log, one) for one in known)
+    )
+    answers = [answer for answer in replies if answer is not None]
     if not answers:
-        raise operations.NoMajorityError('no recorder answers', ids.Ran.no)
-    # The leader's own view first, then the newest.
+        raise operations.NoMajorityError(
+            'no recorder answered within 1 s', ids.Ran.no
+        )
+    # Prefer the leader's own view, then the highest term.
     found = max(answers, key=lambda one: (one.role == 'leader', one.term))
     return [_row(found, one) for one in found.recorders]
 
 
-async def _ask(
+async def _request_status(
     log: client.LogClient,
     host_id: ids.HostId,
 ) -> ttypes.StatusAnswer | None:
     try:
-        return await log.status(host_id, _SECONDS)
+        return await log.status(host_id, _TIMEOUT_SECONDS)
     except errors.ConsensusError:
         return None
 
--- a/libs/daemon/geraniumweir/daemon/rows.py
+++ b/libs/daemon/geraniumweir/daemon/rows.py
@@ -1,4 +1,4 @@
-"""Turns what an entry host knows into the rows that operators see."""
+"""Builds the rows that operators see from an entry host's state."""
 
 import dataclasses
 
@@ -9,21 +9,21 @@
 from geraniumweir.membership import poolsummaries, servers
 
 
-def state_of(*, draining: bool) -> operations.HostState:
-    """Name how a host that answers stands."""
+def host_state(*, draining: bool) -> operations.HostState:
+    """Return the state of a host that answers."""
     if draining:
         return operations.HostState.draining
     return operations.HostState.live
 
 
 def host_row(host: entry_host.EntryHost) -> operations.HostRow:
-    """Describe a host that stands alone."""
+    """Return the row of a standalone host."""
     cfg = host.cfg
     return operations.HostRow(
         cfg.host_id,
         cfg.failure_domain,
         cfg.region,
-        state_of(draining=host.draining),
+        host_state(draining=host.draining),
         host.in_force.version,
         sure=True,
         recorder=False,
@@ -31,10 +31,10 @@
     )
 
 
-def status(host: entry_host.EntryHost, started: float) -> operations.Status:
-    """Tell how a host that stands alone stands.
+def status(host: entry_host.EntryHost, started_at: float) -> operations.Status:
+    """Return the state of a standalone host.
 
-    :param started: on the timer service's clock, in seconds.
+    :param started_at: start time on the timer service's clock, in seconds.
     """
     cfg = host.cfg
     return operations.Status(
@@ -48,7 +48,7 @@
         log_leader=None,
         majority=None,
         log_index=0,
-        uptime_seconds=host.timers.now() - started,
+        uptime_seconds=host.timers.now() - started_at,
     )
 
 
@@ -56,9 +56,9 @@
 class LogView:
     """The replicated log as one host sees it.
 
-    :ivar leader: the recorder that leads, or None where unknown.
+    :ivar leader: the recorder that leads the log, or None where unknown.
     :ivar majority: whether a majority of the recorders answers.
-    :ivar index: newest entry applied here.
+    :ivar index: index of the newest entry applied here.
     """
 
     leader: ids.HostId | None
@@ -68,15 +68,15 @@
 
 def joined_status(
     host: entry_host.EntryHost,
-    started: float,
+    started_at: float,
     log: LogView,
 ) -> operations.Status:
-    """Tell how a host that works together with others stands.
+    """Return the state of a host that cooperates with others.
 
-    :param started: on the timer service's clock, in seconds.
+    :param started_at: start time on the timer service's clock, in seconds.
     """
     return dataclasses.replace(
-        status(host, started),
+        status(host, started_at),
         sure=host.sure,
         log_leader=log.leader,
         majority=log.majority,
@@ -89,7 +89,7 @@
     server: servers.Announcement,
     running: int | None = None,
 ) -> operations.ServerRow:
-    """Describe a backend server.
+    """Return the row of a backend server.
 
     :param running: open grants, where this host leads the server's pool.
     """
@@ -106,11 +106,11 @@
     )
 
 
-def own_pool_row(
+def local_pool_row(
     host: entry_host.EntryHost,
     pool: document.Pool,
 ) -> operations.PoolRow:
-    """Describe a pool in this host's failure domain."""
+    """Return the row of a pool in this host's failure domain."""
     row = pool_row(host, pool)
     found = host.led(pool.name)
     if found is None:
@@ -124,11 +124,11 @@
     )
 
 
-def distant_pool_row(
+def remote_pool_row(
     pool: document.Pool,
     summary: poolsummaries.PoolSummary,
 ) -> operations.PoolRow:
-    """Describe a pool in another failure domain, by the last word of it."""
+    """Return the row of a pool in another failure domain, by its summary."""
     return operations.PoolRow(
         pool=pool.name,
         kind=pool.kind,
@@ -143,7 +143,7 @@
     host: entry_host.EntryHost,
     pool: document.Pool,
 ) -> operations.PoolRow:
-    """Describe a pool that this host leads, as one that stands alone does."""
+    """Return the row of a pool that this host leads."""
     cfg = host.cfg
     return operations.PoolRow(
         pool=pool.name,
@@ -158,7 +158,10 @@
     server: servers.Announcement,
     override: document.ServerOverride,
 ) -> str:
-    """Name how a backend server stands, the operators' word first."""
+    """Return the state of a backend server.
+
+    The operators' override has precedence over the announced state.
+    """
     if override.forbid:
         return 'forbidden'
     if override.drain:
--- a/libs/daemon/geraniumweir/daemon/spans.py
+++ b/libs/daemon/geraniumweir/daemon/spans.py
@@ -1,8 +1,7 @@
-"""The spans of calls, for the path of a call to report its hops to.
+"""Records the hops of a request as spans of one trace.
 
-The path names a hop when it passes it; here hops become spans of one tree. A
-grant stands below its queue; the first token and the end stand below the
-dispatch, as the two parts of it.
+The span of a grant is a child of its queue span. The first token and the end
+are children of the dispatch span and divide it into two parts.
 """
 
 import contextlib
@@ -17,45 +16,46 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Call:
-    """The trace of one call in flight.
+class _RequestTrace:
+    """The trace of a request in flight.
 
     :ivar opened: the newest span of each hop.
-    :ivar part_ns: when the running part of the dispatch began.
+    :ivar part_started_ns: start of the current part of the dispatch, in ns
+        since 1970.
     """
 
     trace: traces.Trace
     opened: dict[traces.Hop, traces.Span]
-    part_ns: int = 0
+    part_started_ns: int = 0
 
 
-class CallTracer:
-    """Implements the path's tracer by :mod:`geraniumweir.observe.traces`."""
+class RequestTracer:
+    """Tracer of the request path over :mod:`geraniumweir.observe.traces`."""
 
     def __init__(self, tracing: traces.Tracing) -> None:
-        """Start with no call in flight.
+        """Initialize without traces.
 
-        :param tracing: of the host.
+        :param tracing: tracing of the host.
         """
         self._tracing = tracing
-        self._calls: dict[ids.RequestId, _Call] = {}
+        self._request_traces: dict[ids.RequestId, _RequestTrace] = {}
 
     def begin(
         self,
         request_id: ids.RequestId,
         traceparent: str | None,
     ) -> str | None:
-        """Open a call's trace; the span of the caller's hop must follow.
+        """Begin a request's trace; the span of the caller's hop must follow.
 
-        :param traceparent: as the caller sent it.
-        :returns: the ``traceparent`` to send on, or None for the caller's.
+        :param traceparent: the caller's ``traceparent``, or None.
+        :returns: the ``traceparent`` to forward, or None for the caller's.
         """
         headers = {}
         if traceparent is not None:
             headers[traces.TRACEPARENT] = traceparent
         trace = self._tracing.begin(request_id, headers)
         if trace.root.recording:
-            self._calls[request_id] = _Call(trace, {})
+            self._request_traces[request_id] = _RequestTrace(trace, {})
         return trace.root.headers().get(traces.TRACEPARENT)
 
     @contextlib.contextmanager
@@ -64,20 +64,20 @@
         request_id: ids.RequestId,
         hop: traces.Hop,
     ) -> typing.Iterator[None]:
-        """Time a hop; the caller's hop ends the call's trace."""
-        call = self._calls.get(request_id)
-        if call is None:
+        """Record a hop; the end of the caller's hop ends the trace."""
+        request_trace = self._request_traces.get(request_id)
+        if request_trace is None:
             yield
             return
         if hop is traces.Hop.caller:
             with contextlib.ExitStack() as stack:
-                stack.callback(self._calls.pop, request_id, None)
-                stack.callback(call.trace.root.finish)
+                stack.callback(self._request_traces.pop, request_id, None)
+                stack.callback(request_trace.trace.root.finish)
                 yield
             return
-        call.part_ns = time.time_ns()
-        with call.trace.hop(hop) as span:
-            call.opened[hop] = span
+        request_trace.part_started_ns = time.time_ns()
+        with request_trace.trace.hop(hop) as span:
+            request_trace.opened[hop] = span
             yield
 
     def mark(
@@ -86,19 +86,21 @@
         hop: traces.Hop,
         note: str,
     ) -> None:
-        """Note a moment of a call's path.
+        """Record an event of a request.
 
-        :param note: the backend server, or how the call ended.
+        :param note: the backend server, or the outcome of the request.
         """
-        call = self._calls.get(request_id)
-        if call is None:
+        request_trace = self._request_traces.get(request_id)
+        if request_trace is None:
             return
         now = time.time_ns()
-        opened = call.opened
+        opened = request_trace.opened
         if hop is traces.Hop.grant:
             queue = opened.get(traces.Hop.queue)
-            call.trace.since(now, hop, queue, server=note)
+            request_trace.trace.since(now, hop, queue, server=note)
         else:
             dispatch = opened.get(traces.Hop.dispatch)
-            call.trace.since(call.part_ns or now, hop, dispatch, note=note)
-            call.part_ns = now
+            request_trace.trace.since(
+                request_trace.part_started_ns or now, hop, dispatch, note=note
+            )
+            request_trace.part_started_ns = now
--- a/libs/daemon/geraniumweir/daemon/tests/test_claims.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims in the log answer as those of one host's memory do."""
+"""Tests that claims in the log behave like those in memory."""
 
 import itertools
 import typing
@@ -7,7 +7,7 @@
 import pytest
 from geraniumweir.common import ids, virtual
 from geraniumweir.configuration import claims, state
-from geraniumweir.daemon import claiming, loggedclaims
+from geraniumweir.daemon import claiming, logged_claims
 from hypothesis import strategies
 
 _CUSTOMER = ids.CustomerName('hal-a')
@@ -40,8 +40,8 @@
 
 @hypothesis.settings(derandomize=True, max_examples=80, deadline=None)
 @hypothesis.given(_STEPS)
-def test_logged_claims_answer_as_local_ones(steps: list[_Step]) -> None:
-    """Two hosts over one log, against one host's memory."""
+def test_logged_claims_behave_like_local_claims(steps: list[_Step]) -> None:
+    """Two hosts over one log give the answers of one host in memory."""
 
     async def scenario() -> None:
         claimers = _claimers(state.SystemState())
@@ -49,10 +49,10 @@
         for number, (host, name, content, ending) in enumerate(steps):
             key = claiming.ClaimKey(_CUSTOMER, name)
             request_id = ids.RequestId(f'r{number}')
-            print_of = ids.Fingerprint(content)
-            logged = loggedclaims.LoggedClaims(claimers[host])
-            expected = await local.claim(key, request_id, print_of)
-            assert await logged.claim(key, request_id, print_of) is expected
+            fingerprint = ids.Fingerprint(content)
+            logged = logged_claims.LoggedClaims(claimers[host])
+            expected = await local.claim(key, request_id, fingerprint)
+            assert await logged.claim(key, request_id, fingerprint) is expected
             if ending is not None:
                 await local.finish(key, request_id, ending)
                 await logged.finish(key, request_id, ending)
@@ -61,15 +61,15 @@
     virtual.run(scenario())
 
 
-def test_no_majority_is_no_claim() -> None:
-    """Where the log can't be reached nothing is granted."""
+def test_claim_fails_without_a_majority() -> None:
+    """An unreachable log must not grant a claim."""
 
     async def never(_command: bytes) -> typing.Any:
         raise TimeoutError
 
     async def scenario() -> None:
         claimer = claims.Claimer(ids.HostId('e'), never, _now_ms)
-        logged = loggedclaims.LoggedClaims(claimer)
+        logged = logged_claims.LoggedClaims(claimer)
         key = claiming.ClaimKey(_CUSTOMER, 'k')
         with pytest.raises(claiming.ClaimsUnavailableError):
             await logged.claim(key, ids.RequestId('r'), ids.Fingerprint(1))
--- a/libs/daemon/geraniumweir/daemon/tests/test_neighbours.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_neighbours.py
@@ -1,9 +1,9 @@
-"""What scheduling hears of other failure domains."""
+"""Tests of the view of pools in other failure domains."""
 
 import types
 
 from geraniumweir.common import ids
-from geraniumweir.daemon import neighbours
+from geraniumweir.daemon import membership_views
 from geraniumweir.membership import hosts
 
 _NOWHERE = ids.Address('127.0.0.1', 1)
@@ -21,8 +21,8 @@
     )
 
 
-def test_pools_are_known_before_their_summaries_come() -> None:
-    """A domain nobody told of is asked at the host that would lead there."""
+def test_pool_leader_is_computed_without_a_summary() -> None:
+    """Without a summary, the leader is computed from the membership."""
     live = [_host('a1'), _host('a2'), _host('b1'), _host('c1')]
     members = types.SimpleNamespace(
         me=live[0],
@@ -34,6 +34,6 @@
             if domain != 'c' and host.failure_domain == domain
         ],
     )
-    found = neighbours.Directory(members).others(_POOL)
+    found = membership_views.Directory(members).others(_POOL)
     assert [(one.domain, one.leader) for one in found] == [('b', 'b1')]
     assert found[0].summary.pool == _POOL
