--- a/libs/daemon/geraniumweir/daemon/admission.py
+++ b/libs/daemon/geraniumweir/daemon/admission.py
@@ -194,7 +194,7 @@
     if not key:
         raise refusals.refuse(
             catalogue.KEY_MISSING,
-            'a non-idempotent request needs an Idempotency-Key',
+            'a call that must run at most once needs an Idempotency-Key',
         )
     if len(key) > _MAX_KEY_LENGTH:
         raise refusals.bad_request(
@@ -245,7 +245,7 @@
     )
     if not isinstance(token_limit, int | None) or isinstance(token_limit, bool):
         raise refusals.bad_request(
-            f'max_tokens {token_limit!r} is not an integer'
+            f'max_tokens {token_limit!r} is no whole number'
         )
     streams = payload.get('stream') is True
     return _Content(prompt, _model(payload), max(token_limit or 0, 0), streams)
@@ -255,7 +255,7 @@
     model = payload.get('model')
     if model is None or isinstance(model, str):
         return model
-    raise refusals.bad_request(f'model {model!r} is not a string')
+    raise refusals.bad_request(f'model {model!r} is no string')
 
 
 def _payload(body: bytes) -> dict[str, typing.Any]:
--- a/libs/daemon/geraniumweir/daemon/callers.py
+++ b/libs/daemon/geraniumweir/daemon/callers.py
@@ -159,7 +159,7 @@
     if size > MAX_HEADER_BYTES:
         raise refusals.refuse(
             catalogue.HEADERS_TOO_LARGE,
-            f'headers of {size} bytes; at most {MAX_HEADER_BYTES} are accepted',
+            f'headers of {size} bytes; at most {MAX_HEADER_BYTES} are taken',
         )
 
 
@@ -176,7 +176,7 @@
     except web.HTTPRequestEntityTooLarge as exc:
         raise _too_large() from exc
     except TimeoutError as exc:
-        message = 'the body did not arrive in time'
+        message = 'the body did not come in time'
         raise refusals.refuse(catalogue.BODY_LATE, message) from exc
 
 
@@ -192,10 +192,10 @@
 ) -> errors.Refusal:
     """Log an internal error by the loop's handler; return its refusal."""
     asyncio.get_running_loop().call_exception_handler(
-        {'message': 'internal error while serving a request', 'exception': exc},
+        {'message': 'a call met a fault of the program', 'exception': exc},
     )
     ran = ids.Ran.unknown if in_flight_request.sent else ids.Ran.no
-    message = 'internal error of the entry host; see its log'
+    message = 'a fault of the entry host; its log says more'
     return refusals.refuse(catalogue.INTERNAL, message, ran).refusal
 
 
--- a/libs/daemon/geraniumweir/daemon/dispatching.py
+++ b/libs/daemon/geraniumweir/daemon/dispatching.py
@@ -120,9 +120,7 @@
     except claiming.ClaimsUnavailableError as exc:
         raise refusals.no_claim(exc.message) from exc
     except TimeoutError as exc:
-        raise refusals.no_claim(
-            'the claim was not confirmed before the deadline'
-        ) from exc
+        raise refusals.no_claim('no claim before the deadline') from exc
     if claim is not claiming.Claim.granted:
         raise refusals.repeated(claim)
 
--- a/libs/daemon/geraniumweir/daemon/exchange.py
+++ b/libs/daemon/geraniumweir/daemon/exchange.py
@@ -71,7 +71,7 @@
     async def end(self) -> web.StreamResponse:
         """End a complete response."""
         if self.resp is None:
-            raise ConnectionError('the response was not started')
+            raise ConnectionError('the answer was never started')
         await self.resp.write_eof()
         return self.resp
 
--- a/libs/daemon/geraniumweir/daemon/joinedops.py
+++ b/libs/daemon/geraniumweir/daemon/joinedops.py
@@ -52,7 +52,7 @@
         found = self._state().find(ids.Version(version or 0))
         if found is None:
             raise operations.UnknownError(
-                f'version {version} does not exist or is no longer stored',
+                f'version {version} is not kept any more, or never was',
             )
         text = found.text()
         return document.InForce(found.version, reading.read(text), text)
--- a/libs/daemon/geraniumweir/daemon/operatorjson.py
+++ b/libs/daemon/geraniumweir/daemon/operatorjson.py
@@ -136,16 +136,14 @@
         if is_integer and found >= 0:
             return int(found)
         raise operations.MalformedError(
-            f'{key}: {found!r} is not an integer from 0 up',
+            f'{key}: {found!r} is not a whole number from 0 up',
         )
 
     def flag(self, key: str, default: bool) -> bool:
         found = self._get(key, default)
         if isinstance(found, bool):
             return found
-        raise operations.MalformedError(
-            f'{key}: {found!r} is not true or false'
-        )
+        raise operations.MalformedError(f'{key}: {found!r} is no true or false')
 
     def choice(
         self,
@@ -158,7 +156,7 @@
         except ValueError:
             accepted = ', '.join(kind.value for kind in kinds)
         raise operations.MalformedError(
-            f'{key}: {found!r} is not one of {accepted}',
+            f'{key}: {found!r} is none of {accepted}',
         )
 
     def _get(self, key: str, default: typing.Any) -> typing.Any:
--- a/libs/daemon/geraniumweir/daemon/operators.py
+++ b/libs/daemon/geraniumweir/daemon/operators.py
@@ -238,7 +238,7 @@
     return _error(
         status,
         'GW-1407',
-        'internal error of this host; see its log',
+        'a fault of this host',
         ids.Ran.unknown,
     )
 
@@ -297,6 +297,6 @@
         return None
     if not text.isascii() or not text.isdigit():
         raise operations.MalformedError(
-            f'{key}: {text!r} is not an integer from 0 up',
+            f'{key}: {text!r} is not a whole number from 0 up',
         )
     return ids.Version(int(text))
--- a/libs/daemon/geraniumweir/daemon/recorderrows.py
+++ b/libs/daemon/geraniumweir/daemon/recorderrows.py
@@ -28,9 +28,7 @@
     )
     answers = [answer for answer in replies if answer is not None]
     if not answers:
-        raise operations.NoMajorityError(
-            'no recorder answered within 1 s', ids.Ran.no
-        )
+        raise operations.NoMajorityError('no recorder answers', ids.Ran.no)
     # Prefer the leader's own view, then the highest term.
     found = max(answers, key=lambda one: (one.role == 'leader', one.term))
     return [_row(found, one) for one in found.recorders]
--- a/libs/daemon/geraniumweir/daemon/refusals.py
+++ b/libs/daemon/geraniumweir/daemon/refusals.py
@@ -19,7 +19,7 @@
     {
         requests.DenialReason.shed: (
             catalogue.SHED,
-            'no capacity for the tier of this request',
+            'no capacity for this tier',
         ),
         requests.DenialReason.too_late: (
             catalogue.TOO_LATE,
@@ -43,7 +43,7 @@
         ),
         requests.DenialReason.not_leader: (
             catalogue.NO_LEADER,
-            'the pool has no leader at the moment',
+            'the pool has no leader just now',
         ),
         requests.DenialReason.withdrawn: (
             catalogue.WITHDRAWN,
@@ -56,23 +56,22 @@
         claiming.Claim.done: (
             catalogue.REPEAT_DONE,
             ids.Ran.yes,
-            'the first request with this Idempotency-Key has completed',
+            'the first call of this Idempotency-Key ran and ended',
         ),
         claiming.Claim.running: (
             catalogue.REPEAT_RUNNING,
             ids.Ran.unknown,
-            'the first request with this Idempotency-Key is still running',
+            'the first call of this Idempotency-Key is still on its way',
         ),
         claiming.Claim.unknown: (
             catalogue.REPEAT_UNKNOWN,
             ids.Ran.unknown,
-            'the outcome of the first request with this Idempotency-Key is '
-            'unknown',
+            'nobody knows how the first call of this Idempotency-Key ended',
         ),
         claiming.Claim.mismatch: (
             catalogue.KEY_REUSED,
             ids.Ran.no,
-            'this Idempotency-Key was used for a request with other content',
+            'this Idempotency-Key belongs to a call with another content',
         ),
     }
 )
@@ -141,7 +140,7 @@
     """Refuse a request because this host is draining."""
     return refuse(
         catalogue.DRAINING,
-        'this host is draining; send the request to another one',
+        'this host is leaving; another one answers',
         retry_after_ms=_RETRY_NOW_MS,
     )
 
--- a/libs/daemon/geraniumweir/daemon/relaying.py
+++ b/libs/daemon/geraniumweir/daemon/relaying.py
@@ -152,9 +152,7 @@
     expected_identity: identity.Identity,
 ) -> None:
     if answer.status >= _MIN_FAILURE_STATUS:
-        raise errors.ServerFailedError(
-            f'the engine answered with status {answer.status}'
-        )
+        raise errors.ServerFailedError(f'the engine answered {answer.status}')
     if answer.status == _OK and _is_stream(answer):
         await _stream(relayed, answer, expected_identity)
         return
@@ -228,9 +226,7 @@
     Only its framing shows whether it is complete.
     """
     if not answer.ends_visibly:
-        raise errors.CutShortError(
-            'the response has neither a length nor chunked framing'
-        )
+        raise errors.CutShortError("the answer's end could not be told")
     await relayed.start(answer.status, head)
     async with contextlib.aclosing(answer.chunks()) as chunks:
         async for chunk in chunks:
--- a/libs/daemon/geraniumweir/daemon/reports.py
+++ b/libs/daemon/geraniumweir/daemon/reports.py
@@ -77,7 +77,7 @@
             offsets.age(server_id, measured_at, now),
         )
     except (KeyError, TypeError) as exc:
-        raise ValueError(f'invalid load report: {exc!r}') from exc
+        raise ValueError(f'no load: {exc!r}') from exc
 
 
 def read_cache_events(payload: Payload) -> requests.CacheEvents | None:
@@ -97,7 +97,7 @@
             _hashes(payload, 'evicted'),
         )
     except (KeyError, TypeError) as exc:
-        raise ValueError(f'invalid cache events: {exc!r}') from exc
+        raise ValueError(f'no cache events: {exc!r}') from exc
 
 
 def _hashes(payload: Payload, key: str) -> tuple[ids.BlockHash, ...]:
--- a/libs/daemon/geraniumweir/daemon/server_orders.py
+++ b/libs/daemon/geraniumweir/daemon/server_orders.py
@@ -79,7 +79,7 @@
                 async with asyncio.timeout_at(fence.expires_at):
                     await self._post(order, server, fence.number)
             except TimeoutError as exc:
-                message = f'{server.server_id} did not answer in the lease'
+                message = f'{server.server_id} did not answer in time'
                 raise operations.NotNowError(message) from exc
         eventlog.emit(
             logevents.ORDER_SENT,
@@ -122,7 +122,7 @@
                 status = resp.status
         except aiohttp.ClientError as exc:
             raise operations.NotNowError(
-                f'{server.server_id} is unreachable: {exc}',
+                f'{server.server_id} could not be reached: {exc}',
             ) from exc
         if status == http.HTTPStatus.CONFLICT:
             raise operations.NotNowError(
@@ -130,7 +130,7 @@
             )
         if status >= http.HTTPStatus.BAD_REQUEST:
             raise operations.NotNowError(
-                f'{server.server_id} answered the order with status {status}',
+                f'{server.server_id} answered the order with {status}',
             )
 
 
--- a/libs/daemon/geraniumweir/daemon/standalone.py
+++ b/libs/daemon/geraniumweir/daemon/standalone.py
@@ -153,5 +153,5 @@
 
 def _no_recorders() -> operations.UnavailableError:
     return operations.UnavailableError(
-        'this host is standalone and has no recorders',
+        'this host stands alone, without recorders',
     )
--- a/libs/daemon/geraniumweir/daemon/tests/test_operators.py
+++ b/libs/daemon/geraniumweir/daemon/tests/test_operators.py
@@ -167,7 +167,7 @@
         ('POST', '/v1/recorders', {'host_id': 'a', 'address': 'b'}, 400, 'b'),
         ('GET', '/v1/nothing', None, 404, ''),
         ('DELETE', '/v1/config', None, 405, ''),
-        ('POST', '/v1/snapshot', None, 503, 'is standalone'),
+        ('POST', '/v1/snapshot', None, 503, 'stands alone'),
         ('GET', '/v1/trace/x', None, 503, '--trace-file'),
     )
 
