--- a/libs/configuration/geraniumweir/configuration/recordings.py
+++ b/libs/configuration/geraniumweir/configuration/recordings.py
@@ -67,7 +67,7 @@
         stack.push_async_callback(asyncio.to_thread, thread.close)
         found = await folder.open_folder(medium, thread)
         machine = state.SystemState()
-        env = core.Surroundings(
+        env = core.Environment(
             cfg=settings.Settings(place.host_id),
             peers=peer_layer,
             machine=machine,
--- a/libs/consensus/geraniumweir/consensus/core.py
+++ b/libs/consensus/geraniumweir/consensus/core.py
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Surroundings:
+class Environment:
     """What a recorder is given.
 
     :ivar cfg: sizes and times.
@@ -123,7 +123,7 @@
     :ivar incoming: what came so far of a snapshot that the leader sends.
     """
 
-    def __init__(self, env: Surroundings, opened: folder.Folder) -> None:
+    def __init__(self, env: Environment, opened: folder.Folder) -> None:
         """Start as a follower with what the folder holds."""
         newest = opened.snapshots.newest
         self.env = env
--- a/libs/consensus/geraniumweir/consensus/recorder.py
+++ b/libs/consensus/geraniumweir/consensus/recorder.py
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        env: core.Surroundings,
+        env: core.Environment,
         opened: folders.Folder,
         first: founding.First,
     ) -> None:
--- a/libs/consensus/geraniumweir/consensus/tests/cluster.py
+++ b/libs/consensus/geraniumweir/consensus/tests/cluster.py
@@ -98,7 +98,7 @@
             lambda: f'{host_id}-{seed}',
         )
         machine = ListMachine()
-        surroundings = core.Surroundings(
+        surroundings = core.Environment(
             settings.Settings(host_id, **self.sizes),
             way,
             machine,
--- a/libs/control/geraniumweir/control/tests/bed.py
+++ b/libs/control/geraniumweir/control/tests/bed.py
@@ -215,7 +215,7 @@
         medium = self.media[str(place.folder)]
         found = await folder.open_folder(medium.disk, medium.run)
         machine = state.SystemState()
-        env = core.Surroundings(
+        env = core.Environment(
             settings.Settings(place.host_id),
             link,
             machine,
--- a/libs/fakes/geraniumweir/fakes/logcluster.py
+++ b/libs/fakes/geraniumweir/fakes/logcluster.py
@@ -53,7 +53,7 @@
         name: ids.Address('127.0.0.1', _BASE_PORT + place)
         for place, name in enumerate(HOSTS)
     }
-    env = core.Surroundings(
+    env = core.Environment(
         settings.Settings(host_id),
         network.join(host_id, first[host_id]),
         CountingMachine(),
--- a/libs/fakes/geraniumweir/fakes/slopes/consensus.py
+++ b/libs/fakes/geraniumweir/fakes/slopes/consensus.py
@@ -127,7 +127,7 @@
         way = self.network.join(host_id, first[host_id])
         delay = guard.VirtualDelay(_SYNC_SECONDS)
         opened = await folder.open_folder(disk, delay)
-        env = core.Surroundings(
+        env = core.Environment(
             settings.Settings(host_id),
             way,
             state.SystemState(),
