--- a/libs/configuration/geraniumweir/configuration/recordings.py
+++ b/libs/configuration/geraniumweir/configuration/recordings.py
@@ -9,7 +9,7 @@
 
 from geraniumweir.common import eventlog, ids
 from geraniumweir.configuration import state
-from geraniumweir.consensus import core, founding, recorder, settings
+from geraniumweir.consensus import core, bootstrap, recorder, settings
 from geraniumweir.store import disk, folder, guard
 from geraniumweir.wire import peers
 
@@ -25,7 +25,7 @@
 
     host_id: ids.HostId
     folder: pathlib.Path
-    first: founding.First
+    first: bootstrap.InitialRecorders
 
 
 class Recording:
--- a/libs/consensus/geraniumweir/consensus/founding.py
+++ b/libs/consensus/geraniumweir/consensus/bootstrap.py
@@ -15,10 +15,10 @@
 from geraniumweir.wire import errors as wire_errors
 from geraniumweir.wire.gen.consensus import ttypes
 
-First = typing.Mapping[ids.HostId, ids.Address]
+InitialRecorders = typing.Mapping[ids.HostId, ids.Address]
 
 
-async def found(this: core.Core, first: First) -> None:
+async def found(this: core.Core, first: InitialRecorders) -> None:
     """Found the log if that is this recorder's part; return when it's not.
 
     :param first: the first recorders and their addresses.
@@ -48,7 +48,7 @@
 
 def _tell_who_has_a_log(
     this: core.Core,
-    first: First,
+    first: InitialRecorders,
     answers: typing.Sequence[ttypes.Identified | None],
 ) -> bool:
     for host_id, answer in zip(first, answers):
@@ -76,7 +76,7 @@
 
 async def _write_first(
     this: core.Core,
-    first: First,
+    first: InitialRecorders,
     answers: typing.Sequence[ttypes.Identified | None],
 ) -> None:
     recorders = tuple(
--- a/libs/consensus/geraniumweir/consensus/handlers.py
+++ b/libs/consensus/geraniumweir/consensus/handlers.py
@@ -8,7 +8,7 @@
     core,
     errors,
     following,
-    founding,
+    bootstrap,
     handing,
     serving,
     voting,
@@ -50,7 +50,7 @@
     _ask: ttypes.Identify,
 ) -> ttypes.Identified:
     this.check_sound()
-    return founding.identified(this)
+    return bootstrap.identified(this)
 
 
 _HANDLERS: typing.Mapping[type, _Handler] = {
--- a/libs/consensus/geraniumweir/consensus/recorder.py
+++ b/libs/consensus/geraniumweir/consensus/recorder.py
@@ -9,7 +9,7 @@
     applying,
     changing,
     core,
-    founding,
+    bootstrap,
     handing,
     handlers,
     leading,
@@ -36,7 +36,7 @@
         self,
         env: core.Environment,
         opened: folders.Folder,
-        first: founding.First,
+        first: bootstrap.InitialRecorders,
     ) -> None:
         """Start nothing yet.
 
@@ -59,7 +59,7 @@
         handlers.register(this)
         this.spawn(applying.apply_committed(this))
         this.spawn(voting.watch(this))
-        this.spawn(founding.found(this, self._first))
+        this.spawn(bootstrap.found(this, self._first))
 
     async def stop(self) -> None:
         """Hand leadership on, then stop.
