--- a/libs/consensus/geraniumweir/consensus/client.py
+++ b/libs/consensus/geraniumweir/consensus/client.py
@@ -39,7 +39,7 @@
         self._known = list(recorders)
         self._timers = timers.TimerService()
 
-    def know(self, recorders: typing.Iterable[ids.HostId]) -> None:
+    def add_hosts(self, recorders: typing.Iterable[ids.HostId]) -> None:
         """Learn of more hosts that may be recorders."""
         new = set(recorders).difference(self._known)
         self._known.extend(sorted(new))
--- a/libs/control/geraniumweir/control/logaccess.py
+++ b/libs/control/geraniumweir/control/logaccess.py
@@ -58,7 +58,7 @@
         )
 
     def _learn(self) -> None:
-        self._client.know(host.host_id for host in self._known.known())
+        self._client.add_hosts(host.host_id for host in self._known.known())
         leader = self._log.leader()
         if leader:
             self._client.prefer(leader)
--- a/libs/daemon/geraniumweir/daemon/joined.py
+++ b/libs/daemon/geraniumweir/daemon/joined.py
@@ -229,7 +229,7 @@
     subscriptions = (
         joined.members.happenings.subscribe(member_reports.log),
         joined.members.changes.subscribe(
-            lambda _: joined.log.know(joined.neighbours.recorders()),
+            lambda _: joined.log.add_hosts(joined.neighbours.recorders()),
         ),
         joined.members.registry.changes.subscribe(
             lambda happened: _tell_leader(host, happened),
