--- a/libs/consensus/geraniumweir/consensus/core.py
+++ b/libs/consensus/geraniumweir/consensus/core.py
@@ -77,7 +77,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Heard:
+class LeaderContact:
     """What a recorder heard of leaders.
 
     :ivar committed: the highest index that one called committed.
@@ -117,7 +117,7 @@
     :ivar commit: all entries up to it are committed.
     :ivar applied: all entries up to it are in the state machine.
     :ivar quiet_since: when the election timeout began, in loop time.
-    :ivar heard: what leaders said.
+    :ivar leader_contact: what leaders said.
     :ivar changes: what is applied.
     :ivar saving: how far it is with its snapshots.
     :ivar incoming: what came so far of a snapshot that the leader sends.
@@ -136,7 +136,7 @@
         self.commit = watermarks.Watermark(newest.index)
         self.applied = watermarks.Watermark(newest.index)
         self.quiet_since = self.timers.now()
-        self.heard = Heard(committed=newest.index)
+        self.leader_contact = LeaderContact(committed=newest.index)
         self.changes: reactivex.Subject[machines.Change] = reactivex.Subject()
         self.saving = Saving()
         self.incoming = Incoming()
@@ -242,13 +242,13 @@
         """Tell whether a leader was heard within the election timeout."""
         if self.role is Role.leader:
             return True
-        silence = self.timers.now() - self.heard.at
+        silence = self.timers.now() - self.leader_contact.at
         return silence < self.env.cfg.election_min
 
     def note_caught_up(self) -> None:
         """Take that a message was heard or something was applied."""
-        if self.applied.height >= self.heard.committed:
-            self.heard.caught_up_at = self.heard.commit_at
+        if self.applied.height >= self.leader_contact.committed:
+            self.leader_contact.caught_up_at = self.leader_contact.commit_at
 
     def staleness(self) -> float:
         """Give since when something committed may be missing, in seconds.
@@ -259,7 +259,7 @@
         if self.reign is not None:
             started = self.applied.height >= self.reign.start_index
             return 0 if started else math.inf
-        return self.timers.now() - self.heard.caught_up_at
+        return self.timers.now() - self.leader_contact.caught_up_at
 
     def _enter_members(self, entry: entries.Entry) -> None:
         current = members.decode(entry.payload)
--- a/libs/consensus/geraniumweir/consensus/following.py
+++ b/libs/consensus/geraniumweir/consensus/following.py
@@ -30,8 +30,10 @@
     outcome = _hear(this, message)
     if outcome != ttypes.Outcome.done:
         return ttypes.AppendAnswer(this.term, outcome, 0)
-    this.heard.committed = max(this.heard.committed, message.commit)
-    this.heard.commit_at = this.heard.at
+    this.leader_contact.committed = max(
+        this.leader_contact.committed, message.commit
+    )
+    this.leader_contact.commit_at = this.leader_contact.at
     this.note_caught_up()
     hint = _place_for(this, message)
     if hint is not None:
@@ -71,7 +73,9 @@
     if outcome != ttypes.Outcome.done:
         return ttypes.PieceAnswer(this.term, outcome, 0, installed=False)
     # More may be committed by now than when the snapshot was taken.
-    this.heard.committed = max(this.heard.committed, piece.index)
+    this.leader_contact.committed = max(
+        this.leader_contact.committed, piece.index
+    )
     await this.folder.ballot.settle()
     if this.commit.height < piece.index:
         _collect(incoming, piece)
@@ -104,7 +108,7 @@
             term=message.term,
         )
     this.quiet_since = this.timers.now()
-    this.heard.at = this.quiet_since
+    this.leader_contact.at = this.quiet_since
     return ttypes.Outcome.done
 
 
--- a/libs/control/geraniumweir/control/recorders.py
+++ b/libs/control/geraniumweir/control/recorders.py
@@ -177,7 +177,7 @@
         eventlog.emit(
             logevents.RECORDER_BEHIND,
             applied=found.applied.height,
-            committed=found.heard.committed,
+            committed=found.leader_contact.committed,
         )
 
     async def _change_recorders(self, running: recordings.Recording) -> None:
