--- a/libs/consensus/geraniumweir/consensus/applying.py
+++ b/libs/consensus/geraniumweir/consensus/applying.py
@@ -72,9 +72,9 @@
 
 
 def _answer_waiter(this: core.Core, index: int, answer: bytes) -> None:
-    if this.reign is None:
+    if this.leader_state is None:
         return
-    fut = this.reign.waiters.pop(index, None)
+    fut = this.leader_state.waiters.pop(index, None)
     if fut is not None and not fut.done():
         fut.set_result(answer)
 
--- a/libs/consensus/geraniumweir/consensus/client.py
+++ b/libs/consensus/geraniumweir/consensus/client.py
@@ -87,7 +87,7 @@
         address: str = '',
         timeout: float = _TIMEOUT,
     ) -> None:
-        """Have the leader add a recorder; see :mod:`.changing`."""
+        """Have the leader add a recorder; see :mod:`.membership_change`."""
         kind = ttypes.ChangeKind.add
         await self._ask(
             lambda left: ttypes.ChangeRecorders(kind, host_id, address, left),
@@ -100,7 +100,7 @@
         host_id: ids.HostId,
         timeout: float = _TIMEOUT,
     ) -> None:
-        """Have the leader remove a recorder; see :mod:`.changing`."""
+        """Have the leader remove a recorder; see :mod:`.membership_change`."""
         kind = ttypes.ChangeKind.remove
         await self._ask(
             lambda left: ttypes.ChangeRecorders(kind, host_id, '', left),
--- a/libs/consensus/geraniumweir/consensus/core.py
+++ b/libs/consensus/geraniumweir/consensus/core.py
@@ -19,7 +19,7 @@
     logevents,
     machines,
     members,
-    reign,
+    leadership,
     settings,
     watermarks,
 )
@@ -131,7 +131,7 @@
         self.timers = timers.TimerService()
         self.role = Role.follower
         self.leader = members.RecorderId('')
-        self.reign: reign.Reign | None = None
+        self.leader_state: leadership.LeaderState | None = None
         self.history = _read_history(opened)
         self.commit = watermarks.Watermark(newest.index)
         self.applied = watermarks.Watermark(newest.index)
@@ -226,10 +226,10 @@
 
     def end_reign(self, reason: str) -> None:
         """Lead no more, if this recorder did."""
-        if self.reign is None:
+        if self.leader_state is None:
             return
-        ended = self.reign
-        self.reign = None
+        ended = self.leader_state
+        self.leader_state = None
         self.leader = members.RecorderId('')
         ended.end(reason)
         self.env.report(
@@ -256,8 +256,8 @@
         To hear a leader isn't enough: entries count here once this disk has
         synced them, and a leader that hears no answers sends none.
         """
-        if self.reign is not None:
-            started = self.applied.height >= self.reign.start_index
+        if self.leader_state is not None:
+            started = self.applied.height >= self.leader_state.start_index
             return 0 if started else math.inf
         return self.timers.now() - self.leader_contact.caught_up_at
 
--- a/libs/consensus/geraniumweir/consensus/following.py
+++ b/libs/consensus/geraniumweir/consensus/following.py
@@ -13,7 +13,7 @@
     core,
     logevents,
     members,
-    shipping,
+    snapshot_transfer,
 )
 from geraniumweir.store import entries, snapshots
 from geraniumweir.wire.gen.consensus import ttypes
@@ -167,7 +167,7 @@
 ) -> None:
     state = bytes(incoming.content)
     incoming.content = bytearray()
-    if shipping.checksum(state) != piece.checksum:
+    if snapshot_transfer.checksum(state) != piece.checksum:
         return
     snapshot = snapshots.Snapshot(
         piece.index,
--- a/libs/consensus/geraniumweir/consensus/handlers.py
+++ b/libs/consensus/geraniumweir/consensus/handlers.py
@@ -9,7 +9,7 @@
     errors,
     following,
     bootstrap,
-    handing,
+    leadership_transfer,
     serving,
     voting,
 )
@@ -57,7 +57,7 @@
     ttypes.AskVote: voting.answer_vote,
     ttypes.AppendEntries: following.take_entries,
     ttypes.SnapshotPiece: following.take_piece,
-    ttypes.CampaignNow: handing.take_over,
+    ttypes.CampaignNow: leadership_transfer.take_over,
     ttypes.Identify: _identify,
     ttypes.Propose: serving.answer_propose,
     ttypes.AskBarrier: serving.answer_barrier,
--- a/libs/consensus/geraniumweir/consensus/reign.py
+++ b/libs/consensus/geraniumweir/consensus/leadership.py
@@ -50,7 +50,7 @@
         self.next_index = self.match + 1
 
 
-class Reign:
+class LeaderState:
     """One leader's term.
 
     :ivar term: in which it leads.
@@ -60,7 +60,7 @@
     :ivar waiters: proposals that wait for their answer, by index.
     :ivar appended: set when the log has grown.
     :ivar closing: leadership is being handed on; nothing new is taken.
-    :ivar changing: held during a change of recorders.
+    :ivar membership_lock: held during a change of recorders.
     """
 
     def __init__(self, term: int, start_index: int) -> None:
@@ -71,7 +71,7 @@
         self.waiters: dict[int, asyncio.Future[bytes]] = {}
         self.appended = asyncio.Event()
         self.closing = False
-        self.changing = asyncio.Lock()
+        self.membership_lock = asyncio.Lock()
         self.ended = False
         self._moved = asyncio.Event()
         self._senders: dict[members.RecorderId, asyncio.Task[None]] = {}
--- a/libs/consensus/geraniumweir/consensus/handing.py
+++ b/libs/consensus/geraniumweir/consensus/leadership_transfer.py
@@ -8,7 +8,7 @@
 import asyncio
 import contextlib
 
-from geraniumweir.consensus import core, reign, voting
+from geraniumweir.consensus import core, leadership, voting
 from geraniumweir.wire.gen.consensus import ttypes
 
 
@@ -20,7 +20,7 @@
 
     :returns: whether this recorder leads no more.
     """
-    led = this.reign
+    led = this.leader_state
     if led is None:
         return True
     led.closing = True
@@ -40,7 +40,7 @@
         await voting.campaign(this, transfer=True)
 
 
-async def _hand_on(this: core.Core, led: reign.Reign) -> None:
+async def _hand_on(this: core.Core, led: leadership.LeaderState) -> None:
     while not led.ended:
         target = _furthest(this, led)
         if target and target.match == this.folder.log.last.index:
@@ -53,12 +53,14 @@
             await led.move()
 
 
-async def _until_ended(led: reign.Reign) -> None:
+async def _until_ended(led: leadership.LeaderState) -> None:
     while not led.ended:
         await led.move()
 
 
-def _furthest(this: core.Core, led: reign.Reign) -> reign.Progress | None:
+def _furthest(
+    this: core.Core, led: leadership.LeaderState
+) -> leadership.Progress | None:
     voters = [
         progress
         for identity, progress in led.progress.items()
@@ -67,5 +69,5 @@
     return max(voters, key=_match, default=None)
 
 
-def _match(progress: reign.Progress) -> int:
+def _match(progress: leadership.Progress) -> int:
     return progress.match
--- a/libs/consensus/geraniumweir/consensus/leading.py
+++ b/libs/consensus/geraniumweir/consensus/leading.py
@@ -15,7 +15,7 @@
     errors,
     logevents,
     machines,
-    reign,
+    leadership,
     replication,
 )
 from geraniumweir.store import entries
@@ -28,15 +28,15 @@
     start = this.folder.log.last.index + 1
     this.role = core.Role.leader
     this.leader = this.identity
-    this.reign = reign.Reign(term, start)
+    this.leader_state = leadership.LeaderState(term, start)
     this.env.report(logevents.LEADS, term=term, index=start)
-    append(this, this.reign, machines.Kind.term_start, b'')
-    follow_members(this, this.reign)
-    this.reign.keep(this.spawn(_sync_appended(this, this.reign)))
-    this.reign.keep(this.spawn(_watch_majority(this, this.reign)))
+    append(this, this.leader_state, machines.Kind.term_start, b'')
+    follow_members(this, this.leader_state)
+    this.leader_state.keep(this.spawn(_sync_appended(this, this.leader_state)))
+    this.leader_state.keep(this.spawn(_watch_majority(this, this.leader_state)))
 
 
-def current(this: core.Core) -> reign.Reign:
+def current(this: core.Core) -> leadership.LeaderState:
     """Give the reign of this recorder.
 
     :raises errors.NotLeaderError: when another one leads.
@@ -44,8 +44,8 @@
     :raises errors.RecorderFailedError: when this one stopped for good.
     """
     this.check_sound()
-    if this.reign is not None and not this.reign.closing:
-        return this.reign
+    if this.leader_state is not None and not this.leader_state.closing:
+        return this.leader_state
     leader = this.history.current.find(this.leader)
     if leader is None or leader.identity == this.identity:
         raise errors.NoQuorumError('no recorder is known to lead')
@@ -58,7 +58,7 @@
 
 def append(
     this: core.Core,
-    led: reign.Reign,
+    led: leadership.LeaderState,
     kind: machines.Kind,
     payload: bytes,
 ) -> int:
@@ -128,14 +128,14 @@
 
 async def until_committed(
     this: core.Core,
-    led: reign.Reign,
+    led: leadership.LeaderState,
     index: int,
 ) -> None:
     while this.commit.height < index and not led.ended:
         await led.move()
 
 
-def follow_members(this: core.Core, led: reign.Reign) -> None:
+def follow_members(this: core.Core, led: leadership.LeaderState) -> None:
     """Send entries to all current recorders, and to no others."""
     recorders = this.history.current.recorders
     wanted = {member.identity: member for member in recorders}
@@ -144,7 +144,7 @@
         led.drop(gone)
     for identity in set(wanted) - set(led.progress):
         next_index = this.folder.log.last.index + 1
-        progress = reign.Progress(
+        progress = leadership.Progress(
             wanted[identity],
             next_index,
             since=this.timers.now(),
@@ -153,7 +153,7 @@
         led.keep_sender(progress, this.spawn(sender))
 
 
-def majority_contact(this: core.Core, led: reign.Reign) -> float:
+def majority_contact(this: core.Core, led: leadership.LeaderState) -> float:
     """Tell since when a majority is known to have followed."""
     times = [
         this.timers.now()
@@ -165,7 +165,7 @@
     return times[this.history.current.majority - 1]
 
 
-async def _sync_appended(this: core.Core, led: reign.Reign) -> None:
+async def _sync_appended(this: core.Core, led: leadership.LeaderState) -> None:
     """Make the leader's own copy durable; many proposals share an fsync."""
     while True:
         await led.appended.wait()
@@ -174,7 +174,7 @@
         replication.count_copies(this, led)
 
 
-async def _watch_majority(this: core.Core, led: reign.Reign) -> None:
+async def _watch_majority(this: core.Core, led: leadership.LeaderState) -> None:
     """Step down when no majority is heard within an election timeout."""
     cfg = this.env.cfg
     began = this.timers.now()
--- a/libs/consensus/geraniumweir/consensus/changing.py
+++ b/libs/consensus/geraniumweir/consensus/membership_change.py
@@ -19,11 +19,11 @@
 from geraniumweir.consensus import (
     core,
     errors,
-    handing,
+    leadership_transfer,
     leading,
     machines,
     members,
-    reign,
+    leadership,
 )
 from geraniumweir.wire import errors as wire_errors
 from geraniumweir.wire.gen.consensus import ttypes
@@ -76,7 +76,7 @@
 
 async def _learner(
     this: core.Core,
-    led: reign.Reign,
+    led: leadership.LeaderState,
     host_id: ids.HostId,
     address: str,
     timeout: float,
@@ -113,16 +113,16 @@
             left = this.history.current.without(member.identity)
             _check_majority(this, led, left)
             if member.identity == this.identity:
-                await handing.hand_on(this)
+                await leadership_transfer.hand_on(this)
                 leading.current(this)
                 raise errors.RefusedError('nobody took over leadership')
             await _change(this, led, left, timeout)
 
 
-def _one_change(led: reign.Reign) -> asyncio.Lock:
-    if led.changing.locked():
+def _one_change(led: leadership.LeaderState) -> asyncio.Lock:
+    if led.membership_lock.locked():
         raise errors.RefusedError('another change of recorders is under way')
-    return led.changing
+    return led.membership_lock
 
 
 async def _identify(
@@ -144,7 +144,7 @@
 
 async def _change(
     this: core.Core,
-    led: reign.Reign,
+    led: leadership.LeaderState,
     wanted: members.Members,
     timeout: float,
 ) -> None:
@@ -170,7 +170,7 @@
 
 async def _catch_up(
     this: core.Core,
-    led: reign.Reign,
+    led: leadership.LeaderState,
     identity: members.RecorderId,
     timeout: float,
 ) -> None:
@@ -190,7 +190,7 @@
 
 async def _drop_others(
     this: core.Core,
-    led: reign.Reign,
+    led: leadership.LeaderState,
     member: members.Member,
     lost: ids.HostId | None,
     timeout: float,
@@ -206,7 +206,7 @@
 
 async def _promote(
     this: core.Core,
-    led: reign.Reign,
+    led: leadership.LeaderState,
     identity: members.RecorderId,
     timeout: float,
 ) -> None:
@@ -220,7 +220,7 @@
 
 def _check_majority(
     this: core.Core,
-    led: reign.Reign,
+    led: leadership.LeaderState,
     left: members.Members,
 ) -> None:
     """Refuse to remove a recorder that the majority can't spare."""
--- a/libs/consensus/geraniumweir/consensus/recorder.py
+++ b/libs/consensus/geraniumweir/consensus/recorder.py
@@ -7,10 +7,10 @@
 from geraniumweir.common import ids
 from geraniumweir.consensus import (
     applying,
-    changing,
+    membership_change,
     core,
     bootstrap,
-    handing,
+    leadership_transfer,
     handlers,
     leading,
     machines,
@@ -67,7 +67,7 @@
         After this :meth:`geraniumweir.store.guard.OneThread.close` waits for
         the last write, and then the disk may be closed.
         """
-        await handing.hand_on(self.core)
+        await leadership_transfer.hand_on(self.core)
         self.kill()
 
     def kill(self) -> None:
@@ -114,7 +114,7 @@
         :raises errors.UncertainError: when it takes too long; a repeat goes
             on where this one ended.
         """
-        await changing.add(self.core, host_id, address, timeout)
+        await membership_change.add(self.core, host_id, address, timeout)
 
     async def remove_recorder(
         self,
@@ -126,7 +126,7 @@
         :raises errors.RefusedError: when the others that answer are no
             majority.
         """
-        await changing.remove(self.core, host_id, timeout)
+        await membership_change.remove(self.core, host_id, timeout)
 
     async def take_snapshot(self) -> int:
         """Write a snapshot now and compact the log; gives its index."""
@@ -144,7 +144,7 @@
         :raises errors.RefusedError: as :meth:`add_recorder`.
         :raises errors.UncertainError: as :meth:`add_recorder`.
         """
-        await changing.learn(self.core, host_id, address, timeout)
+        await membership_change.learn(self.core, host_id, address, timeout)
 
     async def replace_recorder(
         self,
@@ -158,7 +158,7 @@
         :raises errors.RefusedError: as :meth:`add_recorder`.
         :raises errors.UncertainError: as :meth:`add_recorder`.
         """
-        await changing.add(self.core, host_id, address, timeout, lost)
+        await membership_change.add(self.core, host_id, address, timeout, lost)
 
     @property
     def identity(self) -> members.RecorderId:
--- a/libs/consensus/geraniumweir/consensus/replication.py
+++ b/libs/consensus/geraniumweir/consensus/replication.py
@@ -7,7 +7,12 @@
 import asyncio
 import contextlib
 
-from geraniumweir.consensus import core, logevents, reign, shipping
+from geraniumweir.consensus import (
+    core,
+    logevents,
+    leadership,
+    snapshot_transfer,
+)
 from geraniumweir.store import entries
 from geraniumweir.wire import errors as wire_errors
 from geraniumweir.wire.gen.consensus import ttypes
@@ -15,20 +20,20 @@
 
 async def replicate(
     this: core.Core,
-    led: reign.Reign,
-    progress: reign.Progress,
+    led: leadership.LeaderState,
+    progress: leadership.Progress,
 ) -> None:
     """Keep one recorder up to date for as long as the reign lasts."""
     while not led.ended:
         before = progress.next_index - 1
         if this.folder.log.term_at(before) is None:
-            await shipping.ship_snapshot(this, led, progress)
+            await snapshot_transfer.ship_snapshot(this, led, progress)
         else:
             _send(this, led, progress)
         await _wait_for_work(this, progress)
 
 
-def count_copies(this: core.Core, led: reign.Reign) -> None:
+def count_copies(this: core.Core, led: leadership.LeaderState) -> None:
     """Commit what a majority holds."""
     if led.ended:
         return
@@ -52,7 +57,7 @@
     )
 
 
-def _majority_match(this: core.Core, led: reign.Reign) -> int:
+def _majority_match(this: core.Core, led: leadership.LeaderState) -> int:
     copies = [
         this.folder.log.synced_index
         if member.identity == this.identity
@@ -65,8 +70,8 @@
 
 def _send(
     this: core.Core,
-    led: reign.Reign,
-    progress: reign.Progress,
+    led: leadership.LeaderState,
+    progress: leadership.Progress,
 ) -> None:
     cfg = this.env.cfg
     log = this.folder.log
@@ -90,7 +95,9 @@
     led.keep_message(this.spawn(_exchange(this, led, progress, message)))
 
 
-async def _wait_for_work(this: core.Core, progress: reign.Progress) -> None:
+async def _wait_for_work(
+    this: core.Core, progress: leadership.Progress
+) -> None:
     """Return when there is something to send, at the latest at a heartbeat."""
     cfg = this.env.cfg
     due = this.timers.now() + cfg.heartbeat
@@ -106,7 +113,7 @@
                 await progress.wake.wait()
 
 
-def _has_work(this: core.Core, progress: reign.Progress) -> bool:
+def _has_work(this: core.Core, progress: leadership.Progress) -> bool:
     if progress.nudged:
         return True
     more = progress.next_index <= this.folder.log.last.index
@@ -115,8 +122,8 @@
 
 async def _exchange(
     this: core.Core,
-    led: reign.Reign,
-    progress: reign.Progress,
+    led: leadership.LeaderState,
+    progress: leadership.Progress,
     message: ttypes.AppendEntries,
 ) -> None:
     sent_at = this.timers.now()
@@ -138,8 +145,8 @@
 
 def _take_answer(
     this: core.Core,
-    led: reign.Reign,
-    progress: reign.Progress,
+    led: leadership.LeaderState,
+    progress: leadership.Progress,
     answer: ttypes.AppendAnswer,
     sent_at: float,
 ) -> None:
@@ -157,14 +164,14 @@
             this.enter_term(answer.term, 'a newer term was met')
 
 
-def _note_match(progress: reign.Progress, index: int) -> None:
+def _note_match(progress: leadership.Progress, index: int) -> None:
     progress.match = max(progress.match, index)
     progress.next_index = max(progress.next_index, progress.match + 1)
     progress.probing = False
     progress.replaced = False
 
 
-def _go_back(progress: reign.Progress, index: int) -> None:
+def _go_back(progress: leadership.Progress, index: int) -> None:
     wanted = min(progress.next_index, index)
     progress.next_index = max(wanted, progress.match + 1)
     progress.probing = True
@@ -173,7 +180,7 @@
         progress.nudge()
 
 
-def note_replaced(this: core.Core, progress: reign.Progress) -> None:
+def note_replaced(this: core.Core, progress: leadership.Progress) -> None:
     """Note that a host's data folder is not the one that was added."""
     progress.back_up()
     if progress.replaced:
--- a/libs/consensus/geraniumweir/consensus/serving.py
+++ b/libs/consensus/geraniumweir/consensus/serving.py
@@ -6,7 +6,7 @@
 
 from geraniumweir.common import ids
 from geraniumweir.consensus import (
-    changing,
+    membership_change,
     core,
     errors,
     leading,
@@ -98,9 +98,9 @@
 
     :param at: in loop time.
     """
-    if this.reign is None:
+    if this.leader_state is None:
         return False
-    return leading.majority_contact(this, this.reign) >= at
+    return leading.majority_contact(this, this.leader_state) >= at
 
 
 async def barrier(this: core.Core, timeout: float) -> int:
@@ -163,9 +163,9 @@
     host_id = ids.HostId(ask.host_id)
     if ask.kind == ttypes.ChangeKind.add:
         return await _verdict(
-            changing.add(this, host_id, ask.address, timeout),
+            membership_change.add(this, host_id, ask.address, timeout),
         )
-    return await _verdict(changing.remove(this, host_id, timeout))
+    return await _verdict(membership_change.remove(this, host_id, timeout))
 
 
 async def answer_entries(
@@ -269,9 +269,9 @@
 def _row(this: core.Core, member: members.Member) -> RecorderRow:
     if member.identity == this.identity:
         return RecorderRow(member, this.folder.log.synced_index, True)
-    if this.reign is None:
+    if this.leader_state is None:
         return RecorderRow(member, 0, False)
-    progress = this.reign.progress[member.identity]
+    progress = this.leader_state.progress[member.identity]
     silence = this.timers.now() - progress.contact
     reachable = silence <= this.env.cfg.election_max
     # One that was added a moment ago hasn't been silent for longer.
--- a/libs/consensus/geraniumweir/consensus/shipping.py
+++ b/libs/consensus/geraniumweir/consensus/snapshot_transfer.py
@@ -11,7 +11,7 @@
 import asyncio
 
 import xxhash
-from geraniumweir.consensus import core, logevents, reign
+from geraniumweir.consensus import core, logevents, leadership
 from geraniumweir.store import snapshots
 from geraniumweir.wire import errors as wire_errors
 from geraniumweir.wire.gen.consensus import ttypes
@@ -21,8 +21,8 @@
 
 async def ship_snapshot(
     this: core.Core,
-    led: reign.Reign,
-    progress: reign.Progress,
+    led: leadership.LeaderState,
+    progress: leadership.Progress,
 ) -> None:
     """Send the newest snapshot; return when it is installed or lost."""
     newest = this.folder.snapshots.newest
@@ -52,7 +52,7 @@
 
 async def _call(
     this: core.Core,
-    progress: reign.Progress,
+    progress: leadership.Progress,
     piece: ttypes.SnapshotPiece,
 ) -> ttypes.PieceAnswer | None:
     try:
@@ -67,8 +67,8 @@
 
 def _piece(
     this: core.Core,
-    led: reign.Reign,
-    progress: reign.Progress,
+    led: leadership.LeaderState,
+    progress: leadership.Progress,
     newest: snapshots.Snapshot,
     offset: int,
 ) -> ttypes.SnapshotPiece:
@@ -90,7 +90,7 @@
 
 def _note_installed(
     this: core.Core,
-    progress: reign.Progress,
+    progress: leadership.Progress,
     newest: snapshots.Snapshot,
 ) -> None:
     progress.match = max(progress.match, newest.index)
