--- a/libs/consensus/geraniumweir/consensus/__init__.py
+++ b/libs/consensus/geraniumweir/consensus/__init__.py
@@ -1,8 +1,9 @@
-"""One replicated log on the recorders, in the manner of Raft.
+"""A replicated log that uses the Raft consensus algorithm.
 
-Each recorder is a :class:`geraniumweir.consensus.recorder.Recorder`; every
-other host reaches the log by :class:`geraniumweir.consensus.client.LogClient`.
-What a command means is the matter of the state machine given to the recorder.
+Each replica of the log is a
+:class:`geraniumweir.consensus.recorder.Recorder`; every other host accesses
+the log through :class:`geraniumweir.consensus.client.LogClient`. Commands are
+opaque to the log: the state machine given to the recorder interprets them.
 
 References
 ==========
--- a/libs/consensus/geraniumweir/consensus/applying.py
+++ b/libs/consensus/geraniumweir/consensus/applying.py
@@ -14,20 +14,22 @@
     if newest.index:
         this.env.machine.restore(newest.state)
     if this.folder.cut:
-        this.env.report(logevents.TAIL_CUT, lost=this.folder.cut)
+        this.env.report(logevents.TORN_WRITE_REMOVED, lost=this.folder.cut)
 
 
 async def apply_committed(this: core.Core) -> None:
     """Apply entries as they are committed, for as long as this one runs."""
     while True:
         await this.commit.reach(this.applied.height + 1)
-        _apply_some(this)
+        _apply_batch(this)
         _start_snapshot(this)
         # A long way to catch up mustn't hold up heartbeats.
         await asyncio.sleep(0)
 
 
-async def jump(this: core.Core, snapshot: snapshots.Snapshot) -> None:
+async def install_snapshot(
+    this: core.Core, snapshot: snapshots.Snapshot
+) -> None:
     """Go on from a snapshot that the leader sent and that is durable."""
     if snapshot.index <= this.applied.height:
         return
@@ -41,13 +43,13 @@
     this.env.machine.restore(snapshot.state)
     this.applied.raise_to(snapshot.index)
     this.commit.raise_to(snapshot.index)
-    this.note_caught_up()
+    this.update_caught_up()
     this.changes.on_next(machines.Restored(snapshot.index))
     this.env.report(logevents.SNAPSHOT_INSTALLED, index=snapshot.index)
     await this.folder.log.sync()
 
 
-def _apply_some(this: core.Core) -> None:
+def _apply_batch(this: core.Core) -> None:
     left = this.commit.height - this.applied.height
     batch = this.folder.log.read(
         this.applied.height,
@@ -57,9 +59,9 @@
     for entry in batch:
         answer = _apply(this, entry)
         this.applied.raise_to(entry.index)
-        this.saving.unsaved_bytes += len(entry.payload)
+        this.snapshot_progress.unsaved_bytes += len(entry.payload)
         _answer_waiter(this, entry.index, answer)
-    this.note_caught_up()
+    this.update_caught_up()
 
 
 def _apply(this: core.Core, entry: entries.Entry) -> bytes:
@@ -72,16 +74,16 @@
 
 
 def _answer_waiter(this: core.Core, index: int, answer: bytes) -> None:
-    if this.leader_state is None:
+    if this.leadership is None:
         return
-    fut = this.leader_state.waiters.pop(index, None)
+    fut = this.leadership.waiters.pop(index, None)
     if fut is not None and not fut.done():
         fut.set_result(answer)
 
 
 def _start_snapshot(this: core.Core) -> None:
-    if not this.saving.under_way and _is_snapshot_due(this):
-        this.saving.under_way = True
+    if not this.snapshot_progress.in_progress and _is_snapshot_due(this):
+        this.snapshot_progress.in_progress = True
         this.spawn(_take_snapshot(this))
 
 
@@ -90,14 +92,14 @@
     late = this.applied.height - this.folder.snapshots.newest.index
     if late >= cfg.snapshot_entries:
         return True
-    return this.saving.unsaved_bytes >= cfg.snapshot_bytes
+    return this.snapshot_progress.unsaved_bytes >= cfg.snapshot_bytes
 
 
 async def _take_snapshot(this: core.Core) -> None:
     try:
         await take_snapshot(this)
     finally:
-        this.saving.under_way = False
+        this.snapshot_progress.in_progress = False
 
 
 async def take_snapshot(this: core.Core) -> int:
@@ -106,7 +108,7 @@
     :returns: the index of the last entry that the snapshot covers.
     """
     index = this.applied.height
-    this.saving.unsaved_bytes = 0
+    this.snapshot_progress.unsaved_bytes = 0
     snapshot = snapshots.Snapshot(
         index,
         this.folder.log.term_at(index) or 0,
@@ -119,11 +121,11 @@
         size=len(snapshot.state),
         index=index,
     )
-    this.history.forget_before(index)
-    kept = this.folder.log.start_of_tail(
+    this.history.discard_before(index)
+    compact_index = this.folder.log.start_of_tail(
         index,
         this.env.cfg.trailing_entries,
         this.env.cfg.trailing_bytes,
     )
-    await this.folder.log.compact_to(kept)
+    await this.folder.log.compact_to(compact_index)
     return index
--- a/libs/consensus/geraniumweir/consensus/bootstrap.py
+++ b/libs/consensus/geraniumweir/consensus/bootstrap.py
@@ -18,7 +18,7 @@
 InitialRecorders = typing.Mapping[ids.HostId, ids.Address]
 
 
-async def found(this: core.Core, first: InitialRecorders) -> None:
+async def bootstrap_log(this: core.Core, first: InitialRecorders) -> None:
     """Found the log if that is this recorder's part; return when it's not.
 
     :param first: the first recorders and their addresses.
@@ -26,13 +26,13 @@
     own = this.env.cfg.host_id
     if not first or own != min(first):
         return
-    told = False
+    reported = False
     while is_blank(this):
         answers = [await _identify(this, host_id) for host_id in first]
         if all(answer and answer.blank for answer in answers):
-            await _write_first(this, first, answers)
+            await _write_first_entry(this, first, answers)
             return
-        told = told or _tell_who_has_a_log(this, first, answers)
+        reported = reported or _report_existing_log(this, first, answers)
         await asyncio.sleep(this.env.cfg.heartbeat)
 
 
@@ -46,7 +46,7 @@
     return ttypes.Identified(this.identity, is_blank(this))
 
 
-def _tell_who_has_a_log(
+def _report_existing_log(
     this: core.Core,
     first: InitialRecorders,
     answers: typing.Sequence[ttypes.Identified | None],
@@ -74,7 +74,7 @@
         return None
 
 
-async def _write_first(
+async def _write_first_entry(
     this: core.Core,
     first: InitialRecorders,
     answers: typing.Sequence[ttypes.Identified | None],
@@ -84,7 +84,7 @@
         for host_id, answer in zip(first, answers)
         if answer is not None
     )
-    founded = members.Members(this.identity, recorders)
+    initial = members.Members(this.identity, recorders)
     if not is_blank(this):
         return
     this.enter_term(1, 'founds the log')
@@ -92,9 +92,9 @@
         1,
         this.term,
         machines.Kind.members,
-        members.encode(founded),
+        members.encode(initial),
     )
     this.append([first_entry])
-    await this.folder.ballot.settle()
+    await this.folder.ballot.wait_durable()
     await this.folder.log.sync()
-    this.env.report(logevents.FOUNDED, recorders=list(first))
+    this.env.report(logevents.BOOTSTRAPPED, recorders=list(first))
--- a/libs/consensus/geraniumweir/consensus/client.py
+++ b/libs/consensus/geraniumweir/consensus/client.py
@@ -14,12 +14,12 @@
 from geraniumweir.wire import peers
 from geraniumweir.wire.gen.consensus import ttypes
 
-_MS = 1000
-_TIMEOUT = 2.0
-_PAUSE = 0.05
+_MS_PER_SECOND = 1000
+_TIMEOUT_SECONDS = 2.0
+_RETRY_PAUSE_SECONDS = 0.05
 # One recorder is given this long before the next is tried.
-_PATIENCE = 0.7
-_MakeAsk = typing.Callable[[int], peers.Message]
+_RECORDER_TIMEOUT_SECONDS = 0.7
+_MakeRequest = typing.Callable[[int], peers.Message]
 
 
 class LogClient:
@@ -27,15 +27,15 @@
 
     def __init__(
         self,
-        way: peers.Peers,
+        peer_layer: peers.Peers,
         recorders: typing.Iterable[ids.HostId],
     ) -> None:
         """Know some recorders.
 
-        :param way: the peer layer, which knows where they listen.
+        :param peer_layer: the peer layer, which knows where they listen.
         :param recorders: hosts to try first; more are learnt from answers.
         """
-        self._peers = way
+        self._peers = peer_layer
         self._known = list(recorders)
         self._timers = timers.TimerService()
 
@@ -52,7 +52,7 @@
     async def propose(
         self,
         command: bytes,
-        timeout: float = _TIMEOUT,
+        timeout: float = _TIMEOUT_SECONDS,
     ) -> bytes:
         """Have a command applied, at least once if it is applied at all.
 
@@ -63,20 +63,20 @@
         :raises errors.UncertainError: when one may have.
         :raises errors.RefusedError: never for a command.
         """
-        answer = await self._ask(
-            lambda left: ttypes.Propose(command, left),
+        answer = await self._request(
+            lambda remaining: ttypes.Propose(command, remaining),
             timeout,
         )
         return answer.answer
 
-    async def read_barrier(self, timeout: float = _TIMEOUT) -> int:
+    async def read_barrier(self, timeout: float = _TIMEOUT_SECONDS) -> int:
         """Give an index at or behind all that was answered before.
 
         :param timeout: in seconds.
         :raises errors.NoQuorumError: when no leader could be reached.
         """
         try:
-            answer = await self._ask(ttypes.AskBarrier, timeout)
+            answer = await self._request(ttypes.AskBarrier, timeout)
         except errors.UncertainError as exc:
             raise errors.NoQuorumError(exc.message) from exc
         return answer.index
@@ -85,12 +85,14 @@
         self,
         host_id: ids.HostId,
         address: str = '',
-        timeout: float = _TIMEOUT,
+        timeout: float = _TIMEOUT_SECONDS,
     ) -> None:
         """Have the leader add a recorder; see :mod:`.membership_change`."""
         kind = ttypes.ChangeKind.add
-        await self._ask(
-            lambda left: ttypes.ChangeRecorders(kind, host_id, address, left),
+        await self._request(
+            lambda remaining: ttypes.ChangeRecorders(
+                kind, host_id, address, remaining
+            ),
             timeout,
             timeout,
         )
@@ -98,12 +100,14 @@
     async def remove_recorder(
         self,
         host_id: ids.HostId,
-        timeout: float = _TIMEOUT,
+        timeout: float = _TIMEOUT_SECONDS,
     ) -> None:
         """Have the leader remove a recorder; see :mod:`.membership_change`."""
         kind = ttypes.ChangeKind.remove
-        await self._ask(
-            lambda left: ttypes.ChangeRecorders(kind, host_id, '', left),
+        await self._request(
+            lambda remaining: ttypes.ChangeRecorders(
+                kind, host_id, '', remaining
+            ),
             timeout,
             timeout,
         )
@@ -111,7 +115,7 @@
     async def status(
         self,
         host_id: ids.HostId,
-        timeout: float = _TIMEOUT,
+        timeout: float = _TIMEOUT_SECONDS,
     ) -> ttypes.StatusAnswer:
         """Ask one recorder for its view.
 
@@ -124,15 +128,15 @@
         host_id: ids.HostId,
         after: int,
         limit: int,
-        timeout: float = _TIMEOUT,
+        timeout: float = _TIMEOUT_SECONDS,
     ) -> ttypes.EntriesAnswer:
         """Read committed entries from any recorder.
 
         :raises errors.CompactedError: when only a snapshot has them any more.
         :raises errors.NoQuorumError: when it doesn't answer.
         """
-        ask = ttypes.ReadEntries(after, limit)
-        answer = await self._call(host_id, ask, timeout)
+        request = ttypes.ReadEntries(after, limit)
+        answer = await self._call(host_id, request, timeout)
         if answer.compacted:
             raise errors.CompactedError(f'entries behind {after}')
         return answer
@@ -140,7 +144,7 @@
     async def fetch_snapshot(
         self,
         host_id: ids.HostId,
-        timeout: float = _TIMEOUT,
+        timeout: float = _TIMEOUT_SECONDS,
     ) -> tuple[int, bytes]:
         """Read a recorder's newest snapshot, piece by piece.
 
@@ -151,8 +155,8 @@
         index = 0
         state = b''
         while True:
-            ask = ttypes.FetchSnapshot(index, len(state))
-            piece = await self._call(host_id, ask, timeout)
+            request = ttypes.FetchSnapshot(index, len(state))
+            piece = await self._call(host_id, request, timeout)
             # Another snapshot took its place meanwhile: start again.
             state = state if piece.offset else b''
             index = piece.index
@@ -163,56 +167,58 @@
     async def _call(
         self,
         host_id: ids.HostId,
-        ask: peers.Message,
+        request: peers.Message,
         timeout: float,
     ) -> peers.Message:
         try:
-            return await self._peers.call(host_id, ask, timeout)
+            return await self._peers.call(host_id, request, timeout)
         except wire_errors.PeerError as exc:
             raise errors.NoQuorumError(f'{host_id}: {exc}') from exc
 
-    async def _ask(
+    async def _request(
         self,
-        make_ask: _MakeAsk,
+        make_request: _MakeRequest,
         timeout: float,
-        patience: float = _PATIENCE,
+        recorder_timeout: float = _RECORDER_TIMEOUT_SECONDS,
     ) -> ttypes.ProposeAnswer:
         """Try recorders until one has done it or time is up."""
-        until = self._timers.now() + timeout
+        deadline = self._timers.now() + timeout
         uncertain = False
         reason = 'no recorder is known'
-        tries = 0
+        attempts = 0
         while self._known:
-            left = until - self._timers.now()
-            if left <= 0:
+            remaining = deadline - self._timers.now()
+            if remaining <= 0:
                 break
-            answer = await self._try(make_ask, min(left, patience))
+            answer = await self._try(
+                make_request, min(remaining, recorder_timeout)
+            )
             if _is_final(answer):
                 return answer
             uncertain |= answer.verdict == ttypes.Verdict.uncertain
             reason = answer.reason
-            tries += 1
-            self._turn_to(answer)
-            if tries % len(self._known) == 0:
-                await asyncio.sleep(_PAUSE)
+            attempts += 1
+            self._choose_next(answer)
+            if attempts % len(self._known) == 0:
+                await asyncio.sleep(_RETRY_PAUSE_SECONDS)
         if uncertain:
             raise errors.UncertainError(reason)
         raise errors.NoQuorumError(reason)
 
     async def _try(
         self,
-        make_ask: _MakeAsk,
+        make_request: _MakeRequest,
         seconds: float,
     ) -> ttypes.ProposeAnswer:
-        ask = make_ask(max(int(seconds * _MS), 1))
+        request = make_request(max(int(seconds * _MS_PER_SECOND), 1))
         try:
-            return await self._peers.call(self._known[0], ask, seconds)
+            return await self._peers.call(self._known[0], request, seconds)
         except wire_errors.UnreachableError as exc:
             return _failed(ttypes.Verdict.no_quorum, exc)
         except wire_errors.PeerError as exc:
             return _failed(ttypes.Verdict.uncertain, exc)
 
-    def _turn_to(self, answer: ttypes.ProposeAnswer) -> None:
+    def _choose_next(self, answer: ttypes.ProposeAnswer) -> None:
         """Go to the leader that was named, or else to the next."""
         if answer.verdict != ttypes.Verdict.not_leader:
             self._known.append(self._known.pop(0))
--- a/libs/consensus/geraniumweir/consensus/core.py
+++ b/libs/consensus/geraniumweir/consensus/core.py
@@ -61,19 +61,19 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Incoming:
+class IncomingSnapshot:
     """A snapshot that is being received.
 
     :ivar leader: who sends it.
     :ivar index: of the last entry that it covers.
     :ivar content: what came so far.
-    :ivar taking: held while a piece is taken.
+    :ivar lock: held while a piece is taken.
     """
 
     leader: str = ''
     index: int = 0
     content: bytearray = dataclasses.field(default_factory=bytearray)
-    taking: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
+    lock: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
 
 
 @dataclasses.dataclass(slots=True)
@@ -81,27 +81,27 @@
     """What a recorder heard of leaders.
 
     :ivar committed: the highest index that one called committed.
-    :ivar at: when one was last heard, in loop time.
-    :ivar commit_at: when one last told how much is committed, in loop time.
+    :ivar last_seen_at: when the last message arrived, in loop time.
+    :ivar commit_seen_at: when one last told how much is committed, in loop time.
     :ivar caught_up_at: when one last told so and nothing committed wasn't
         applied here, in loop time.
     """
 
     committed: int
-    at: float = -math.inf
-    commit_at: float = -math.inf
+    last_seen_at: float = -math.inf
+    commit_seen_at: float = -math.inf
     caught_up_at: float = -math.inf
 
 
 @dataclasses.dataclass(slots=True)
-class Saving:
+class SnapshotProgress:
     """How far a recorder is with its snapshots.
 
-    :ivar under_way: one is being taken.
+    :ivar in_progress: one is being taken.
     :ivar unsaved_bytes: of entries applied since it last took one.
     """
 
-    under_way: bool = False
+    in_progress: bool = False
     unsaved_bytes: int = 0
 
 
@@ -116,10 +116,10 @@
     :ivar history: who the recorders are.
     :ivar commit: all entries up to it are committed.
     :ivar applied: all entries up to it are in the state machine.
-    :ivar quiet_since: when the election timeout began, in loop time.
+    :ivar election_timer_reset_at: when the election timeout began, in loop time.
     :ivar leader_contact: what leaders said.
     :ivar changes: what is applied.
-    :ivar saving: how far it is with its snapshots.
+    :ivar snapshot_progress: how far it is with its snapshots.
     :ivar incoming: what came so far of a snapshot that the leader sends.
     """
 
@@ -131,15 +131,15 @@
         self.timers = timers.TimerService()
         self.role = Role.follower
         self.leader = members.RecorderId('')
-        self.leader_state: leadership.LeaderState | None = None
+        self.leadership: leadership.LeaderState | None = None
         self.history = _read_history(opened)
         self.commit = watermarks.Watermark(newest.index)
         self.applied = watermarks.Watermark(newest.index)
-        self.quiet_since = self.timers.now()
+        self.election_timer_reset_at = self.timers.now()
         self.leader_contact = LeaderContact(committed=newest.index)
         self.changes: reactivex.Subject[machines.Change] = reactivex.Subject()
-        self.saving = Saving()
-        self.incoming = Incoming()
+        self.snapshot_progress = SnapshotProgress()
+        self.incoming = IncomingSnapshot()
         self._failure: BaseException | None = None
         self._tasks: set[asyncio.Task[typing.Any]] = set()
 
@@ -158,7 +158,7 @@
         """Why this recorder stopped for good, or empty."""
         return str(self._failure or '')
 
-    def check_sound(self) -> None:
+    def check_not_failed(self) -> None:
         """Make sure that this recorder still may promise anything.
 
         :raises errors.RecorderFailedError: when it may not.
@@ -172,12 +172,12 @@
         """Stop for good: lead no more, vote no more."""
         if self._failure is None:
             self.halt(cause)
-            self.env.report(logevents.FAILED, reason=str(cause))
+            self.env.report(logevents.RECORDER_FAILED, reason=str(cause))
 
     def halt(self, cause: BaseException) -> None:
         """Promise nothing any more and end all tasks."""
         self._failure = cause
-        self.end_reign(str(cause))
+        self.end_leadership(str(cause))
         self.role = Role.failed
         for task in self._tasks:
             task.cancel()
@@ -189,7 +189,7 @@
         """Run a task of this recorder; its failure is the recorder's."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._note_end)
+        task.add_done_callback(self._handle_task_end)
         return task
 
     def append(self, batch: typing.Sequence[entries.Entry]) -> None:
@@ -203,7 +203,7 @@
         if first <= self.commit.height:
             raise errors.UnsafeError(f'entry {first} is committed already')
         if first <= self.folder.log.last.index:
-            self.history.void_from(first)
+            self.history.truncate_from(first)
         self.folder.log.append(batch)
         for entry in batch:
             if entry.kind == machines.Kind.members:
@@ -215,21 +215,21 @@
             return
         self.folder.ballot.cast(term)
         self.leader = members.RecorderId('')
-        self.follow(reason)
+        self.become_follower(reason)
 
-    def follow(self, reason: str) -> None:
+    def become_follower(self, reason: str) -> None:
         """Be a follower in the current term."""
-        self.end_reign(reason)
+        self.end_leadership(reason)
         if self.role is not Role.failed:
             self.role = Role.follower
-        self.quiet_since = self.timers.now()
+        self.election_timer_reset_at = self.timers.now()
 
-    def end_reign(self, reason: str) -> None:
+    def end_leadership(self, reason: str) -> None:
         """Lead no more, if this recorder did."""
-        if self.leader_state is None:
+        if self.leadership is None:
             return
-        ended = self.leader_state
-        self.leader_state = None
+        ended = self.leadership
+        self.leadership = None
         self.leader = members.RecorderId('')
         ended.end(reason)
         self.env.report(
@@ -238,17 +238,19 @@
             reason=reason,
         )
 
-    def hears_leader(self) -> bool:
+    def has_live_leader(self) -> bool:
         """Tell whether a leader was heard within the election timeout."""
         if self.role is Role.leader:
             return True
-        silence = self.timers.now() - self.leader_contact.at
+        silence = self.timers.now() - self.leader_contact.last_seen_at
         return silence < self.env.cfg.election_min
 
-    def note_caught_up(self) -> None:
+    def update_caught_up(self) -> None:
         """Take that a message was heard or something was applied."""
         if self.applied.height >= self.leader_contact.committed:
-            self.leader_contact.caught_up_at = self.leader_contact.commit_at
+            self.leader_contact.caught_up_at = (
+                self.leader_contact.commit_seen_at
+            )
 
     def staleness(self) -> float:
         """Give since when something committed may be missing, in seconds.
@@ -256,22 +258,22 @@
         To hear a leader isn't enough: entries count here once this disk has
         synced them, and a leader that hears no answers sends none.
         """
-        if self.leader_state is not None:
-            started = self.applied.height >= self.leader_state.start_index
+        if self.leadership is not None:
+            started = self.applied.height >= self.leadership.start_index
             return 0 if started else math.inf
         return self.timers.now() - self.leader_contact.caught_up_at
 
     def _enter_members(self, entry: entries.Entry) -> None:
         current = members.decode(entry.payload)
         self.history.record(entry.index, current)
-        learn_addresses(self.env.peers, current)
+        register_addresses(self.env.peers, current)
         self.env.report(
             logevents.MEMBERS_CHANGED,
             index=entry.index,
             recorders=[member.host_id for member in current.recorders],
         )
 
-    def _note_end(self, task: asyncio.Task[typing.Any]) -> None:
+    def _handle_task_end(self, task: asyncio.Task[typing.Any]) -> None:
         self._tasks.discard(task)
         if task.cancelled():
             return
@@ -280,16 +282,18 @@
             self.fail(failed)
 
 
-def stopped() -> errors.RecorderFailedError:
+def stopped_error() -> errors.RecorderFailedError:
     """Give what a recorder says once it was told to stop."""
     return errors.RecorderFailedError('stopped')
 
 
-def learn_addresses(way: peers.Peers, current: members.Members) -> None:
+def register_addresses(
+    peer_layer: peers.Peers, current: members.Members
+) -> None:
     """Let the peer layer know where the recorders listen."""
     for member in current.recorders:
         if member.address:
-            way.learn(member.host_id, ids.parse_address(member.address))
+            peer_layer.learn(member.host_id, ids.parse_address(member.address))
 
 
 def _read_history(opened: folder.Folder) -> members.History:
--- a/libs/consensus/geraniumweir/consensus/errors.py
+++ b/libs/consensus/geraniumweir/consensus/errors.py
@@ -1,22 +1,23 @@
 """Errors of the replicated log.
 
-What became of a command is told by the class: with :class:`NotLeaderError`,
-:class:`NoQuorumError` and :class:`RefusedError` it was certainly not taken;
-with :class:`UncertainError` it may have been, or may still be.
+The class says what happened to a command. After :class:`NotLeaderError`,
+:class:`NoQuorumError` and :class:`RefusedError` it was certainly not appended
+to the log; after :class:`UncertainError` it may have been committed, or may
+still be.
 """
 
 from geraniumweir.common import errors, ids
 
 
 class ConsensusError(errors.GeraniumweirError):
-    """The replicated log can't do what was asked."""
+    """An operation on the replicated log failed."""
 
     code = 'GW-5101'
     ran = ids.Ran.no
 
 
 class NotLeaderError(ConsensusError):
-    """Another recorder leads; nothing was taken."""
+    """Another recorder is the leader; nothing was appended."""
 
     code = 'GW-5102'
 
@@ -26,10 +27,10 @@
         leader: ids.HostId,
         address: str = '',
     ) -> None:
-        """Keep the hint.
+        """Initialize with a hint at the leader.
 
-        :param leader: the host that leads as far as is known.
-        :param address: where it listens, or empty.
+        :param leader: host of the last known leader.
+        :param address: address of its peer layer, or empty.
         """
         super().__init__(message)
         self.leader = leader
@@ -37,37 +38,37 @@
 
 
 class NoQuorumError(ConsensusError):
-    """No majority of the recorders can be reached; nothing was taken."""
+    """No majority of voters, or no leader, is reachable; nothing was done."""
 
     code = 'GW-5103'
 
 
 class UncertainError(ConsensusError):
-    """The command may have been taken, or may still be."""
+    """The command may have been committed, or may still be."""
 
     code = 'GW-5104'
     ran = ids.Ran.unknown
 
 
 class RecorderFailedError(ConsensusError):
-    """This recorder stopped for good, most likely as its disk failed."""
+    """This recorder stopped permanently, most likely as its disk failed."""
 
     code = 'GW-5105'
 
 
 class RefusedError(ConsensusError):
-    """A change of recorders is not possible as things stand."""
+    """A membership change is not possible in the current state."""
 
     code = 'GW-5106'
 
 
 class CompactedError(ConsensusError):
-    """The entries asked for are only in a snapshot any more."""
+    """The requested entries were compacted into a snapshot."""
 
     code = 'GW-5107'
 
 
 class UnsafeError(ConsensusError):
-    """A rule that agreement rests on was broken; the recorder stops."""
+    """A safety rule of the consensus was violated; the recorder stops."""
 
     code = 'GW-5108'
--- a/libs/consensus/geraniumweir/consensus/following.py
+++ b/libs/consensus/geraniumweir/consensus/following.py
@@ -19,7 +19,7 @@
 from geraniumweir.wire.gen.consensus import ttypes
 
 
-async def take_entries(
+async def handle_append_entries(
     this: core.Core,
     message: ttypes.AppendEntries,
 ) -> ttypes.AppendAnswer:
@@ -27,24 +27,24 @@
 
     :raises errors.RecorderFailedError: when this one may promise nothing.
     """
-    outcome = _hear(this, message)
+    outcome = _accept_leader(this, message)
     if outcome != ttypes.Outcome.done:
         return ttypes.AppendAnswer(this.term, outcome, 0)
     this.leader_contact.committed = max(
         this.leader_contact.committed, message.commit
     )
-    this.leader_contact.commit_at = this.leader_contact.at
-    this.note_caught_up()
-    hint = _place_for(this, message)
+    this.leader_contact.commit_seen_at = this.leader_contact.last_seen_at
+    this.update_caught_up()
+    hint = _find_conflict(this, message)
     if hint is not None:
-        await this.folder.ballot.settle()
+        await this.folder.ballot.wait_durable()
         conflict = ttypes.Outcome.conflict
         return ttypes.AppendAnswer(message.term, conflict, hint)
     this.append(_new_entries(this, message))
     match = message.previous_index + len(message.entries)
-    await this.folder.ballot.settle()
+    await this.folder.ballot.wait_durable()
     await this.folder.log.sync()
-    this.check_sound()
+    this.check_not_failed()
     if this.term != message.term:
         stale = ttypes.Outcome.stale_term
         return ttypes.AppendAnswer(this.term, stale, 0)
@@ -52,7 +52,7 @@
     return ttypes.AppendAnswer(message.term, ttypes.Outcome.done, match)
 
 
-async def take_piece(
+async def handle_snapshot_piece(
     this: core.Core,
     piece: ttypes.SnapshotPiece,
 ) -> ttypes.PieceAnswer:
@@ -60,25 +60,25 @@
 
     :raises errors.RecorderFailedError: when this one may promise nothing.
     """
-    async with this.incoming.taking:
-        return await _take_piece(this, piece, this.incoming)
+    async with this.incoming.lock:
+        return await _handle_piece(this, piece, this.incoming)
 
 
-async def _take_piece(
+async def _handle_piece(
     this: core.Core,
     piece: ttypes.SnapshotPiece,
-    incoming: core.Incoming,
+    incoming: core.IncomingSnapshot,
 ) -> ttypes.PieceAnswer:
-    outcome = _hear(this, piece)
+    outcome = _accept_leader(this, piece)
     if outcome != ttypes.Outcome.done:
         return ttypes.PieceAnswer(this.term, outcome, 0, installed=False)
     # More may be committed by now than when the snapshot was taken.
     this.leader_contact.committed = max(
         this.leader_contact.committed, piece.index
     )
-    await this.folder.ballot.settle()
+    await this.folder.ballot.wait_durable()
     if this.commit.height < piece.index:
-        _collect(incoming, piece)
+        _store_piece(incoming, piece)
         if len(incoming.content) == piece.total:
             await _install(this, piece, incoming)
     return ttypes.PieceAnswer(
@@ -89,9 +89,9 @@
     )
 
 
-def _hear(this: core.Core, message: typing.Any) -> int:
+def _accept_leader(this: core.Core, message: typing.Any) -> int:
     """Follow the sender if it may lead."""
-    this.check_sound()
+    this.check_not_failed()
     accepted = this.history.current.accepts(message.cluster)
     if message.to != this.identity or not accepted:
         return ttypes.Outcome.wrong_recorder
@@ -99,20 +99,20 @@
         return ttypes.Outcome.stale_term
     this.enter_term(message.term, 'another recorder leads')
     if this.role is core.Role.candidate:
-        this.follow('another recorder leads')
+        this.become_follower('another recorder leads')
     if this.leader != message.leader:
         this.leader = members.RecorderId(message.leader)
         this.env.report(
-            logevents.FOLLOWS,
+            logevents.FOLLOWS_LEADER,
             leader=message.leader,
             term=message.term,
         )
-    this.quiet_since = this.timers.now()
-    this.leader_contact.at = this.quiet_since
+    this.election_timer_reset_at = this.timers.now()
+    this.leader_contact.last_seen_at = this.election_timer_reset_at
     return ttypes.Outcome.done
 
 
-def _place_for(
+def _find_conflict(
     this: core.Core,
     message: ttypes.AppendEntries,
 ) -> int | None:
@@ -151,7 +151,9 @@
     return entries.Entry(entry.index, entry.term, entry.kind, entry.payload)
 
 
-def _collect(incoming: core.Incoming, piece: ttypes.SnapshotPiece) -> None:
+def _store_piece(
+    incoming: core.IncomingSnapshot, piece: ttypes.SnapshotPiece
+) -> None:
     if (incoming.leader, incoming.index) != (piece.leader, piece.index):
         incoming.leader = piece.leader
         incoming.index = piece.index
@@ -163,7 +165,7 @@
 async def _install(
     this: core.Core,
     piece: ttypes.SnapshotPiece,
-    incoming: core.Incoming,
+    incoming: core.IncomingSnapshot,
 ) -> None:
     state = bytes(incoming.content)
     incoming.content = bytearray()
@@ -176,4 +178,4 @@
         state,
     )
     await this.folder.snapshots.save(snapshot)
-    await applying.jump(this, snapshot)
+    await applying.install_snapshot(this, snapshot)
--- a/libs/consensus/geraniumweir/consensus/handlers.py
+++ b/libs/consensus/geraniumweir/consensus/handlers.py
@@ -49,15 +49,15 @@
     this: core.Core,
     _ask: ttypes.Identify,
 ) -> ttypes.Identified:
-    this.check_sound()
+    this.check_not_failed()
     return bootstrap.identified(this)
 
 
 _HANDLERS: typing.Mapping[type, _Handler] = {
     ttypes.AskVote: voting.answer_vote,
-    ttypes.AppendEntries: following.take_entries,
-    ttypes.SnapshotPiece: following.take_piece,
-    ttypes.CampaignNow: leadership_transfer.take_over,
+    ttypes.AppendEntries: following.handle_append_entries,
+    ttypes.SnapshotPiece: following.handle_snapshot_piece,
+    ttypes.CampaignNow: leadership_transfer.handle_campaign_now,
     ttypes.Identify: _identify,
     ttypes.Propose: serving.answer_propose,
     ttypes.AskBarrier: serving.answer_barrier,
--- a/libs/consensus/geraniumweir/consensus/leadership.py
+++ b/libs/consensus/geraniumweir/consensus/leadership.py
@@ -17,34 +17,34 @@
     :ivar member: which one.
     :ivar next_index: the entry to send next.
     :ivar match: all entries up to it are durable there.
-    :ivar since: when this leader began to send to it.
-    :ivar contact: when the last message that it answered was sent.
+    :ivar started_at: when this leader began to send to it.
+    :ivar last_contact_at: when the last message that it answered was sent.
     :ivar probing: True until it is known where to go on.
     :ivar replaced: its host has another data folder now.
-    :ivar under_way: messages without an answer yet.
-    :ivar told_commit: the commit index it was last sent.
-    :ivar nudged: something is to be sent even without new entries.
-    :ivar wake: set when the task that sends has a look to take.
+    :ivar in_flight: messages without an answer yet.
+    :ivar sent_commit: the commit index it was last sent.
+    :ivar send_due: something is to be sent even without new entries.
+    :ivar wakeup: set when the task that sends has a look to take.
     """
 
     member: members.Member
     next_index: int
     match: int = 0
-    since: float = -math.inf
-    contact: float = -math.inf
+    started_at: float = -math.inf
+    last_contact_at: float = -math.inf
     probing: bool = True
     replaced: bool = False
-    under_way: int = 0
-    told_commit: int = 0
-    nudged: bool = False
-    wake: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    in_flight: int = 0
+    sent_commit: int = 0
+    send_due: bool = False
+    wakeup: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
-    def nudge(self) -> None:
+    def request_send(self) -> None:
         """Have a message sent soon."""
-        self.nudged = True
-        self.wake.set()
+        self.send_due = True
+        self.wakeup.set()
 
-    def back_up(self) -> None:
+    def reset_next_index(self) -> None:
         """Start again from what is known to be there."""
         self.probing = True
         self.next_index = self.match + 1
@@ -59,7 +59,7 @@
     :ivar progress: of the other recorders.
     :ivar waiters: proposals that wait for their answer, by index.
     :ivar appended: set when the log has grown.
-    :ivar closing: leadership is being handed on; nothing new is taken.
+    :ivar transferring: leadership is being handed on; nothing new is taken.
     :ivar membership_lock: held during a change of recorders.
     """
 
@@ -70,24 +70,24 @@
         self.progress: dict[members.RecorderId, Progress] = {}
         self.waiters: dict[int, asyncio.Future[bytes]] = {}
         self.appended = asyncio.Event()
-        self.closing = False
+        self.transferring = False
         self.membership_lock = asyncio.Lock()
         self.ended = False
-        self._moved = asyncio.Event()
+        self._changed = asyncio.Event()
         self._senders: dict[members.RecorderId, asyncio.Task[None]] = {}
         self._tasks: list[asyncio.Task[typing.Any]] = []
         self._messages: set[asyncio.Task[typing.Any]] = set()
 
-    def keep(self, task: asyncio.Task[typing.Any]) -> None:
+    def add_task(self, task: asyncio.Task[typing.Any]) -> None:
         """End a task with the reign."""
         self._tasks.append(task)
 
-    def keep_message(self, task: asyncio.Task[typing.Any]) -> None:
+    def add_message_task(self, task: asyncio.Task[typing.Any]) -> None:
         """End the wait for an answer with the reign."""
         self._messages.add(task)
         task.add_done_callback(self._messages.discard)
 
-    def keep_sender(
+    def add_sender(
         self,
         progress: Progress,
         task: asyncio.Task[None],
@@ -96,29 +96,29 @@
         self.progress[progress.member.identity] = progress
         self._senders[progress.member.identity] = task
 
-    def drop(self, identity: members.RecorderId) -> None:
+    def remove_sender(self, identity: members.RecorderId) -> None:
         """Send a recorder nothing any more."""
         self.progress.pop(identity, None)
         sender = self._senders.pop(identity, None)
         if sender is not None:
             sender.cancel()
 
-    def contacted(self, progress: Progress, sent_at: float) -> None:
+    def record_contact(self, progress: Progress, sent_at: float) -> None:
         """Note that a message was answered.
 
         :param sent_at: when the message was sent, in loop time.
         """
-        progress.contact = max(progress.contact, sent_at)
+        progress.last_contact_at = max(progress.last_contact_at, sent_at)
         self.notify()
 
     def notify(self) -> None:
         """Wake those that wait for a move."""
-        self._moved.set()
-        self._moved = asyncio.Event()
+        self._changed.set()
+        self._changed = asyncio.Event()
 
-    async def move(self) -> None:
+    async def wait_for_change(self) -> None:
         """Wait until a message is answered, an entry committed, or the end."""
-        await self._moved.wait()
+        await self._changed.wait()
 
     def end(self, reason: str) -> None:
         """Stop all tasks; what waits for an answer stays uncertain."""
--- a/libs/consensus/geraniumweir/consensus/leadership_transfer.py
+++ b/libs/consensus/geraniumweir/consensus/leadership_transfer.py
@@ -12,7 +12,7 @@
 from geraniumweir.wire.gen.consensus import ttypes
 
 
-async def hand_on(this: core.Core) -> bool:
+async def transfer_leadership(this: core.Core) -> bool:
     """Have the furthest voter take over.
 
     New proposals are refused meanwhile; those under way are finished first,
@@ -20,50 +20,56 @@
 
     :returns: whether this recorder leads no more.
     """
-    led = this.leader_state
-    if led is None:
+    leader_state = this.leadership
+    if leader_state is None:
         return True
-    led.closing = True
+    leader_state.transferring = True
     try:
         async with asyncio.timeout(2 * this.env.cfg.election_max):
-            await _hand_on(this, led)
+            await _transfer(this, leader_state)
     except TimeoutError:
-        led.closing = False
-    return led.ended
+        leader_state.transferring = False
+    return leader_state.ended
 
 
-async def take_over(this: core.Core, ask: ttypes.CampaignNow) -> None:
+async def handle_campaign_now(
+    this: core.Core, request: ttypes.CampaignNow
+) -> None:
     """Campaign at once, as the leader asked."""
-    if ask.to != this.identity or ask.term != this.term:
+    if request.to != this.identity or request.term != this.term:
         return
     if this.history.current.is_voter(this.identity):
         await voting.campaign(this, transfer=True)
 
 
-async def _hand_on(this: core.Core, led: leadership.LeaderState) -> None:
-    while not led.ended:
-        target = _furthest(this, led)
+async def _transfer(
+    this: core.Core, leader_state: leadership.LeaderState
+) -> None:
+    while not leader_state.ended:
+        target = _most_up_to_date(this, leader_state)
         if target and target.match == this.folder.log.last.index:
-            ask = ttypes.CampaignNow(target.member.identity, led.term)
-            this.env.peers.send(target.member.host_id, ask)
+            request = ttypes.CampaignNow(
+                target.member.identity, leader_state.term
+            )
+            this.env.peers.send(target.member.host_id, request)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(this.env.cfg.heartbeat):
-                    await _until_ended(led)
+                    await _until_ended(leader_state)
         else:
-            await led.move()
+            await leader_state.wait_for_change()
 
 
-async def _until_ended(led: leadership.LeaderState) -> None:
-    while not led.ended:
-        await led.move()
+async def _until_ended(leader_state: leadership.LeaderState) -> None:
+    while not leader_state.ended:
+        await leader_state.wait_for_change()
 
 
-def _furthest(
-    this: core.Core, led: leadership.LeaderState
+def _most_up_to_date(
+    this: core.Core, leader_state: leadership.LeaderState
 ) -> leadership.Progress | None:
     voters = [
         progress
-        for identity, progress in led.progress.items()
+        for identity, progress in leader_state.progress.items()
         if this.history.current.is_voter(identity)
     ]
     return max(voters, key=_match, default=None)
--- a/libs/consensus/geraniumweir/consensus/leading.py
+++ b/libs/consensus/geraniumweir/consensus/leading.py
@@ -21,19 +21,19 @@
 from geraniumweir.store import entries
 
 
-def begin(this: core.Core, term: int) -> None:
+def become_leader(this: core.Core, term: int) -> None:
     """Lead in a term that this recorder was elected in."""
     if this.role is not core.Role.candidate or this.term != term:
         return
     start = this.folder.log.last.index + 1
     this.role = core.Role.leader
     this.leader = this.identity
-    this.leader_state = leadership.LeaderState(term, start)
-    this.env.report(logevents.LEADS, term=term, index=start)
-    append(this, this.leader_state, machines.Kind.term_start, b'')
-    follow_members(this, this.leader_state)
-    this.leader_state.keep(this.spawn(_sync_appended(this, this.leader_state)))
-    this.leader_state.keep(this.spawn(_watch_majority(this, this.leader_state)))
+    this.leadership = leadership.LeaderState(term, start)
+    this.env.report(logevents.BECAME_LEADER, term=term, index=start)
+    append(this, this.leadership, machines.Kind.term_start, b'')
+    update_senders(this, this.leadership)
+    this.leadership.add_task(this.spawn(_sync_appended(this, this.leadership)))
+    this.leadership.add_task(this.spawn(_watch_majority(this, this.leadership)))
 
 
 def current(this: core.Core) -> leadership.LeaderState:
@@ -43,9 +43,9 @@
     :raises errors.NoQuorumError: when nobody is known to lead.
     :raises errors.RecorderFailedError: when this one stopped for good.
     """
-    this.check_sound()
-    if this.leader_state is not None and not this.leader_state.closing:
-        return this.leader_state
+    this.check_not_failed()
+    if this.leadership is not None and not this.leadership.transferring:
+        return this.leadership
     leader = this.history.current.find(this.leader)
     if leader is None or leader.identity == this.identity:
         raise errors.NoQuorumError('no recorder is known to lead')
@@ -58,7 +58,7 @@
 
 def append(
     this: core.Core,
-    led: leadership.LeaderState,
+    leader_state: leadership.LeaderState,
     kind: machines.Kind,
     payload: bytes,
 ) -> int:
@@ -67,12 +67,12 @@
     :returns: its index.
     """
     index = this.folder.log.last.index + 1
-    this.append([entries.Entry(index, led.term, kind, payload)])
+    this.append([entries.Entry(index, leader_state.term, kind, payload)])
     if kind is machines.Kind.members:
-        follow_members(this, led)
-    led.appended.set()
-    for progress in led.progress.values():
-        progress.wake.set()
+        update_senders(this, leader_state)
+    leader_state.appended.set()
+    for progress in leader_state.progress.values():
+        progress.wakeup.set()
     return index
 
 
@@ -88,17 +88,17 @@
     :raises errors.UncertainError: when no answer came; it may have been
         taken.
     """
-    led = current(this)
-    index = append(this, led, kind, command)
+    leader_state = current(this)
+    index = append(this, leader_state, kind, command)
     fut = asyncio.get_running_loop().create_future()
-    led.waiters[index] = fut
+    leader_state.waiters[index] = fut
     try:
         async with asyncio.timeout(timeout):
             return await fut
     except TimeoutError as exc:
         raise errors.UncertainError('not committed in time') from exc
     finally:
-        led.waiters.pop(index, None)
+        leader_state.waiters.pop(index, None)
 
 
 async def confirm(this: core.Core, timeout: float) -> int:
@@ -109,77 +109,90 @@
         before it.
     :raises errors.NoQuorumError: when no majority answered in time.
     """
-    led = current(this)
+    leader_state = current(this)
     asked_at = this.timers.now()
     try:
         async with asyncio.timeout(timeout):
-            await until_committed(this, led, led.start_index)
+            await until_committed(this, leader_state, leader_state.start_index)
             index = this.commit.height
-            for progress in led.progress.values():
-                progress.nudge()
-            while majority_contact(this, led) < asked_at and not led.ended:
-                await led.move()
+            for progress in leader_state.progress.values():
+                progress.request_send()
+            while (
+                majority_contact(this, leader_state) < asked_at
+                and not leader_state.ended
+            ):
+                await leader_state.wait_for_change()
     except TimeoutError as exc:
         raise errors.NoQuorumError('no majority answered') from exc
-    if led.ended:
+    if leader_state.ended:
         raise errors.NoQuorumError('leads no more')
     return index
 
 
 async def until_committed(
     this: core.Core,
-    led: leadership.LeaderState,
+    leader_state: leadership.LeaderState,
     index: int,
 ) -> None:
-    while this.commit.height < index and not led.ended:
-        await led.move()
+    while this.commit.height < index and not leader_state.ended:
+        await leader_state.wait_for_change()
 
 
-def follow_members(this: core.Core, led: leadership.LeaderState) -> None:
+def update_senders(
+    this: core.Core, leader_state: leadership.LeaderState
+) -> None:
     """Send entries to all current recorders, and to no others."""
     recorders = this.history.current.recorders
     wanted = {member.identity: member for member in recorders}
     wanted.pop(this.identity, None)
-    for gone in set(led.progress) - set(wanted):
-        led.drop(gone)
-    for identity in set(wanted) - set(led.progress):
+    for gone in set(leader_state.progress) - set(wanted):
+        leader_state.remove_sender(gone)
+    for identity in set(wanted) - set(leader_state.progress):
         next_index = this.folder.log.last.index + 1
         progress = leadership.Progress(
             wanted[identity],
             next_index,
-            since=this.timers.now(),
+            started_at=this.timers.now(),
         )
-        sender = replication.replicate(this, led, progress)
-        led.keep_sender(progress, this.spawn(sender))
+        sender = replication.replicate(this, leader_state, progress)
+        leader_state.add_sender(progress, this.spawn(sender))
 
 
-def majority_contact(this: core.Core, led: leadership.LeaderState) -> float:
+def majority_contact(
+    this: core.Core, leader_state: leadership.LeaderState
+) -> float:
     """Tell since when a majority is known to have followed."""
     times = [
         this.timers.now()
         if member.identity == this.identity
-        else led.progress[member.identity].contact
+        else leader_state.progress[member.identity].last_contact_at
         for member in this.history.current.voters
     ]
     times.sort(reverse=True)
     return times[this.history.current.majority - 1]
 
 
-async def _sync_appended(this: core.Core, led: leadership.LeaderState) -> None:
+async def _sync_appended(
+    this: core.Core, leader_state: leadership.LeaderState
+) -> None:
     """Make the leader's own copy durable; many proposals share an fsync."""
     while True:
-        await led.appended.wait()
-        led.appended.clear()
+        await leader_state.appended.wait()
+        leader_state.appended.clear()
         await this.folder.log.sync()
-        replication.count_copies(this, led)
+        replication.advance_commit_index(this, leader_state)
 
 
-async def _watch_majority(this: core.Core, led: leadership.LeaderState) -> None:
+async def _watch_majority(
+    this: core.Core, leader_state: leadership.LeaderState
+) -> None:
     """Step down when no majority is heard within an election timeout."""
     cfg = this.env.cfg
-    began = this.timers.now()
-    while not led.ended:
+    started_watching_at = this.timers.now()
+    while not leader_state.ended:
         await asyncio.sleep(cfg.heartbeat)
-        heard = max(majority_contact(this, led), began)
-        if this.timers.now() - heard > cfg.election_max:
-            this.follow('no majority was heard')
+        majority_seen_at = max(
+            majority_contact(this, leader_state), started_watching_at
+        )
+        if this.timers.now() - majority_seen_at > cfg.election_max:
+            this.become_follower('no majority was heard')
--- a/libs/consensus/geraniumweir/consensus/logevents.py
+++ b/libs/consensus/geraniumweir/consensus/logevents.py
@@ -2,7 +2,7 @@
 
 from geraniumweir.common import logevents
 
-LEADS = logevents.Event(
+BECAME_LEADER = logevents.Event(
     520,
     logevents.Level.notice,
     'leads in term {term} from log index {index}',
@@ -12,12 +12,12 @@
     logevents.Level.notice,
     'leads no more in term {term}: {reason}',
 )
-FOLLOWS = logevents.Event(
+FOLLOWS_LEADER = logevents.Event(
     522,
     logevents.Level.info,
     'follows recorder {leader} in term {term}',
 )
-CAMPAIGN = logevents.Event(
+ELECTION_STARTED = logevents.Event(
     523,
     logevents.Level.info,
     'asks for votes in term {term}',
@@ -47,12 +47,12 @@
     logevents.Level.notice,
     'snapshot at log index {index} installed',
 )
-FAILED = logevents.Event(
+RECORDER_FAILED = logevents.Event(
     529,
     logevents.Level.error,
     'recorder stopped for good: {reason}',
 )
-FOUNDED = logevents.Event(
+BOOTSTRAPPED = logevents.Event(
     530,
     logevents.Level.notice,
     'log founded with recorders {recorders}',
@@ -63,7 +63,7 @@
     'the data folder is new but {host} has a log already; this recorder'
     ' must be added by an operator',
 )
-TAIL_CUT = logevents.Event(
+TORN_WRITE_REMOVED = logevents.Event(
     532,
     logevents.Level.warning,
     'cut {lost} bytes that were never synced from the end of the log',
--- a/libs/consensus/geraniumweir/consensus/machines.py
+++ b/libs/consensus/geraniumweir/consensus/machines.py
@@ -1,4 +1,4 @@
-"""What a replicated state machine looks like to the log."""
+"""Interface between the replicated log and its state machine."""
 
 import dataclasses
 import enum
@@ -6,41 +6,42 @@
 
 
 class Kind(enum.IntEnum):
-    """What an entry of the log is."""
+    """Kinds of log entries."""
 
     command = 0
     members = 1
-    # The first entry of a leader; once it is committed, all before it are.
+    # The first entry of a leader's term; once it is committed, all entries
+    # before it are, too.
     term_start = 2
 
 
 class StateMachine(typing.Protocol):
-    """Applies commands in the order of the log.
+    """State machine that applies commands in log order.
 
-    The answers and the state may depend on nothing but the commands, as each
-    recorder works them out for itself.
+    It must be deterministic: each recorder applies the commands by itself, so
+    answers and state may depend on nothing but the commands.
     """
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Apply a command and give its answer.
+        """Apply a command and return its answer.
 
-        :param index: of its entry; grows, with gaps.
+        :param index: index of its entry; increases, with gaps.
         """
 
     def snapshot(self) -> bytes:
-        """Write the whole state."""
+        """Return the complete state, encoded."""
 
     def restore(self, state: bytes) -> None:
-        """Take over a state that :meth:`snapshot` wrote."""
+        """Replace the state by one that :meth:`snapshot` returned."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Applied:
-    """What happened at an entry of the log.
+    """Notification of an applied command.
 
-    :ivar index: of the entry.
-    :ivar command: what was applied.
-    :ivar answer: what the state machine said.
+    :ivar index: index of the entry.
+    :ivar command: the command that was applied.
+    :ivar answer: the state machine's answer.
     """
 
     index: int
@@ -50,9 +51,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Restored:
-    """The state jumped ahead by a snapshot.
+    """Notification that the state was replaced by a snapshot.
 
-    :ivar index: of the last entry that the snapshot covers.
+    :ivar index: index of the last entry that the snapshot covers.
     """
 
     index: int
--- a/libs/consensus/geraniumweir/consensus/members.py
+++ b/libs/consensus/geraniumweir/consensus/members.py
@@ -1,9 +1,9 @@
-"""Who the recorders are, after each entry of the log that says so.
+"""Membership of the log: voters and learners after each membership entry.
 
-A recorder is named by the identity of its data folder, not by its host: an
-emptied folder is another recorder. Changes hold as soon as they are in the
-log, committed or not, and each adds or removes one voter only, so any two
-majorities that follow each other overlap.
+A recorder is identified by the identity of its data folder, not by its host:
+a host whose folder was emptied is a new recorder. A membership takes effect
+as soon as its entry is appended, committed or not, and each change adds or
+removes a single voter, so the majorities of consecutive memberships overlap.
 
 References
 ==========
@@ -25,12 +25,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """One recorder.
+    """A recorder that is a member of the log.
 
-    :ivar identity: of its data folder.
-    :ivar host_id: where that folder is.
-    :ivar address: where the host's peer layer listens, or empty.
-    :ivar voter: False for a learner, which only gets the entries.
+    :ivar identity: identity of its data folder.
+    :ivar host_id: host of that folder.
+    :ivar address: address of the host's peer layer, or empty.
+    :ivar voter: False for a learner, which receives entries but has no vote.
     """
 
     identity: RecorderId
@@ -41,9 +41,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Members:
-    """All recorders.
+    """The membership of a log.
 
-    :ivar cluster: names the log; a recorder takes part in one only.
+    :ivar cluster: identity of the log; a recorder belongs to only one.
     :ivar recorders: voters and learners.
     """
 
@@ -52,38 +52,38 @@
 
     @property
     def voters(self) -> tuple[Member, ...]:
-        """Those that count for a majority."""
+        """Recorders that count for a majority."""
         return tuple(member for member in self.recorders if member.voter)
 
     @property
     def majority(self) -> int:
-        """How many voters must agree."""
+        """Number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     def accepts(self, cluster: str) -> bool:
-        """Tell whether a message is of this log, or this is none yet."""
+        """Return whether a message belongs to this log or none is known yet."""
         return self.cluster in {'', cluster}
 
     def find(self, identity: RecorderId) -> Member | None:
-        """Give a recorder by its identity."""
+        """Return the recorder with an identity, or None."""
         for member in self.recorders:
             if member.identity == identity:
                 return member
         return None
 
     def on_host(self, host_id: ids.HostId) -> tuple[Member, ...]:
-        """Give the recorders that were added on a host."""
+        """Return the recorders of a host."""
         return tuple(
             member for member in self.recorders if member.host_id == host_id
         )
 
     def is_voter(self, identity: RecorderId) -> bool:
-        """Tell whether a recorder votes."""
+        """Return whether a recorder is a voter."""
         member = self.find(identity)
         return member is not None and member.voter
 
     def with_member(self, member: Member) -> 'Members':
-        """Add a recorder, or put it in the place of its old entry.
+        """Return a membership with a recorder added or updated.
 
         >>> one = Member(RecorderId('a'), ids.HostId('h'), voter=False)
         >>> grown = Members('log').with_member(one)
@@ -94,7 +94,7 @@
         return dataclasses.replace(self, recorders=(*others, member))
 
     def without(self, identity: RecorderId) -> 'Members':
-        """Remove a recorder."""
+        """Return a membership without a recorder."""
         others = tuple(
             member for member in self.recorders if member.identity != identity
         )
@@ -102,29 +102,29 @@
 
 
 class History:
-    """The recorders after each entry that changed them.
+    """Memberships by the index of the entry that set them.
 
-    The log's end can become void, so the earlier ones are kept.
+    Uncommitted entries can be truncated, so earlier memberships are retained.
     """
 
     def __init__(self, index: int, members: Members) -> None:
-        """Start from a snapshot, or from nothing at index 0."""
+        """Initialize from a snapshot, or empty at index 0."""
         self._changes = [(index, members)]
 
     @property
     def current(self) -> Members:
-        """The newest ones, which hold whether committed or not."""
+        """The newest membership, in effect whether committed or not."""
         return self._changes[-1][1]
 
     @property
     def index(self) -> int:
-        """The entry that brought the newest ones."""
+        """Index of the entry that set the newest membership."""
         return self._changes[-1][0]
 
     def at(self, index: int) -> Members:
-        """Give the recorders after an entry.
+        """Return the membership in effect after an entry.
 
-        :param index: no earlier than what the history starts from.
+        :param index: index of the entry, at or after the history's start.
         """
         found = self._changes[0][1]
         for changed_at, members in self._changes:
@@ -133,24 +133,27 @@
         return found
 
     def record(self, index: int, members: Members) -> None:
-        """Note a change."""
+        """Record the membership that an entry sets."""
         self._changes.append((index, members))
 
-    def void_from(self, index: int) -> None:
-        """Forget the changes of void entries."""
+    def truncate_from(self, index: int) -> None:
+        """Remove the memberships set by truncated entries.
+
+        :param index: index of the first truncated entry.
+        """
         self._changes = [
             change for change in self._changes if change[0] < index
         ]
 
-    def forget_before(self, index: int) -> None:
-        """Start from a later entry."""
+    def discard_before(self, index: int) -> None:
+        """Discard the memberships before the one in effect at an index."""
         start = (index, self.at(index))
         later = [change for change in self._changes if change[0] > index]
         self._changes = [start, *later]
 
 
 def encode(members: Members) -> bytes:
-    """Write recorders for an entry or a snapshot."""
+    """Encode a membership for an entry or a snapshot."""
     rows = [to_wire(member) for member in members.recorders]
     return TSerialization.serialize(
         ttypes.Members(members.cluster, rows),
@@ -159,7 +162,7 @@
 
 
 def decode(payload: bytes) -> Members:
-    """Read what :func:`encode` wrote; nothing gives no recorders.
+    """Decode a membership; an empty payload gives an empty one.
 
     >>> decode(encode(Members('log'))).cluster
     'log'
@@ -175,7 +178,7 @@
 
 
 def to_wire(member: Member) -> ttypes.Recorder:
-    """Make the struct of a recorder."""
+    """Return the thrift struct of a recorder."""
     return ttypes.Recorder(
         member.identity,
         member.host_id,
--- a/libs/consensus/geraniumweir/consensus/membership_change.py
+++ b/libs/consensus/geraniumweir/consensus/membership_change.py
@@ -47,15 +47,15 @@
     :raises errors.UncertainError: when it takes too long; the new recorder
         may be there as a learner.
     """
-    led = leading.current(this)
-    async with _one_change(led):
-        member = await _learner(this, led, host_id, address, timeout)
-        await _catch_up(this, led, member.identity, timeout)
-        await _drop_others(this, led, member, lost, timeout)
-        await _promote(this, led, member.identity, timeout)
+    leader_state = leading.current(this)
+    async with _lock_for_change(leader_state):
+        member = await _learner(this, leader_state, host_id, address, timeout)
+        await _catch_up(this, leader_state, member.identity, timeout)
+        await _remove_replaced(this, leader_state, member, lost, timeout)
+        await _promote(this, leader_state, member.identity, timeout)
 
 
-async def learn(
+async def add_as_learner(
     this: core.Core,
     host_id: ids.HostId,
     address: str,
@@ -65,18 +65,18 @@
 
     :raises errors.ConsensusError: as :func:`add`.
     """
-    led = leading.current(this)
-    async with _one_change(led):
-        member = await _learner(this, led, host_id, address, timeout)
+    leader_state = leading.current(this)
+    async with _lock_for_change(leader_state):
+        member = await _learner(this, leader_state, host_id, address, timeout)
         for other in this.history.current.on_host(host_id):
             if other.identity != member.identity and not other.voter:
-                left = this.history.current.without(other.identity)
-                await _change(this, led, left, timeout)
+                remaining = this.history.current.without(other.identity)
+                await _change(this, leader_state, remaining, timeout)
 
 
 async def _learner(
     this: core.Core,
-    led: leadership.LeaderState,
+    leader_state: leadership.LeaderState,
     host_id: ids.HostId,
     address: str,
     timeout: float,
@@ -90,7 +90,7 @@
     member = members.Member(identity, host_id, address, voter=False)
     if this.history.current.find(identity) is None:
         grown = this.history.current.with_member(member)
-        await _change(this, led, grown, timeout)
+        await _change(this, leader_state, grown, timeout)
     return member
 
 
@@ -107,22 +107,22 @@
     :raises errors.NotLeaderError: when this recorder is to be removed itself;
         it handed leadership on before.
     """
-    led = leading.current(this)
-    async with _one_change(led):
+    leader_state = leading.current(this)
+    async with _lock_for_change(leader_state):
         for member in this.history.current.on_host(host_id):
-            left = this.history.current.without(member.identity)
-            _check_majority(this, led, left)
+            remaining = this.history.current.without(member.identity)
+            _check_majority(this, leader_state, remaining)
             if member.identity == this.identity:
-                await leadership_transfer.hand_on(this)
+                await leadership_transfer.transfer_leadership(this)
                 leading.current(this)
                 raise errors.RefusedError('nobody took over leadership')
-            await _change(this, led, left, timeout)
+            await _change(this, leader_state, remaining, timeout)
 
 
-def _one_change(led: leadership.LeaderState) -> asyncio.Lock:
-    if led.membership_lock.locked():
+def _lock_for_change(leader_state: leadership.LeaderState) -> asyncio.Lock:
+    if leader_state.membership_lock.locked():
         raise errors.RefusedError('another change of recorders is under way')
-    return led.membership_lock
+    return leader_state.membership_lock
 
 
 async def _identify(
@@ -144,7 +144,7 @@
 
 async def _change(
     this: core.Core,
-    led: leadership.LeaderState,
+    leader_state: leadership.LeaderState,
     wanted: members.Members,
     timeout: float,
 ) -> None:
@@ -153,12 +153,12 @@
         async with asyncio.timeout(timeout):
             await leading.until_committed(
                 this,
-                led,
-                max(led.start_index, this.history.index),
+                leader_state,
+                max(leader_state.start_index, this.history.index),
             )
     except TimeoutError as exc:
         raise errors.NoQuorumError('the last change isn’t committed') from exc
-    if led.ended:
+    if leader_state.ended:
         raise errors.NoQuorumError('leads no more')
     await leading.propose(
         this,
@@ -170,27 +170,29 @@
 
 async def _catch_up(
     this: core.Core,
-    led: leadership.LeaderState,
+    leader_state: leadership.LeaderState,
     identity: members.RecorderId,
     timeout: float,
 ) -> None:
     """Wait until the learner has all that is committed now."""
-    progress = led.progress.get(identity)
+    progress = leader_state.progress.get(identity)
     if progress is None:
         return
     try:
         async with asyncio.timeout(timeout):
-            while not led.ended and progress.match < this.commit.height:
-                await led.move()
+            while (
+                not leader_state.ended and progress.match < this.commit.height
+            ):
+                await leader_state.wait_for_change()
     except TimeoutError as exc:
         raise errors.UncertainError(
             f'{progress.member.host_id} is a learner and didn’t catch up',
         ) from exc
 
 
-async def _drop_others(
+async def _remove_replaced(
     this: core.Core,
-    led: leadership.LeaderState,
+    leader_state: leadership.LeaderState,
     member: members.Member,
     lost: ids.HostId | None,
     timeout: float,
@@ -199,14 +201,14 @@
     replaced = {member.host_id, lost}
     for other in this.history.current.recorders:
         if other.host_id in replaced and other.identity != member.identity:
-            left = this.history.current.without(other.identity)
-            _check_majority(this, led, left)
-            await _change(this, led, left, timeout)
+            remaining = this.history.current.without(other.identity)
+            _check_majority(this, leader_state, remaining)
+            await _change(this, leader_state, remaining, timeout)
 
 
 async def _promote(
     this: core.Core,
-    led: leadership.LeaderState,
+    leader_state: leadership.LeaderState,
     identity: members.RecorderId,
     timeout: float,
 ) -> None:
@@ -215,24 +217,25 @@
         return
     voter = members.Member(identity, known.host_id, known.address)
     grown = this.history.current.with_member(voter)
-    await _change(this, led, grown, timeout)
+    await _change(this, leader_state, grown, timeout)
 
 
 def _check_majority(
     this: core.Core,
-    led: leadership.LeaderState,
-    left: members.Members,
+    leader_state: leadership.LeaderState,
+    remaining: members.Members,
 ) -> None:
     """Refuse to remove a recorder that the majority can't spare."""
-    since = this.timers.now() - this.env.cfg.election_max
+    answered_since = this.timers.now() - this.env.cfg.election_max
     live = [
         member
-        for member in left.voters
+        for member in remaining.voters
         if member.identity == this.identity
-        or led.progress[member.identity].contact >= since
+        or leader_state.progress[member.identity].last_contact_at
+        >= answered_since
     ]
-    if len(live) < left.majority:
+    if len(live) < remaining.majority:
         raise errors.RefusedError(
-            f'of {len(left.voters)} recorders that would be left only'
+            f'of {len(remaining.voters)} recorders that would be left only'
             f' {len(live)} answer',
         )
--- a/libs/consensus/geraniumweir/consensus/recorder.py
+++ b/libs/consensus/geraniumweir/consensus/recorder.py
@@ -22,7 +22,7 @@
 from geraniumweir.store import folder as folders
 from geraniumweir.store import snapshots
 
-_TIMEOUT = 2.0
+_TIMEOUT_SECONDS = 2.0
 
 
 class Recorder:
@@ -58,8 +58,8 @@
         applying.restore(this)
         handlers.register(this)
         this.spawn(applying.apply_committed(this))
-        this.spawn(voting.watch(this))
-        this.spawn(bootstrap.found(this, self._first))
+        this.spawn(voting.run_election_timer(this))
+        this.spawn(bootstrap.bootstrap_log(this, self._first))
 
     async def stop(self) -> None:
         """Hand leadership on, then stop.
@@ -67,17 +67,17 @@
         After this :meth:`geraniumweir.store.guard.OneThread.close` waits for
         the last write, and then the disk may be closed.
         """
-        await leadership_transfer.hand_on(self.core)
+        await leadership_transfer.transfer_leadership(self.core)
         self.kill()
 
     def kill(self) -> None:
         """Stop at once, as a crash does."""
-        self.core.halt(core.stopped())
+        self.core.halt(core.stopped_error())
 
     async def propose(
         self,
         command: bytes,
-        timeout: float = _TIMEOUT,
+        timeout: float = _TIMEOUT_SECONDS,
     ) -> bytes:
         """Have a command applied on all recorders.
 
@@ -91,7 +91,7 @@
         """
         return await leading.propose(self.core, command, timeout)
 
-    async def read_barrier(self, timeout: float = _TIMEOUT) -> int:
+    async def read_barrier(self, timeout: float = _TIMEOUT_SECONDS) -> int:
         """Make sure that the state machine has all that was answered before.
 
         :param timeout: in seconds.
@@ -105,7 +105,7 @@
         self,
         host_id: ids.HostId,
         address: str = '',
-        timeout: float = _TIMEOUT,
+        timeout: float = _TIMEOUT_SECONDS,
     ) -> None:
         """Add the recorder on a host, or put a new one in its place.
 
@@ -119,7 +119,7 @@
     async def remove_recorder(
         self,
         host_id: ids.HostId,
-        timeout: float = _TIMEOUT,
+        timeout: float = _TIMEOUT_SECONDS,
     ) -> None:
         """Remove the recorder on a host.
 
@@ -130,28 +130,30 @@
 
     async def take_snapshot(self) -> int:
         """Write a snapshot now and compact the log; gives its index."""
-        self.core.check_sound()
+        self.core.check_not_failed()
         return await applying.take_snapshot(self.core)
 
     async def add_learner(
         self,
         host_id: ids.HostId,
         address: str,
-        timeout: float = _TIMEOUT,
+        timeout: float = _TIMEOUT_SECONDS,
     ) -> None:
         """Let the data folder of a host follow the log without a vote.
 
         :raises errors.RefusedError: as :meth:`add_recorder`.
         :raises errors.UncertainError: as :meth:`add_recorder`.
         """
-        await membership_change.learn(self.core, host_id, address, timeout)
+        await membership_change.add_as_learner(
+            self.core, host_id, address, timeout
+        )
 
     async def replace_recorder(
         self,
         host_id: ids.HostId,
         address: str,
         lost: ids.HostId,
-        timeout: float = _TIMEOUT,
+        timeout: float = _TIMEOUT_SECONDS,
     ) -> None:
         """Put the recorder on a host in the place of a lost host's.
 
@@ -176,7 +178,7 @@
 
     def leader(self) -> ids.HostId:
         """Give the host whose recorder leads and is heard, or empty."""
-        return serving.heard_leader(self.core)
+        return serving.current_leader(self.core)
 
     def is_current(self) -> bool:
         """Tell whether all that was committed a moment ago is applied here.
--- a/libs/consensus/geraniumweir/consensus/replication.py
+++ b/libs/consensus/geraniumweir/consensus/replication.py
@@ -20,31 +20,33 @@
 
 async def replicate(
     this: core.Core,
-    led: leadership.LeaderState,
+    leader_state: leadership.LeaderState,
     progress: leadership.Progress,
 ) -> None:
     """Keep one recorder up to date for as long as the reign lasts."""
-    while not led.ended:
+    while not leader_state.ended:
         before = progress.next_index - 1
         if this.folder.log.term_at(before) is None:
-            await snapshot_transfer.ship_snapshot(this, led, progress)
+            await snapshot_transfer.send_snapshot(this, leader_state, progress)
         else:
-            _send(this, led, progress)
+            _send(this, leader_state, progress)
         await _wait_for_work(this, progress)
 
 
-def count_copies(this: core.Core, led: leadership.LeaderState) -> None:
+def advance_commit_index(
+    this: core.Core, leader_state: leadership.LeaderState
+) -> None:
     """Commit what a majority holds."""
-    if led.ended:
+    if leader_state.ended:
         return
-    index = _majority_match(this, led)
-    if index < led.start_index or index <= this.commit.height:
+    index = _majority_match(this, leader_state)
+    if index < leader_state.start_index or index <= this.commit.height:
         return
     this.commit.raise_to(index)
-    led.notify()
-    for progress in led.progress.values():
-        if progress.under_way == 0:
-            progress.nudge()
+    leader_state.notify()
+    for progress in leader_state.progress.values():
+        if progress.in_flight == 0:
+            progress.request_send()
 
 
 def to_wire(entry: entries.Entry) -> ttypes.LogEntry:
@@ -57,11 +59,13 @@
     )
 
 
-def _majority_match(this: core.Core, led: leadership.LeaderState) -> int:
+def _majority_match(
+    this: core.Core, leader_state: leadership.LeaderState
+) -> int:
     copies = [
         this.folder.log.synced_index
         if member.identity == this.identity
-        else led.progress[member.identity].match
+        else leader_state.progress[member.identity].match
         for member in this.history.current.voters
     ]
     copies.sort(reverse=True)
@@ -70,7 +74,7 @@
 
 def _send(
     this: core.Core,
-    led: leadership.LeaderState,
+    leader_state: leadership.LeaderState,
     progress: leadership.Progress,
 ) -> None:
     cfg = this.env.cfg
@@ -83,16 +87,18 @@
         cluster=this.history.current.cluster,
         to=progress.member.identity,
         leader=this.identity,
-        term=led.term,
+        term=leader_state.term,
         previous_index=before,
         previous_term=log.term_at(before),
         entries=[to_wire(entry) for entry in batch],
         commit=this.commit.height,
     )
     progress.next_index += len(batch)
-    progress.nudged = False
-    progress.under_way += 1
-    led.keep_message(this.spawn(_exchange(this, led, progress, message)))
+    progress.send_due = False
+    progress.in_flight += 1
+    leader_state.add_message_task(
+        this.spawn(_exchange(this, leader_state, progress, message))
+    )
 
 
 async def _wait_for_work(
@@ -103,18 +109,18 @@
     due = this.timers.now() + cfg.heartbeat
     while True:
         late = this.timers.now() >= due
-        if progress.under_way < cfg.window and (
+        if progress.in_flight < cfg.window and (
             late or _has_work(this, progress)
         ):
             return
-        progress.wake.clear()
+        progress.wakeup.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(None if late else due):
-                await progress.wake.wait()
+                await progress.wakeup.wait()
 
 
 def _has_work(this: core.Core, progress: leadership.Progress) -> bool:
-    if progress.nudged:
+    if progress.send_due:
         return True
     more = progress.next_index <= this.folder.log.last.index
     return more and not progress.probing
@@ -122,7 +128,7 @@
 
 async def _exchange(
     this: core.Core,
-    led: leadership.LeaderState,
+    leader_state: leadership.LeaderState,
     progress: leadership.Progress,
     message: ttypes.AppendEntries,
 ) -> None:
@@ -134,55 +140,55 @@
             this.env.cfg.election_min,
         )
     except wire_errors.PeerError:
-        progress.back_up()
+        progress.reset_next_index()
         return
     finally:
-        progress.under_way -= 1
-        progress.wake.set()
-    if not led.ended:
-        _take_answer(this, led, progress, answer, sent_at)
+        progress.in_flight -= 1
+        progress.wakeup.set()
+    if not leader_state.ended:
+        _handle_answer(this, leader_state, progress, answer, sent_at)
 
 
-def _take_answer(
+def _handle_answer(
     this: core.Core,
-    led: leadership.LeaderState,
+    leader_state: leadership.LeaderState,
     progress: leadership.Progress,
     answer: ttypes.AppendAnswer,
     sent_at: float,
 ) -> None:
     match answer.outcome:
         case ttypes.Outcome.done:
-            led.contacted(progress, sent_at)
-            _note_match(progress, answer.index)
-            count_copies(this, led)
+            leader_state.record_contact(progress, sent_at)
+            _record_match(progress, answer.index)
+            advance_commit_index(this, leader_state)
         case ttypes.Outcome.conflict:
-            led.contacted(progress, sent_at)
-            _go_back(progress, answer.index)
+            leader_state.record_contact(progress, sent_at)
+            _handle_conflict(progress, answer.index)
         case ttypes.Outcome.wrong_recorder:
-            note_replaced(this, progress)
+            record_replaced(this, progress)
         case _:
             this.enter_term(answer.term, 'a newer term was met')
 
 
-def _note_match(progress: leadership.Progress, index: int) -> None:
+def _record_match(progress: leadership.Progress, index: int) -> None:
     progress.match = max(progress.match, index)
     progress.next_index = max(progress.next_index, progress.match + 1)
     progress.probing = False
     progress.replaced = False
 
 
-def _go_back(progress: leadership.Progress, index: int) -> None:
+def _handle_conflict(progress: leadership.Progress, index: int) -> None:
     wanted = min(progress.next_index, index)
     progress.next_index = max(wanted, progress.match + 1)
     progress.probing = True
     # Look again at once, but never in a closed circle with a late answer.
-    if progress.under_way == 0:
-        progress.nudge()
+    if progress.in_flight == 0:
+        progress.request_send()
 
 
-def note_replaced(this: core.Core, progress: leadership.Progress) -> None:
+def record_replaced(this: core.Core, progress: leadership.Progress) -> None:
     """Note that a host's data folder is not the one that was added."""
-    progress.back_up()
+    progress.reset_next_index()
     if progress.replaced:
         return
     progress.replaced = True
--- a/libs/consensus/geraniumweir/consensus/serving.py
+++ b/libs/consensus/geraniumweir/consensus/serving.py
@@ -16,7 +16,7 @@
 from geraniumweir.store import entries
 from geraniumweir.wire.gen.consensus import ttypes
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 _MAX_ENTRIES = 1024
 
 
@@ -69,7 +69,7 @@
         identity=this.identity,
         role=this.role,
         term=this.term,
-        leader=heard_leader(this),
+        leader=current_leader(this),
         commit=this.commit.height,
         applied=this.applied.height,
         last_index=this.folder.log.last.index,
@@ -85,10 +85,10 @@
     )
 
 
-def heard_leader(this: core.Core) -> ids.HostId:
+def current_leader(this: core.Core) -> ids.HostId:
     """Give the host of the leader that is heard, or empty."""
     leader = this.history.current.find(this.leader)
-    if leader is None or not this.hears_leader():
+    if leader is None or not this.has_live_leader():
         return ids.HostId('')
     return leader.host_id
 
@@ -98,9 +98,9 @@
 
     :param at: in loop time.
     """
-    if this.leader_state is None:
+    if this.leadership is None:
         return False
-    return leading.majority_contact(this, this.leader_state) >= at
+    return leading.majority_contact(this, this.leadership) >= at
 
 
 async def barrier(this: core.Core, timeout: float) -> int:
@@ -139,43 +139,45 @@
 
 async def answer_propose(
     this: core.Core,
-    ask: ttypes.Propose,
+    request: ttypes.Propose,
 ) -> ttypes.ProposeAnswer:
     """Answer a proposal of another host."""
-    work = leading.propose(this, ask.command, ask.timeout_ms / _MS)
+    work = leading.propose(
+        this, request.command, request.timeout_ms / _MS_PER_SECOND
+    )
     return await _verdict(work)
 
 
 async def answer_barrier(
     this: core.Core,
-    ask: ttypes.AskBarrier,
+    request: ttypes.AskBarrier,
 ) -> ttypes.ProposeAnswer:
     """Answer a barrier of another host with the index to wait for."""
-    return await _verdict(barrier(this, ask.timeout_ms / _MS))
+    return await _verdict(barrier(this, request.timeout_ms / _MS_PER_SECOND))
 
 
 async def answer_change(
     this: core.Core,
-    ask: ttypes.ChangeRecorders,
+    request: ttypes.ChangeRecorders,
 ) -> ttypes.ProposeAnswer:
     """Change the recorders for another host."""
-    timeout = ask.timeout_ms / _MS
-    host_id = ids.HostId(ask.host_id)
-    if ask.kind == ttypes.ChangeKind.add:
+    timeout = request.timeout_ms / _MS_PER_SECOND
+    host_id = ids.HostId(request.host_id)
+    if request.kind == ttypes.ChangeKind.add:
         return await _verdict(
-            membership_change.add(this, host_id, ask.address, timeout),
+            membership_change.add(this, host_id, request.address, timeout),
         )
     return await _verdict(membership_change.remove(this, host_id, timeout))
 
 
 async def answer_entries(
     this: core.Core,
-    ask: ttypes.ReadEntries,
+    request: ttypes.ReadEntries,
 ) -> ttypes.EntriesAnswer:
     """Give committed entries to another host."""
-    limit = min(ask.limit, _MAX_ENTRIES)
+    limit = min(request.limit, _MAX_ENTRIES)
     try:
-        batch = read_entries(this, ask.after_index, limit)
+        batch = read_entries(this, request.after_index, limit)
     except errors.CompactedError:
         return ttypes.EntriesAnswer([], this.commit.height, compacted=True)
     found = [replication.to_wire(entry) for entry in batch]
@@ -184,14 +186,14 @@
 
 async def answer_snapshot(
     this: core.Core,
-    ask: ttypes.FetchSnapshot,
+    request: ttypes.FetchSnapshot,
 ) -> ttypes.SnapshotContent:
     """Give a piece of the newest snapshot.
 
     A piece of another one than was asked for starts at its first byte.
     """
     newest = this.folder.snapshots.newest
-    offset = ask.offset if ask.index == newest.index else 0
+    offset = request.offset if request.index == newest.index else 0
     end = offset + this.env.cfg.piece_bytes
     return ttypes.SnapshotContent(
         newest.index,
@@ -269,11 +271,11 @@
 def _row(this: core.Core, member: members.Member) -> RecorderRow:
     if member.identity == this.identity:
         return RecorderRow(member, this.folder.log.synced_index, True)
-    if this.leader_state is None:
+    if this.leadership is None:
         return RecorderRow(member, 0, False)
-    progress = this.leader_state.progress[member.identity]
-    silence = this.timers.now() - progress.contact
+    progress = this.leadership.progress[member.identity]
+    silence = this.timers.now() - progress.last_contact_at
     reachable = silence <= this.env.cfg.election_max
     # One that was added a moment ago hasn't been silent for longer.
-    silence = min(silence, this.timers.now() - progress.since)
+    silence = min(silence, this.timers.now() - progress.started_at)
     return RecorderRow(member, progress.match, reachable, silence)
--- a/libs/consensus/geraniumweir/consensus/settings.py
+++ b/libs/consensus/geraniumweir/consensus/settings.py
@@ -1,4 +1,4 @@
-"""Sizes and times of the replicated log."""
+"""Limits and timeouts of the replicated log."""
 
 import dataclasses
 
@@ -12,25 +12,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """What one recorder is told.
+    """Settings of one recorder.
 
-    :ivar host_id: of the entry host it runs on.
-    :ivar heartbeat: seconds between messages of a leader.
-    :ivar election_min: shortest silence after which a leader counts as lost,
-        in seconds.
-    :ivar election_max: longest such silence; also after it a leader that
-        heard no majority steps down.
-    :ivar batch_entries: most entries in a message.
-    :ivar batch_bytes: about the most payload in a message.
-    :ivar window: most messages under way to one recorder.
-    :ivar piece_bytes: most of a snapshot in one message.
-    :ivar snapshot_entries: a snapshot is taken after so many entries.
-    :ivar snapshot_bytes: and after so many bytes of entries, whichever comes
-        first; entries may be whole documents.
-    :ivar trailing_entries: most entries kept behind a snapshot, for followers
-        that are a little late.
-    :ivar trailing_bytes: most bytes of such entries.
-    :ivar segment_bytes: size of the log's files.
+    :ivar host_id: the entry host that the recorder runs on.
+    :ivar heartbeat: interval between messages of a leader, in seconds.
+    :ivar election_min: minimum election timeout, in seconds.
+    :ivar election_max: maximum election timeout, in seconds; a leader that
+        was in contact with no majority for as long steps down.
+    :ivar batch_entries: maximum number of entries in a message.
+    :ivar batch_bytes: approximate maximum payload of a message, in bytes.
+    :ivar window: maximum number of messages in flight to one recorder.
+    :ivar piece_bytes: maximum size of a snapshot chunk in one message, in
+        bytes.
+    :ivar snapshot_entries: number of applied entries after which a snapshot
+        is taken.
+    :ivar snapshot_bytes: payload of applied entries, in bytes, after which a
+        snapshot is taken, whichever comes first; entries may be complete
+        documents.
+    :ivar trailing_entries: maximum number of entries retained before a
+        snapshot's index, for followers that lag slightly.
+    :ivar trailing_bytes: maximum payload of such entries, in bytes.
+    :ivar segment_bytes: size of the log's segment files, in bytes.
     """
 
     host_id: ids.HostId
--- a/libs/consensus/geraniumweir/consensus/snapshot_transfer.py
+++ b/libs/consensus/geraniumweir/consensus/snapshot_transfer.py
@@ -19,17 +19,17 @@
 _SIGN_BITS = 1
 
 
-async def ship_snapshot(
+async def send_snapshot(
     this: core.Core,
-    led: leadership.LeaderState,
+    leader_state: leadership.LeaderState,
     progress: leadership.Progress,
 ) -> None:
     """Send the newest snapshot; return when it is installed or lost."""
     newest = this.folder.snapshots.newest
     offset = 0
-    while not led.ended:
+    while not leader_state.ended:
         sent_at = this.timers.now()
-        piece = _piece(this, led, progress, newest, offset)
+        piece = _piece(this, leader_state, progress, newest, offset)
         answer = await _call(this, progress, piece)
         if answer is None:
             await asyncio.sleep(this.env.cfg.heartbeat)
@@ -38,10 +38,10 @@
             this.enter_term(answer.term, 'a newer term was met')
             progress.replaced = answer.outcome == ttypes.Outcome.wrong_recorder
             return
-        led.contacted(progress, sent_at)
+        leader_state.record_contact(progress, sent_at)
         offset = answer.offset
         if answer.installed:
-            _note_installed(this, progress, newest)
+            _record_installed(this, progress, newest)
             return
 
 
@@ -67,7 +67,7 @@
 
 def _piece(
     this: core.Core,
-    led: leadership.LeaderState,
+    leader_state: leadership.LeaderState,
     progress: leadership.Progress,
     newest: snapshots.Snapshot,
     offset: int,
@@ -77,7 +77,7 @@
         cluster=this.history.current.cluster,
         to=progress.member.identity,
         leader=this.identity,
-        term=led.term,
+        term=leader_state.term,
         index=newest.index,
         index_term=newest.term,
         members=newest.members,
@@ -88,7 +88,7 @@
     )
 
 
-def _note_installed(
+def _record_installed(
     this: core.Core,
     progress: leadership.Progress,
     newest: snapshots.Snapshot,
@@ -96,7 +96,7 @@
     progress.match = max(progress.match, newest.index)
     progress.next_index = progress.match + 1
     progress.probing = False
-    progress.nudged = True
+    progress.send_due = True
     this.env.report(
         logevents.SNAPSHOT_SENT,
         index=newest.index,
--- a/libs/consensus/geraniumweir/consensus/tests/cluster.py
+++ b/libs/consensus/geraniumweir/consensus/tests/cluster.py
@@ -20,14 +20,14 @@
 from geraniumweir.wire import memory
 
 HOSTS = tuple(ids.HostId(name) for name in ('ant', 'bee', 'cow'))
-_LONGEST_SECONDS = 600
+_MAX_SECONDS = 600
 _Done = typing.TypeVar('_Done')
 _NUMBER = struct.Struct('<Q')
 
 
 def run(scenario: typing.Coroutine[typing.Any, typing.Any, _Done]) -> _Done:
     """Run a scenario in virtual time; one without an end fails."""
-    return virtual.run(asyncio.wait_for(scenario, _LONGEST_SECONDS))
+    return virtual.run(asyncio.wait_for(scenario, _MAX_SECONDS))
 
 
 class ListMachine:
@@ -90,7 +90,7 @@
         """Start a recorder on what its disk holds."""
         seed = self.rng.getrandbits(32)
         disk = self.disks.setdefault(host_id, memory_disk.MemoryDisk(seed))
-        way = self.network.join(host_id, address(host_id))
+        peer_layer = self.network.join(host_id, address(host_id))
         opened = await folder.open_folder(
             disk,
             self._disk_runner(),
@@ -98,16 +98,16 @@
             lambda: f'{host_id}-{seed}',
         )
         machine = ListMachine()
-        surroundings = core.Environment(
+        environment = core.Environment(
             settings.Settings(host_id, **self.sizes),
-            way,
+            peer_layer,
             machine,
             random.Random(seed),
             self._report_of(opened.identity),
         )
         first = {name: address(name) for name in HOSTS}
-        started = recorder.Recorder(surroundings, opened, first)
-        started.changes.subscribe(self._note_change)
+        started = recorder.Recorder(environment, opened, first)
+        started.changes.subscribe(self._record_change)
         started.start()
         node = Node(started, machine, disk, opened.identity)
         self.nodes[host_id] = node
@@ -126,7 +126,7 @@
         """Lose the folder of a host that is down."""
         self.disks.pop(host_id)
 
-    def cut_off(self, host_id: ids.HostId) -> None:
+    def partition(self, host_id: ids.HostId) -> None:
         """Lose everything from and to a host."""
         for other in list(self.disks):
             if other != host_id:
@@ -136,18 +136,18 @@
     def client(self, name: str = 'eel') -> client.LogClient:
         """Give a client on a host without a disk."""
         host_id = ids.HostId(name)
-        way = self.network.join(host_id, address(host_id))
-        return client.LogClient(way, HOSTS)
+        peer_layer = self.network.join(host_id, address(host_id))
+        return client.LogClient(peer_layer, HOSTS)
 
     async def leader(self) -> ids.HostId:
         """Wait until one recorder leads and a majority knows it."""
         while True:
             for host_id, node in list(self.nodes.items()):
-                if await _leads(node.recorder):
+                if await _is_confirmed_leader(node.recorder):
                     return host_id
             await asyncio.sleep(0.05)
 
-    async def settled(self) -> list[list[bytes]]:
+    async def wait_until_applied(self) -> list[list[bytes]]:
         """Wait until all live recorders have applied the same, give it."""
         while True:
             leading = await self.leader()
@@ -166,7 +166,7 @@
 
     def _report_of(self, identity: str) -> core.Report:
         def report(event: object, **fields: object) -> None:
-            if event is not logevents.LEADS:
+            if event is not logevents.BECAME_LEADER:
                 return
             known = self.leaders.setdefault(fields['term'], identity)
             if known != identity:
@@ -174,7 +174,7 @@
 
         return report
 
-    def _note_change(self, change: machines.Change) -> None:
+    def _record_change(self, change: machines.Change) -> None:
         if not isinstance(change, machines.Applied):
             return
         known = self.applied.setdefault(change.index, change.command)
@@ -182,11 +182,11 @@
             self.violations.append(f'two commands at {change.index}')
 
 
-async def _leads(asked: recorder.Recorder) -> bool:
-    if asked.status().role is not core.Role.leader:
+async def _is_confirmed_leader(queried: recorder.Recorder) -> bool:
+    if queried.status().role is not core.Role.leader:
         return False
     try:
-        await asked.read_barrier(1)
+        await queried.read_barrier(1)
     except errors.ConsensusError:
         return False
     return True
--- a/libs/consensus/geraniumweir/consensus/tests/test_changes_of_recorders.py
+++ b/libs/consensus/geraniumweir/consensus/tests/test_changes_of_recorders.py
@@ -48,7 +48,7 @@
         await asyncio.sleep(30)
         assert node.recorder.status().last_index == 0
         await cluster.client().add_recorder(founder)
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied == commands
 
     clusters.run(scenario())
@@ -60,7 +60,7 @@
     async def scenario() -> None:
         cluster = await clusters.started()
         commands = await clusters.fill(cluster, 20)
-        await cluster.settled()
+        await cluster.wait_until_applied()
         cluster.crash(_COW)
         await cluster.boot(_DOG)
         operator = cluster.client()
@@ -68,7 +68,7 @@
         await operator.add_recorder(_DOG, str(clusters.address(_DOG)))
         cluster.crash(await cluster.leader())
         commands += await clusters.fill(cluster, 5, 'y')
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied == commands
         assert len(cluster.nodes) == 2
 
--- a/libs/consensus/geraniumweir/consensus/tests/test_faults.py
+++ b/libs/consensus/geraniumweir/consensus/tests/test_faults.py
@@ -36,7 +36,7 @@
             await cluster.boot(host_id)
     last = await history.append(cluster.client(), 30)
     assert last.place is not None
-    lists = await cluster.settled()
+    lists = await cluster.wait_until_applied()
     assert not cluster.violations
     assert all(applied == lists[0] for applied in lists)
     history.check(lists[0])
@@ -140,7 +140,7 @@
 )
 
 
-async def _ask_on(
+async def _propose_repeatedly(
     cluster: clusters.Cluster,
     history: histories.History,
     name: str,
@@ -153,7 +153,7 @@
         await asyncio.sleep(cluster.rng.random() * 0.05)
 
 
-async def _break(cluster: clusters.Cluster, rng: random.Random) -> None:
+async def _inject_fault(cluster: clusters.Cluster, rng: random.Random) -> None:
     host_id = rng.choice(clusters.HOSTS)
     other = rng.choice(clusters.HOSTS)
     match rng.randrange(10):
@@ -162,7 +162,7 @@
         case 1 if host_id in cluster.nodes:
             cluster.nodes[host_id].disk.operations_left = rng.randrange(10)
         case 2:
-            cluster.cut_off(host_id)
+            cluster.partition(host_id)
         case 3:
             cluster.network.cut(host_id, other)
         case _:
@@ -191,12 +191,12 @@
         cluster.network.jitter = 0.02
         cluster.fsync_seconds = (0, 0.03)
         callers = [
-            asyncio.create_task(_ask_on(cluster, history, name, 60))
+            asyncio.create_task(_propose_repeatedly(cluster, history, name, 60))
             for name in ('eel', 'fox', 'gnu')
         ]
         while asyncio.get_running_loop().time() < 60:
             await asyncio.sleep(rng.random())
-            await _break(cluster, rng)
+            await _inject_fault(cluster, rng)
             for node in list(cluster.nodes.values()):
                 callers.append(asyncio.create_task(history.read(node)))
         await asyncio.gather(*callers)
@@ -234,7 +234,7 @@
         cluster.network.jitter = 0.02
         cluster.fsync_seconds = (0, 0.03)
         callers = [
-            asyncio.create_task(_ask_on(cluster, history, name, 60))
+            asyncio.create_task(_propose_repeatedly(cluster, history, name, 60))
             for name in ('eel', 'fox')
         ]
         for _ in range(6):
--- a/libs/consensus/geraniumweir/consensus/tests/test_recorders.py
+++ b/libs/consensus/geraniumweir/consensus/tests/test_recorders.py
@@ -16,7 +16,7 @@
     async def scenario() -> None:
         cluster = await clusters.started()
         commands = await clusters.fill(cluster, 200)
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied == commands
 
     clusters.run(scenario())
@@ -41,24 +41,24 @@
     async def scenario() -> None:
         cluster = await clusters.started()
         before = await clusters.fill(cluster, 5)
-        cut = await cluster.leader()
-        node = cluster.nodes[cut]
-        cluster.cut_off(cut)
+        partitioned = await cluster.leader()
+        node = cluster.nodes[partitioned]
+        cluster.partition(partitioned)
         loop = asyncio.get_running_loop()
-        cut_at = loop.time()
+        partitioned_at = loop.time()
         with pytest.raises(errors.UncertainError):
             await node.recorder.propose(b'into the void', 5)
-        assert loop.time() - cut_at < 2
+        assert loop.time() - partitioned_at < 2
         with pytest.raises(errors.NoQuorumError):
             await node.recorder.propose(b'refused')
         with pytest.raises(errors.NoQuorumError):
             await node.recorder.read_barrier()
         assert not node.recorder.status().leader
-        lost = cluster.nodes.pop(cut)
+        lost = cluster.nodes.pop(partitioned)
         after = await clusters.fill(cluster, 5, 'y')
         cluster.network.heal()
-        cluster.nodes[cut] = lost
-        for applied in await cluster.settled():
+        cluster.nodes[partitioned] = lost
+        for applied in await cluster.wait_until_applied():
             assert applied == before + after
 
     clusters.run(scenario())
@@ -69,10 +69,10 @@
 
     async def scenario() -> None:
         cluster = await clusters.started()
-        cut = await cluster.leader()
-        cluster.cut_off(cut)
+        partitioned = await cluster.leader()
+        cluster.partition(partitioned)
         with pytest.raises(errors.NoQuorumError):
-            await cluster.nodes[cut].recorder.read_barrier(5)
+            await cluster.nodes[partitioned].recorder.read_barrier(5)
 
     clusters.run(scenario())
 
@@ -85,7 +85,7 @@
         leading = await cluster.leader()
         follower = next(name for name in clusters.HOSTS if name != leading)
         term = cluster.nodes[leading].recorder.status().term
-        cluster.cut_off(follower)
+        cluster.partition(follower)
         await asyncio.sleep(30)
         cluster.network.heal()
         await asyncio.sleep(5)
@@ -130,7 +130,7 @@
         assert node.recorder.status().failure
         cluster.nodes.pop(failed)
         after = await clusters.fill(cluster, 3, 'y')
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied[:3] == before
             assert applied[-3:] == after
         # Of three, one failed and one is down: its vote must not help.
--- a/libs/consensus/geraniumweir/consensus/tests/test_replacing_leaders.py
+++ b/libs/consensus/geraniumweir/consensus/tests/test_replacing_leaders.py
@@ -7,28 +7,30 @@
 
 _SEEDS = 30
 # Seconds from the loss to a new leader.
-_MEAN = 0.75
-_MOST = 1.2
+_MAX_MEAN_SECONDS = 0.75
+_MAX_SECONDS = 1.2
 
 
-async def _unled_seconds(seed: int) -> float:
+async def _seconds_without_leader(seed: int) -> float:
     """Cut the leader off and measure until another one leads."""
     loop = asyncio.get_running_loop()
     recorders = await cluster.started(seed)
     lost = await recorders.leader()
     await asyncio.sleep(recorders.rng.uniform(1, 2))
-    recorders.cut_off(lost)
-    cut_at = loop.time()
+    recorders.partition(lost)
+    partitioned_at = loop.time()
     others = [node for name, node in recorders.nodes.items() if name != lost]
     while not any(
         node.recorder.status().role is core.Role.leader for node in others
     ):
         await asyncio.sleep(0.01)
-    return loop.time() - cut_at
+    return loop.time() - partitioned_at
 
 
 def test_lost_leader_is_replaced_soon() -> None:
     """Two others soon agree, though one heard it last."""
-    took = [cluster.run(_unled_seconds(seed)) for seed in range(_SEEDS)]
-    assert sum(took) / len(took) <= _MEAN
-    assert max(took) <= _MOST
+    took = [
+        cluster.run(_seconds_without_leader(seed)) for seed in range(_SEEDS)
+    ]
+    assert sum(took) / len(took) <= _MAX_MEAN_SECONDS
+    assert max(took) <= _MAX_SECONDS
--- a/libs/consensus/geraniumweir/consensus/tests/test_rules.py
+++ b/libs/consensus/geraniumweir/consensus/tests/test_rules.py
@@ -26,10 +26,12 @@
         for host_id in clusters.HOSTS:
             if host_id != played:
                 cluster.crash(host_id)
-                way = cluster.network.join(host_id, clusters.address(host_id))
-                way.handle(ttypes.AskVote, self._vote)
-                way.handle(ttypes.AppendEntries, self._append)
-                self.peers.append(way)
+                peer_layer = cluster.network.join(
+                    host_id, clusters.address(host_id)
+                )
+                peer_layer.handle(ttypes.AskVote, self._vote)
+                peer_layer.handle(ttypes.AppendEntries, self._append)
+                self.peers.append(peer_layer)
 
     def other(self) -> str:
         """Give the identity of the first played recorder."""
@@ -39,7 +41,7 @@
             row.member.identity for row in rows if row.member.host_id == host_id
         )
 
-    def ask_vote(self, last: entries.Position, term: int) -> ttypes.AskVote:
+    def vote_request(self, last: entries.Position, term: int) -> ttypes.AskVote:
         """Make an ask of the first played recorder."""
         return ttypes.AskVote(
             self.cluster_name(),
@@ -83,7 +85,7 @@
     async def _vote(
         self,
         _sender: ids.HostId,
-        ask: ttypes.AskVote,
+        request: ttypes.AskVote,
     ) -> ttypes.VoteAnswer:
         return ttypes.VoteAnswer(0, self.votes)
 
@@ -104,7 +106,7 @@
     await cluster.start()
     leading = await cluster.leader()
     await cluster.nodes[leading].recorder.propose(b'first')
-    await cluster.settled()
+    await cluster.wait_until_applied()
     return Script(cluster, leading)
 
 
@@ -150,8 +152,8 @@
         granted = []
         for place, (index, term) in enumerate(asks):
             position = entries.Position(index, term)
-            ask = script.ask_vote(position, last.term + 1 + place)
-            answer = await script.peers[0].call(script.host, ask, 1)
+            request = script.vote_request(position, last.term + 1 + place)
+            answer = await script.peers[0].call(script.host, request, 1)
             granted.append(answer.granted)
         return granted
 
@@ -168,15 +170,15 @@
         script = Script(cluster, leading)
         await asyncio.sleep(3)
         last = _last(script)
-        ask = script.ask_vote(last, last.term + 1)
-        first = await script.peers[0].call(leading, ask, 1)
+        request = script.vote_request(last, last.term + 1)
+        first = await script.peers[0].call(leading, request, 1)
         cluster.crash(leading)
         script.node = await cluster.boot(leading)
-        ask = script.ask_vote(last, last.term + 1)
-        rival = copy.copy(ask)
+        request = script.vote_request(last, last.term + 1)
+        rival = copy.copy(request)
         rival.candidate = 'another'
         other = await script.peers[1].call(leading, rival, 1)
-        again = await script.peers[0].call(leading, ask, 1)
+        again = await script.peers[0].call(leading, request, 1)
         return [first.granted, other.granted, again.granted]
 
     assert clusters.run(scenario()) == [True, False, True]
@@ -191,15 +193,15 @@
         last = _last(script)
         entry = entries.Entry(last.index + 1, last.term + 1, 0, b'late')
         message = script.append(last, [entry], last.term + 1)
-        ask = script.ask_vote(
+        request = script.vote_request(
             entries.Position(last.index + 9, last.term + 2),
             last.term + 2,
         )
-        ask.transfer = True
+        request.transfer = True
         first, second = script.peers
         answer, vote = await asyncio.gather(
             first.call(script.host, message, 1),
-            second.call(script.host, ask, 1),
+            second.call(script.host, request, 1),
         )
         assert vote.granted
         return answer.outcome
@@ -219,10 +221,10 @@
             entries.Entry(last.index + 1 + place, term, 0, b'%d' % place)
             for place in range(3)
         ]
-        way = script.peers[0]
-        await way.call(script.host, script.append(last, new, term), 1)
+        peer_layer = script.peers[0]
+        await peer_layer.call(script.host, script.append(last, new, term), 1)
         repeat = script.append(last, new[:1], term)
-        answer = await way.call(script.host, repeat, 1)
+        answer = await peer_layer.call(script.host, repeat, 1)
         assert answer.index == last.index + 1
         assert _last(script).index == last.index + 3
 
@@ -238,10 +240,12 @@
         last = _last(script)
         term = last.term + 1
         stale = entries.Entry(last.index + 1, term, 0, b'stale')
-        way = script.peers[0]
-        await way.call(script.host, script.append(last, [stale], term), 1)
+        peer_layer = script.peers[0]
+        await peer_layer.call(
+            script.host, script.append(last, [stale], term), 1
+        )
         beyond = script.append(last, [], term + 1, last.index + 1)
-        await way.call(script.host, beyond, 1)
+        await peer_layer.call(script.host, beyond, 1)
         assert script.node.recorder.status().commit == last.index
         assert b'stale' not in script.node.machine.commands
 
--- a/libs/consensus/geraniumweir/consensus/tests/test_snapshots.py
+++ b/libs/consensus/geraniumweir/consensus/tests/test_snapshots.py
@@ -12,7 +12,7 @@
 _BIG = b'd' * 1000
 _MANY = 1000
 # The bounds of the test, and what comes in while a snapshot is written.
-_MOST_HELD = 8000 + 3000 + 4 * 1004
+_MAX_HELD_BYTES = 8000 + 3000 + 4 * 1004
 
 
 def test_late_follower_catches_up_by_snapshot() -> None:
@@ -36,7 +36,7 @@
             cluster.nodes[leading].recorder.read_entries(0, 10)
         cluster.network.loss = 0.05
         await cluster.boot(late)
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied == commands
         assert cluster.nodes[late].recorder.snapshot().index > 0
 
@@ -57,22 +57,22 @@
         for number in range(40):
             commands.append(b'%d:' % number + _BIG)
             await cluster.nodes[leading].recorder.propose(commands[-1])
-            assert _held(cluster, leading) < _MOST_HELD
+            assert _held(cluster, leading) < _MAX_HELD_BYTES
         with pytest.raises(errors.CompactedError):
             cluster.nodes[leading].recorder.read_entries(0, 10)
         await cluster.boot(late)
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied == commands
         assert cluster.nodes[late].recorder.snapshot().index > 0
         # The one that took the snapshot in cuts its log by itself, too.
         for number in range(40, 60):
             commands.append(b'%d:' % number + _BIG)
             await cluster.nodes[leading].recorder.propose(commands[-1])
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied == commands
         await asyncio.sleep(1)
         for host_id in clusters.HOSTS:
-            assert 0 < _held(cluster, host_id) < _MOST_HELD
+            assert 0 < _held(cluster, host_id) < _MAX_HELD_BYTES
 
     clusters.run(scenario())
 
@@ -88,7 +88,7 @@
         leading = cluster.nodes[await cluster.leader()].recorder
         for command in commands:
             await leading.propose(command)
-        await cluster.settled()
+        await cluster.wait_until_applied()
         index = await leading.take_snapshot()
         assert not leading.read_entries(index, 10)
         with pytest.raises(errors.CompactedError):
@@ -96,7 +96,7 @@
         for host_id in clusters.HOSTS:
             cluster.crash(host_id)
         await cluster.start()
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied == commands
 
     clusters.run(scenario())
@@ -123,10 +123,10 @@
     async def scenario() -> None:
         cluster = await clusters.started(piece_bytes=7)
         before = await clusters.fill(cluster, 10)
-        await cluster.settled()
+        await cluster.wait_until_applied()
         index = await cluster.nodes[_COW].recorder.take_snapshot()
         after = await clusters.fill(cluster, 3, 'y')
-        await cluster.settled()
+        await cluster.wait_until_applied()
         reader = cluster.client()
         covered, state = await reader.fetch_snapshot(_COW)
         assert covered == index
@@ -149,7 +149,7 @@
         for host_id in clusters.HOSTS:
             cluster.crash(host_id)
         await cluster.start()
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied == commands
 
     clusters.run(scenario())
--- a/libs/consensus/geraniumweir/consensus/voting.py
+++ b/libs/consensus/geraniumweir/consensus/voting.py
@@ -1,8 +1,8 @@
-"""Elections: when to ask for votes, and whom to give them.
+"""Leader elections: election timer, pre-vote and vote requests.
 
-A recorder first asks whether it would win (pre-vote), and one that hears a
-leader says no, so that a recorder that was cut off disturbs nobody when it
-returns.
+A candidate first requests pre-votes, which change no state. A recorder in
+contact with a live leader denies them, so a recorder that was partitioned
+doesn't raise the term and depose the leader when it returns.
 
 References
 ==========
@@ -16,98 +16,107 @@
 from geraniumweir.wire import errors as wire_errors
 from geraniumweir.wire.gen.consensus import ttypes
 
-# So many trials fit into the shortest silence: each still lasts for some
-# hundred round trips between failure domains of a region (1.8 ms).
-_TRIALS = 2
+# Number of pre-votes that fit into the minimum election timeout. Each still
+# lasts for some hundred round trips between failure domains of a region
+# (1.8 ms).
+_PRE_VOTES_PER_TIMEOUT = 2
 
 
 async def answer_vote(
     this: core.Core,
-    ask: ttypes.AskVote,
+    request: ttypes.AskVote,
 ) -> ttypes.VoteAnswer:
-    """Vote, or say whether this recorder would.
+    """Answer a vote request or a pre-vote request of a candidate.
 
-    :raises errors.RecorderFailedError: when it may promise nothing.
+    A granted vote is durable before it is answered.
+
+    :raises errors.RecorderFailedError: when this recorder has failed.
     """
-    this.check_sound()
-    if not _may_vote(this, ask):
+    this.check_not_failed()
+    if not _may_vote(this, request):
         return ttypes.VoteAnswer(this.term, granted=False)
-    if ask.trial:
-        granted = ask.term > this.term and _is_up_to_date(this, ask)
+    if request.trial:
+        granted = request.term > this.term and _is_up_to_date(this, request)
         return ttypes.VoteAnswer(this.term, granted)
-    this.enter_term(ask.term, 'another recorder asks for votes')
-    granted = _vote(this, ask)
-    await this.folder.ballot.settle()
-    this.check_sound()
-    return ttypes.VoteAnswer(this.term, granted and this.term == ask.term)
+    this.enter_term(request.term, 'another recorder asks for votes')
+    granted = _vote(this, request)
+    await this.folder.ballot.wait_durable()
+    this.check_not_failed()
+    return ttypes.VoteAnswer(this.term, granted and this.term == request.term)
 
 
-async def watch(this: core.Core) -> None:
-    """Ask for votes whenever no leader is heard for long enough."""
+async def run_election_timer(this: core.Core) -> None:
+    """Start an election whenever the election timeout elapses."""
     cfg = this.env.cfg
-    # A leader that lives is heard within a heartbeat of the start, and the
-    # trial vote fails where others hear one; so after a loss of all recorders
-    # at once the first election needn't wait for the usual silence.
-    patience = this.env.rng.uniform(cfg.heartbeat, cfg.election_min)
+    # A live leader contacts this recorder within a heartbeat of the start, and
+    # the pre-vote fails where others have a live leader; so after a restart of
+    # all recorders at once the first election needn't wait for the usual
+    # timeout.
+    timeout_seconds = this.env.rng.uniform(cfg.heartbeat, cfg.election_min)
     while True:
-        await _silence(this, patience)
-        patience = this.env.rng.uniform(cfg.election_min, cfg.election_max)
+        await _wait_for_election_timeout(this, timeout_seconds)
+        timeout_seconds = this.env.rng.uniform(
+            cfg.election_min, cfg.election_max
+        )
         if _may_campaign(this) and not await campaign(this):
-            # Others may have heard the leader a moment longer. To wait for a
-            # whole silence again would replace a lost leader half a second
-            # later.
+            # Others may have received the leader's messages slightly longer.
+            # Another full election timeout would replace a lost leader half a
+            # second later.
             await asyncio.sleep(
                 this.env.rng.uniform(cfg.heartbeat, cfg.election_min),
             )
         else:
-            this.quiet_since = this.timers.now()
+            this.election_timer_reset_at = this.timers.now()
 
 
 async def campaign(this: core.Core, *, transfer: bool = False) -> bool:
-    """Ask for votes, and lead when a majority gives them.
+    """Request votes, and become leader when a majority grants them.
 
-    :param transfer: the leader itself asked for it, so that neither a trial
-        nor silence is needed.
-    :returns: whether votes were asked for, or a leader was heard.
+    :param transfer: whether the leader itself requested the election, so that
+        neither a pre-vote nor an election timeout is needed.
+    :returns: whether votes were requested or a live leader was found; False
+        when the pre-vote failed.
     """
-    if not transfer and not await _wins(this, this.term + 1, trial=True):
+    if not transfer and not await _wins_election(
+        this, this.term + 1, pre_vote=True
+    ):
         return False
-    if this.hears_leader() and not transfer:
+    if this.has_live_leader() and not transfer:
         return True
     this.folder.ballot.cast(this.term + 1, this.identity)
     term = this.term
     this.role = core.Role.candidate
     this.leader = members.RecorderId('')
-    this.env.report(logevents.CAMPAIGN, term=term)
-    await this.folder.ballot.settle()
-    if await _wins(this, term, transfer=transfer):
-        leading.begin(this, term)
+    this.env.report(logevents.ELECTION_STARTED, term=term)
+    await this.folder.ballot.wait_durable()
+    if await _wins_election(this, term, transfer=transfer):
+        leading.become_leader(this, term)
     elif this.role is core.Role.candidate and this.term == term:
         this.role = core.Role.follower
     return True
 
 
-def _may_vote(this: core.Core, ask: ttypes.AskVote) -> bool:
-    if ask.to != this.identity or not this.history.current.accepts(
-        ask.cluster,
+def _may_vote(this: core.Core, request: ttypes.AskVote) -> bool:
+    if request.to != this.identity or not this.history.current.accepts(
+        request.cluster,
     ):
         return False
-    return ask.transfer or not this.hears_leader()
+    return request.transfer or not this.has_live_leader()
 
 
-def _is_up_to_date(this: core.Core, ask: ttypes.AskVote) -> bool:
+def _is_up_to_date(this: core.Core, request: ttypes.AskVote) -> bool:
     last = this.folder.log.last
-    return (ask.last_term, ask.last_index) >= (last.term, last.index)
+    return (request.last_term, request.last_index) >= (last.term, last.index)
 
 
-def _vote(this: core.Core, ask: ttypes.AskVote) -> bool:
+def _vote(this: core.Core, request: ttypes.AskVote) -> bool:
     ballot = this.folder.ballot
-    if ask.term != ballot.term or not _is_up_to_date(this, ask):
+    if request.term != ballot.term or not _is_up_to_date(this, request):
         return False
     if ballot.candidate:
-        return ballot.candidate == ask.candidate
-    ballot.cast(ask.term, ask.candidate)
-    this.quiet_since = this.timers.now()
+        return ballot.candidate == request.candidate
+    ballot.cast(request.term, request.candidate)
+    this.election_timer_reset_at = this.timers.now()
     return True
 
 
@@ -117,65 +126,76 @@
     return this.history.current.is_voter(this.identity)
 
 
-async def _silence(this: core.Core, patience: float) -> None:
+async def _wait_for_election_timeout(
+    this: core.Core, timeout_seconds: float
+) -> None:
     while True:
-        left = this.quiet_since + patience - this.timers.now()
-        if left <= 0:
+        remaining = (
+            this.election_timer_reset_at + timeout_seconds - this.timers.now()
+        )
+        if remaining <= 0:
             return
-        await asyncio.sleep(left)
+        await asyncio.sleep(remaining)
 
 
-async def _wins(
+async def _wins_election(
     this: core.Core,
     term: int,
     *,
-    trial: bool = False,
+    pre_vote: bool = False,
     transfer: bool = False,
 ) -> bool:
-    """Ask all voters and stop as soon as it is clear."""
+    """Request votes of all voters, and return whether a majority grants them.
+
+    Returns as soon as a majority is reached; other requests are cancelled.
+    """
     current = this.history.current
-    asked = {
-        this.spawn(_ask(this, member, term, trial, transfer))
+    pending = {
+        this.spawn(_request_vote(this, member, term, pre_vote, transfer))
         for member in current.voters
         if member.identity != this.identity
     }
     votes = 1
-    while asked and votes < current.majority:
-        done, asked = await asyncio.wait(
-            asked,
+    while pending and votes < current.majority:
+        done, pending = await asyncio.wait(
+            pending,
             return_when=asyncio.FIRST_COMPLETED,
         )
         votes += sum(answer.result() for answer in done)
-    for left in asked:
-        left.cancel()
-    expected = this.term + 1 if trial else this.term
+    for remaining in pending:
+        remaining.cancel()
+    expected = this.term + 1 if pre_vote else this.term
     return votes >= current.majority and term == expected
 
 
-async def _ask(
+async def _request_vote(
     this: core.Core,
     member: members.Member,
     term: int,
-    trial: bool,
+    pre_vote: bool,
     transfer: bool,
 ) -> int:
     last = this.folder.log.last
-    ask = ttypes.AskVote(
+    request = ttypes.AskVote(
         cluster=this.history.current.cluster,
         to=member.identity,
         candidate=this.identity,
         term=term,
         last_index=last.index,
         last_term=last.term,
-        trial=trial,
+        trial=pre_vote,
         transfer=transfer,
     )
     cfg = this.env.cfg
-    # Nothing is lost by a trial that is asked again, but the time for which
-    # it waits for a leader that hangs.
-    timeout = cfg.election_min / _TRIALS if trial else cfg.election_min
+    # A pre-vote can be repeated at no cost but the time spent waiting for a
+    # recorder that hangs, such as the failed leader.
+    timeout = (
+        cfg.election_min / _PRE_VOTES_PER_TIMEOUT
+        if pre_vote
+        else cfg.election_min
+    )
     try:
-        answer = await this.env.peers.call(member.host_id, ask, timeout)
+        answer = await this.env.peers.call(member.host_id, request, timeout)
     except wire_errors.PeerError:
         return 0
     this.enter_term(answer.term, 'a newer term was met')
--- a/libs/consensus/geraniumweir/consensus/watermarks.py
+++ b/libs/consensus/geraniumweir/consensus/watermarks.py
@@ -1,10 +1,10 @@
-"""Numbers that only grow and can be waited for."""
+"""Monotonic numbers with a wait for a value, such as a commit index."""
 
 import asyncio
 
 
 class Watermark:
-    """A number that only grows.
+    """A number that never decreases.
 
     >>> async def wait_for_two():
     ...     mark = Watermark(0)
@@ -16,23 +16,23 @@
     >>> asyncio.run(wait_for_two())
     2
 
-    :ivar height: the number now.
+    :ivar height: the current value.
     """
 
     def __init__(self, height: int) -> None:
-        """Start at a height."""
+        """Initialize with a value."""
         self.height = height
-        self._moved = asyncio.Event()
+        self._changed = asyncio.Event()
 
     def raise_to(self, height: int) -> None:
-        """Grow to a height; a smaller one changes nothing."""
+        """Increase to a value; a lower one changes nothing."""
         if height <= self.height:
             return
         self.height = height
-        self._moved.set()
-        self._moved = asyncio.Event()
+        self._changed.set()
+        self._changed = asyncio.Event()
 
     async def reach(self, height: int) -> None:
-        """Wait until the number is at least so great."""
+        """Wait until the value is at least the given one."""
         while self.height < height:
-            await self._moved.wait()
+            await self._changed.wait()
--- a/libs/store/geraniumweir/store/ballots.py
+++ b/libs/store/geraniumweir/store/ballots.py
@@ -25,7 +25,7 @@
     """The vote as it is now, and whether it is durable.
 
     A new vote holds in memory at once, so that nothing is promised against
-    it; nobody may be told of it before :meth:`settle`.
+    it; nobody may be told of it before :meth:`wait_durable`.
     """
 
     def __init__(
@@ -59,13 +59,13 @@
         self._vote = Vote(term, candidate)
         self._commit.mark()
 
-    async def settle(self) -> None:
+    async def wait_durable(self) -> None:
         """Wait until the vote is durable.
 
         :raises errors.StoreFailedError: when the disk fails.
         """
         self._guard.check()
-        await self._commit.settle()
+        await self._commit.wait_durable()
 
     async def _save(self) -> None:
         vote = self._vote
--- a/libs/store/geraniumweir/store/group_commit.py
+++ b/libs/store/geraniumweir/store/group_commit.py
@@ -33,7 +33,7 @@
         """Note that there is something new to make durable."""
         self._marked += 1
 
-    async def settle(self) -> None:
+    async def wait_durable(self) -> None:
         """Wait until all that was marked before this call is durable.
 
         :raises errors.StoreFailedError: when the step fails.
--- a/libs/store/geraniumweir/store/log.py
+++ b/libs/store/geraniumweir/store/log.py
@@ -141,7 +141,7 @@
         :raises errors.StoreFailedError: when the disk fails or did before.
         """
         self._guard.check()
-        await self._commit.settle()
+        await self._commit.wait_durable()
 
     def reset(self, to: entries.Position) -> None:
         """Drop all entries and go on behind a snapshot; counts when synced."""
--- a/libs/store/geraniumweir/store/tests/test_crashes.py
+++ b/libs/store/geraniumweir/store/tests/test_crashes.py
@@ -99,7 +99,7 @@
         """Vote and have a promise."""
         self.vote = (self.vote[0] + term, candidate)
         self.folder.ballot.cast(*self.vote)
-        self.loop.run(self.folder.ballot.settle())
+        self.loop.run(self.folder.ballot.wait_durable())
         self.promised_vote = self.vote
 
     @stateful.rule()
--- a/libs/store/geraniumweir/store/tests/test_folder.py
+++ b/libs/store/geraniumweir/store/tests/test_folder.py
@@ -157,7 +157,7 @@
             await opened.log.sync()
         medium.failing = 0
         opened.log.append([entries.Entry(3, 1, 0, b'')])
-        for promise in (opened.log.sync, opened.ballot.settle):
+        for promise in (opened.log.sync, opened.ballot.wait_durable):
             with pytest.raises(errors.StoreFailedError):
                 await promise()
         assert opened.log.synced_index == 1
