--- a/libs/consensus/geraniumweir/consensus/applying.py
+++ b/libs/consensus/geraniumweir/consensus/applying.py
@@ -1,4 +1,4 @@
-"""Committed entries into the state machine, and snapshots out of it."""
+"""Application of committed entries, snapshots and log compaction."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 def restore(this: core.Core) -> None:
-    """Bring the state machine to what the data folder holds."""
+    """Restore the state machine from the newest durable snapshot."""
     newest = this.folder.snapshots.newest
     if newest.index:
         this.env.machine.restore(newest.state)
@@ -18,19 +18,19 @@
 
 
 async def apply_committed(this: core.Core) -> None:
-    """Apply entries as they are committed, for as long as this one runs."""
+    """Apply entries as they are committed, until the recorder stops."""
     while True:
         await this.commit.reach(this.applied.height + 1)
         _apply_batch(this)
         _start_snapshot(this)
-        # A long way to catch up mustn't hold up heartbeats.
+        # A long catch-up must not delay heartbeats.
         await asyncio.sleep(0)
 
 
 async def install_snapshot(
     this: core.Core, snapshot: snapshots.Snapshot
 ) -> None:
-    """Go on from a snapshot that the leader sent and that is durable."""
+    """Install a durable snapshot of the leader, unless it is outdated."""
     if snapshot.index <= this.applied.height:
         return
     last = this.folder.log.term_at(snapshot.index)
@@ -103,7 +103,7 @@
 
 
 async def take_snapshot(this: core.Core) -> int:
-    """Save the state as it is now and compact the log.
+    """Save a snapshot of the current state and compact the log.
 
     :returns: the index of the last entry that the snapshot covers.
     """
--- a/libs/consensus/geraniumweir/consensus/bootstrap.py
+++ b/libs/consensus/geraniumweir/consensus/bootstrap.py
@@ -1,9 +1,9 @@
-"""The first entry of a log, made once by one of the first recorders.
+"""Bootstrap of a log by one of its initial recorders.
 
-The founder is the one with the lowest host id, and it founds only when each of
-the first recorders has answered that it holds nothing. So a recorder whose
-folder was emptied can't found a second log beside the first: one of the others
-holds entries, or can't be asked.
+Only the recorder with the lowest host id writes the first entry, and only
+after each of the initial recorders has answered that its log is empty. So a
+recorder whose folder was emptied can't bootstrap a second log: one of the
+others has entries or can't be reached.
 """
 
 import asyncio
@@ -19,9 +19,11 @@
 
 
 async def bootstrap_log(this: core.Core, first: InitialRecorders) -> None:
-    """Found the log if that is this recorder's part; return when it's not.
+    """Write the first entry of a new log, if that is up to this recorder.
 
-    :param first: the first recorders and their addresses.
+    Returns when it is not, or no longer.
+
+    :param first: addresses of the initial recorders, by host.
     """
     own = this.env.cfg.host_id
     if not first or own != min(first):
@@ -37,12 +39,12 @@
 
 
 def is_blank(this: core.Core) -> bool:
-    """Tell whether this recorder holds nothing of any log."""
+    """Return whether this recorder's log is empty."""
     return this.folder.log.last.index == 0
 
 
 def identified(this: core.Core) -> ttypes.Identified:
-    """Tell who this recorder is."""
+    """Return the answer to an identify message."""
     return ttypes.Identified(this.identity, is_blank(this))
 
 
--- a/libs/consensus/geraniumweir/consensus/client.py
+++ b/libs/consensus/geraniumweir/consensus/client.py
@@ -1,8 +1,9 @@
-"""The log from any host, with or without a data folder.
+"""Client of the log for any host, with or without a data folder.
 
-Asks go to the recorder that led last, then where hints point, then to the
-others in turn, until one answers or time is up. An ask may so be taken more
-than once; commands must be idempotent (a change id in the command).
+A request is sent to the last known leader, then to hosts named in hints, then
+to the others in turn, until one succeeds or the timeout elapses. So a request
+may be executed more than once; commands must be idempotent (by a change id in
+the command).
 """
 
 import asyncio
@@ -17,35 +18,35 @@
 _MS_PER_SECOND = 1000
 _TIMEOUT_SECONDS = 2.0
 _RETRY_PAUSE_SECONDS = 0.05
-# One recorder is given this long before the next is tried.
+# Maximum wait for one recorder before the next is tried.
 _RECORDER_TIMEOUT_SECONDS = 0.7
 _MakeRequest = typing.Callable[[int], peers.Message]
 
 
 class LogClient:
-    """Reaches the leader of the log, wherever it is."""
+    """Client that finds the leader of the log and sends requests to it."""
 
     def __init__(
         self,
         peer_layer: peers.Peers,
         recorders: typing.Iterable[ids.HostId],
     ) -> None:
-        """Know some recorders.
+        """Initialize with some recorders.
 
-        :param peer_layer: the peer layer, which knows where they listen.
-        :param recorders: hosts to try first; more are learnt from answers.
+        :param peer_layer: the peer layer, which has their addresses.
+        :param recorders: hosts to try first; answers may name others.
         """
         self._peers = peer_layer
         self._known = list(recorders)
         self._timers = timers.TimerService()
 
     def add_hosts(self, recorders: typing.Iterable[ids.HostId]) -> None:
-        """Learn of more hosts that may be recorders."""
+        """Add hosts that may be recorders."""
         new = set(recorders).difference(self._known)
         self._known.extend(sorted(new))
 
     def prefer(self, recorder: ids.HostId) -> None:
-        """Ask a recorder first: it is known to lead."""
+        """Try a recorder first, as it is known to be the leader."""
         others = [host_id for host_id in self._known if host_id != recorder]
         self._known = [recorder, *others]
 
@@ -54,13 +55,13 @@
         command: bytes,
         timeout: float = _TIMEOUT_SECONDS,
     ) -> bytes:
-        """Have a command applied, at least once if it is applied at all.
+        """Propose a command and wait until it is applied.
 
-        :param command: an idempotent one.
+        :param command: an idempotent command; it may be applied repeatedly.
         :param timeout: in seconds.
         :returns: the state machine's answer.
-        :raises errors.NoQuorumError: when no recorder took it.
-        :raises errors.UncertainError: when one may have.
+        :raises errors.NoQuorumError: when no recorder accepted it.
+        :raises errors.UncertainError: when it may have been committed.
         :raises errors.RefusedError: never for a command.
         """
         answer = await self._request(
@@ -70,7 +71,7 @@
         return answer.answer
 
     async def read_barrier(self, timeout: float = _TIMEOUT_SECONDS) -> int:
-        """Give an index at or behind all that was answered before.
+        """Return a read index, at or after all that was answered before.
 
         :param timeout: in seconds.
         :raises errors.NoQuorumError: when no leader could be reached.
@@ -87,7 +88,10 @@
         address: str = '',
         timeout: float = _TIMEOUT_SECONDS,
     ) -> None:
-        """Have the leader add a recorder; see :mod:`.membership_change`."""
+        """Have the leader add a recorder.
+
+        See :mod:`.membership_change`.
+        """
         kind = ttypes.ChangeKind.add
         await self._request(
             lambda remaining: ttypes.ChangeRecorders(
@@ -102,7 +106,10 @@
         host_id: ids.HostId,
         timeout: float = _TIMEOUT_SECONDS,
     ) -> None:
-        """Have the leader remove a recorder; see :mod:`.membership_change`."""
+        """Have the leader remove a recorder.
+
+        See :mod:`.membership_change`.
+        """
         kind = ttypes.ChangeKind.remove
         await self._request(
             lambda remaining: ttypes.ChangeRecorders(
@@ -117,7 +124,7 @@
         host_id: ids.HostId,
         timeout: float = _TIMEOUT_SECONDS,
     ) -> ttypes.StatusAnswer:
-        """Ask one recorder for its view.
+        """Return the status as seen by one recorder.
 
         :raises errors.NoQuorumError: when it doesn't answer.
         """
@@ -130,9 +137,9 @@
         limit: int,
         timeout: float = _TIMEOUT_SECONDS,
     ) -> ttypes.EntriesAnswer:
-        """Read committed entries from any recorder.
+        """Return committed entries after an index from any recorder.
 
-        :raises errors.CompactedError: when only a snapshot has them any more.
+        :raises errors.CompactedError: when they were compacted.
         :raises errors.NoQuorumError: when it doesn't answer.
         """
         request = ttypes.ReadEntries(after, limit)
@@ -146,9 +153,9 @@
         host_id: ids.HostId,
         timeout: float = _TIMEOUT_SECONDS,
     ) -> tuple[int, bytes]:
-        """Read a recorder's newest snapshot, piece by piece.
+        """Return a recorder's newest snapshot, read in chunks.
 
-        :param timeout: for each piece, in seconds.
+        :param timeout: for each chunk, in seconds.
         :returns: index of the last entry that it covers, and the state.
         :raises errors.NoQuorumError: when the recorder doesn't answer.
         """
@@ -157,7 +164,7 @@
         while True:
             request = ttypes.FetchSnapshot(index, len(state))
             piece = await self._call(host_id, request, timeout)
-            # Another snapshot took its place meanwhile: start again.
+            # Offset 0 means that a newer snapshot replaced it: start again.
             state = state if piece.offset else b''
             index = piece.index
             state += piece.content
@@ -181,7 +188,7 @@
         timeout: float,
         recorder_timeout: float = _RECORDER_TIMEOUT_SECONDS,
     ) -> ttypes.ProposeAnswer:
-        """Try recorders until one has done it or time is up."""
+        """Try recorders until one succeeds or the timeout elapses."""
         deadline = self._timers.now() + timeout
         uncertain = False
         reason = 'no recorder is known'
@@ -219,7 +226,7 @@
             return _failed(ttypes.Verdict.uncertain, exc)
 
     def _choose_next(self, answer: ttypes.ProposeAnswer) -> None:
-        """Go to the leader that was named, or else to the next."""
+        """Choose the leader that was named, or else the next recorder."""
         if answer.verdict != ttypes.Verdict.not_leader:
             self._known.append(self._known.pop(0))
             return
--- a/libs/consensus/geraniumweir/consensus/core.py
+++ b/libs/consensus/geraniumweir/consensus/core.py
@@ -1,7 +1,8 @@
-"""What the tasks and handlers of one recorder share.
+"""State shared by the tasks and handlers of one recorder.
 
-Decisions are made in one go, without an ``await``; then the promise is made
-durable; then it is checked that it still holds; and only then anyone is told.
+Each decision is made without an ``await``; then it is made durable; then it is
+checked whether it still holds, as others may have run meanwhile; only then is
+it answered or sent.
 """
 
 import asyncio
@@ -34,7 +35,7 @@
 
 
 class Role(enum.Enum):
-    """What a recorder is at the moment."""
+    """Role of a recorder in the current term."""
 
     follower = 'follower'
     candidate = 'candidate'
@@ -44,13 +45,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Environment:
-    """What a recorder is given.
+    """Dependencies of a recorder.
 
-    :ivar cfg: sizes and times.
-    :ivar peers: the way to other hosts.
-    :ivar machine: gets the committed commands.
-    :ivar rng: decides election timeouts.
-    :ivar report: logs events.
+    :ivar cfg: limits and timeouts.
+    :ivar peers: peer layer, which reaches other hosts.
+    :ivar machine: state machine that applies the committed commands.
+    :ivar rng: source of the randomized election timeouts.
+    :ivar report: function that logs an event.
     """
 
     cfg: settings.Settings
@@ -64,10 +65,10 @@
 class IncomingSnapshot:
     """A snapshot that is being received.
 
-    :ivar leader: who sends it.
-    :ivar index: of the last entry that it covers.
-    :ivar content: what came so far.
-    :ivar lock: held while a piece is taken.
+    :ivar leader: identity of the recorder that sends it.
+    :ivar index: index of the last entry that it covers.
+    :ivar content: bytes received so far.
+    :ivar lock: held while a chunk is handled.
     """
 
     leader: str = ''
@@ -78,13 +79,13 @@
 
 @dataclasses.dataclass(slots=True)
 class LeaderContact:
-    """What a recorder heard of leaders.
+    """Information received from leaders.
 
-    :ivar committed: the highest index that one called committed.
+    :ivar committed: highest commit index received.
     :ivar last_seen_at: when the last message arrived, in loop time.
-    :ivar commit_seen_at: when one last told how much is committed, in loop time.
-    :ivar caught_up_at: when one last told so and nothing committed wasn't
-        applied here, in loop time.
+    :ivar commit_seen_at: when the last commit index arrived, in loop time.
+    :ivar caught_up_at: when the newest commit index arrived up to which all
+        entries are known to be applied here, in loop time.
     """
 
     committed: int
@@ -95,10 +96,11 @@
 
 @dataclasses.dataclass(slots=True)
 class SnapshotProgress:
-    """How far a recorder is with its snapshots.
+    """Progress of a recorder's own snapshots.
 
-    :ivar in_progress: one is being taken.
-    :ivar unsaved_bytes: of entries applied since it last took one.
+    :ivar in_progress: whether a snapshot is being taken.
+    :ivar unsaved_bytes: payload of the entries applied since the last
+        snapshot was begun, in bytes.
     """
 
     in_progress: bool = False
@@ -108,23 +110,25 @@
 class Core:
     """The state of one recorder.
 
-    :ivar env: what it was given.
+    :ivar env: its dependencies.
     :ivar folder: its durable files.
-    :ivar role: what it is at the moment.
-    :ivar leader: the recorder it follows, or empty.
-    :ivar reign: its own leadership, or None.
-    :ivar history: who the recorders are.
-    :ivar commit: all entries up to it are committed.
-    :ivar applied: all entries up to it are in the state machine.
-    :ivar election_timer_reset_at: when the election timeout began, in loop time.
-    :ivar leader_contact: what leaders said.
-    :ivar changes: what is applied.
-    :ivar snapshot_progress: how far it is with its snapshots.
-    :ivar incoming: what came so far of a snapshot that the leader sends.
+    :ivar role: its role in the current term.
+    :ivar leader: identity of the current leader, or empty.
+    :ivar leadership: its state as leader, or None while it doesn't lead.
+    :ivar history: memberships of the log.
+    :ivar commit: commit index; all entries up to it are committed.
+    :ivar applied: last applied index; the state machine has all entries up
+        to it.
+    :ivar election_timer_reset_at: when the election timeout was last
+        restarted, in loop time.
+    :ivar leader_contact: information received from leaders.
+    :ivar changes: notifications of what is applied.
+    :ivar snapshot_progress: progress of its own snapshots.
+    :ivar incoming: a snapshot that it receives from the leader.
     """
 
     def __init__(self, env: Environment, opened: folder.Folder) -> None:
-        """Start as a follower with what the folder holds."""
+        """Initialize as a follower with the content of the data folder."""
         newest = opened.snapshots.newest
         self.env = env
         self.folder = opened
@@ -150,18 +154,18 @@
 
     @property
     def term(self) -> int:
-        """The newest term known."""
+        """The current term: the newest one known."""
         return self.folder.ballot.term
 
     @property
     def failure(self) -> str:
-        """Why this recorder stopped for good, or empty."""
+        """Reason why this recorder failed or was stopped, or empty."""
         return str(self._failure or '')
 
     def check_not_failed(self) -> None:
-        """Make sure that this recorder still may promise anything.
+        """Check that this recorder still runs and its disk hasn't failed.
 
-        :raises errors.RecorderFailedError: when it may not.
+        :raises errors.RecorderFailedError: when it failed or was stopped.
         """
         failed = self._failure or self.folder.guarded.failure
         if failed is not None:
@@ -169,13 +173,13 @@
             raise errors.RecorderFailedError(str(failed)) from failed
 
     def fail(self, cause: BaseException) -> None:
-        """Stop for good: lead no more, vote no more."""
+        """Stop permanently after a failure, and log it once."""
         if self._failure is None:
             self.halt(cause)
             self.env.report(logevents.RECORDER_FAILED, reason=str(cause))
 
     def halt(self, cause: BaseException) -> None:
-        """Promise nothing any more and end all tasks."""
+        """Stop permanently: end leadership and cancel all tasks."""
         self._failure = cause
         self.end_leadership(str(cause))
         self.role = Role.failed
@@ -186,16 +190,16 @@
         self,
         work: typing.Coroutine[typing.Any, typing.Any, typing.Any],
     ) -> asyncio.Task[typing.Any]:
-        """Run a task of this recorder; its failure is the recorder's."""
+        """Run a task; an exception in it fails the recorder."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._handle_task_end)
         return task
 
     def append(self, batch: typing.Sequence[entries.Entry]) -> None:
-        """Add entries to the log, making void what they replace.
+        """Append entries to the log, truncating the entries they replace.
 
-        :raises errors.UnsafeError: when that would void a committed entry.
+        :raises errors.UnsafeError: when a committed entry would be replaced.
         """
         if not batch:
             return
@@ -210,7 +214,7 @@
                 self._enter_members(entry)
 
     def enter_term(self, term: int, reason: str) -> None:
-        """Follow in a newer term; do nothing when it is no newer."""
+        """Become a follower in a newer term; do nothing in any other."""
         if term <= self.term:
             return
         self.folder.ballot.cast(term)
@@ -218,14 +222,14 @@
         self.become_follower(reason)
 
     def become_follower(self, reason: str) -> None:
-        """Be a follower in the current term."""
+        """Become a follower in the current term."""
         self.end_leadership(reason)
         if self.role is not Role.failed:
             self.role = Role.follower
         self.election_timer_reset_at = self.timers.now()
 
     def end_leadership(self, reason: str) -> None:
-        """Lead no more, if this recorder did."""
+        """Step down, if this recorder is the leader."""
         if self.leadership is None:
             return
         ended = self.leadership
@@ -239,24 +243,25 @@
         )
 
     def has_live_leader(self) -> bool:
-        """Tell whether a leader was heard within the election timeout."""
+        """Return whether this leads or a leader was recently in contact."""
         if self.role is Role.leader:
             return True
         silence = self.timers.now() - self.leader_contact.last_seen_at
         return silence < self.env.cfg.election_min
 
     def update_caught_up(self) -> None:
-        """Take that a message was heard or something was applied."""
+        """Update the staleness after a leader's message or an applied entry."""
         if self.applied.height >= self.leader_contact.committed:
             self.leader_contact.caught_up_at = (
                 self.leader_contact.commit_seen_at
             )
 
     def staleness(self) -> float:
-        """Give since when something committed may be missing, in seconds.
+        """Return for how long committed entries may be missing, in seconds.
 
-        To hear a leader isn't enough: entries count here once this disk has
-        synced them, and a leader that hears no answers sends none.
+        Contact with a leader isn't enough: entries are applied here only once
+        this disk has synced them, and a leader that receives no answers sends
+        no entries.
         """
         if self.leadership is not None:
             started = self.applied.height >= self.leadership.start_index
@@ -283,14 +288,14 @@
 
 
 def stopped_error() -> errors.RecorderFailedError:
-    """Give what a recorder says once it was told to stop."""
+    """Return the error of a recorder that was stopped deliberately."""
     return errors.RecorderFailedError('stopped')
 
 
 def register_addresses(
     peer_layer: peers.Peers, current: members.Members
 ) -> None:
-    """Let the peer layer know where the recorders listen."""
+    """Register the addresses of the recorders with the peer layer."""
     for member in current.recorders:
         if member.address:
             peer_layer.learn(member.host_id, ids.parse_address(member.address))
--- a/libs/consensus/geraniumweir/consensus/following.py
+++ b/libs/consensus/geraniumweir/consensus/following.py
@@ -1,9 +1,9 @@
-"""What a follower does with what the leader sends.
+"""Handling of a leader's append entries and snapshot chunks by a follower.
 
 References
 ==========
-.. [1] D. Ongaro, J. Ousterhout, USENIX ATC 2014, section 5.3: an entry is
-   taken only where the one before it is the same.
+.. [1] D. Ongaro, J. Ousterhout, USENIX ATC 2014, section 5.3: an
+   entry is appended only where the preceding entries match.
 """
 
 import typing
@@ -23,9 +23,9 @@
     this: core.Core,
     message: ttypes.AppendEntries,
 ) -> ttypes.AppendAnswer:
-    """Add a leader's entries, and answer once they are durable.
+    """Append a leader's entries, and answer once they are durable.
 
-    :raises errors.RecorderFailedError: when this one may promise nothing.
+    :raises errors.RecorderFailedError: when this recorder has failed.
     """
     outcome = _accept_leader(this, message)
     if outcome != ttypes.Outcome.done:
@@ -56,9 +56,9 @@
     this: core.Core,
     piece: ttypes.SnapshotPiece,
 ) -> ttypes.PieceAnswer:
-    """Take a piece of a snapshot, and install it with the last one.
+    """Store a chunk of a snapshot, and install it after the last one.
 
-    :raises errors.RecorderFailedError: when this one may promise nothing.
+    :raises errors.RecorderFailedError: when this recorder has failed.
     """
     async with this.incoming.lock:
         return await _handle_piece(this, piece, this.incoming)
@@ -72,7 +72,8 @@
     outcome = _accept_leader(this, piece)
     if outcome != ttypes.Outcome.done:
         return ttypes.PieceAnswer(this.term, outcome, 0, installed=False)
-    # More may be committed by now than when the snapshot was taken.
+    # commit_seen_at stays: more may be committed by now than when the snapshot
+    # was taken.
     this.leader_contact.committed = max(
         this.leader_contact.committed, piece.index
     )
@@ -90,7 +91,7 @@
 
 
 def _accept_leader(this: core.Core, message: typing.Any) -> int:
-    """Follow the sender if it may lead."""
+    """Follow the sender if it is a legitimate leader; return the outcome."""
     this.check_not_failed()
     accepted = this.history.current.accepts(message.cluster)
     if message.to != this.identity or not accepted:
@@ -116,17 +117,17 @@
     this: core.Core,
     message: ttypes.AppendEntries,
 ) -> int | None:
-    """Tell where the leader must go on instead, or None when all is well."""
+    """Return the index to continue at, or None when the logs match."""
     log = this.folder.log
     if message.previous_index < log.base.index:
-        # Compacted, so committed, so the same at every leader.
+        # Compacted entries are committed and thus the same at every leader.
         return None
     found = log.term_at(message.previous_index)
     if found is None:
         return log.last.index + 1
     if found == message.previous_term:
         return None
-    # Skip the whole term at once, but nothing that is committed.
+    # Skip all entries of the conflicting term at once, but no committed ones.
     index = message.previous_index
     while index > this.commit.height + 1 and log.term_at(index - 1) == found:
         index -= 1
@@ -137,7 +138,10 @@
     this: core.Core,
     message: ttypes.AppendEntries,
 ) -> list[entries.Entry]:
-    """Drop what is here already; a late message mustn't cut off newer ones."""
+    """Return the entries that are not in the log yet.
+
+    A late message must not truncate newer entries that match it.
+    """
     log = this.folder.log
     for place, entry in enumerate(message.entries):
         if entry.index <= log.base.index:
--- a/libs/consensus/geraniumweir/consensus/handlers.py
+++ b/libs/consensus/geraniumweir/consensus/handlers.py
@@ -1,4 +1,4 @@
-"""Which message of another host is answered by what."""
+"""Registration of the handlers for messages of other hosts."""
 
 import functools
 import typing
@@ -24,7 +24,7 @@
 
 
 def register(this: core.Core) -> None:
-    """Answer all messages that are meant for a recorder."""
+    """Register the handlers for all messages to a recorder."""
     for message_type, handler in _HANDLERS.items():
         this.env.peers.handle(
             message_type,
--- a/libs/consensus/geraniumweir/consensus/leadership.py
+++ b/libs/consensus/geraniumweir/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""The state of a leader for as long as it leads."""
+"""State of a leader and the replication progress of its followers."""
 
 import asyncio
 import dataclasses
@@ -12,19 +12,20 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """How far one other recorder is.
-
-    :ivar member: which one.
-    :ivar next_index: the entry to send next.
-    :ivar match: all entries up to it are durable there.
-    :ivar started_at: when this leader began to send to it.
-    :ivar last_contact_at: when the last message that it answered was sent.
-    :ivar probing: True until it is known where to go on.
-    :ivar replaced: its host has another data folder now.
-    :ivar in_flight: messages without an answer yet.
+    """Replication progress of one other recorder.
+
+    :ivar member: the recorder.
+    :ivar next_index: index of the next entry to send.
+    :ivar match: match index; all entries up to it are durable there.
+    :ivar started_at: when this leader began to send to it, in loop time.
+    :ivar last_contact_at: when the newest message that it answered was sent,
+        in loop time.
+    :ivar probing: True until an answer shows where its log matches.
+    :ivar replaced: whether its host has another data folder now.
+    :ivar in_flight: number of messages not answered yet.
     :ivar sent_commit: the commit index it was last sent.
-    :ivar send_due: something is to be sent even without new entries.
-    :ivar wakeup: set when the task that sends has a look to take.
+    :ivar send_due: whether a message is due even without new entries.
+    :ivar wakeup: set when the sending task must check for work.
     """
 
     member: members.Member
@@ -40,31 +41,33 @@
     wakeup: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
     def request_send(self) -> None:
-        """Have a message sent soon."""
+        """Request a message even without new entries."""
         self.send_due = True
         self.wakeup.set()
 
     def reset_next_index(self) -> None:
-        """Start again from what is known to be there."""
+        """Probe again, from the entry after the match index."""
         self.probing = True
         self.next_index = self.match + 1
 
 
 class LeaderState:
-    """One leader's term.
+    """State of a leader in one term.
 
-    :ivar term: in which it leads.
-    :ivar start_index: its first entry; once that is committed, all before it
-        are.
-    :ivar progress: of the other recorders.
-    :ivar waiters: proposals that wait for their answer, by index.
+    :ivar term: the term.
+    :ivar start_index: index of its first entry; once that is committed, all
+        entries before it are, too.
+    :ivar progress: replication progress of the other recorders.
+    :ivar waiters: futures of pending proposals, by index.
     :ivar appended: set when the log has grown.
-    :ivar transferring: leadership is being handed on; nothing new is taken.
-    :ivar membership_lock: held during a change of recorders.
+    :ivar transferring: whether leadership is being transferred; proposals
+        are rejected meanwhile.
+    :ivar membership_lock: held during a membership change.
+    :ivar ended: whether the leader has stepped down.
     """
 
     def __init__(self, term: int, start_index: int) -> None:
-        """Start without followers."""
+        """Initialize without followers."""
         self.term = term
         self.start_index = start_index
         self.progress: dict[members.RecorderId, Progress] = {}
@@ -79,11 +82,11 @@
         self._messages: set[asyncio.Task[typing.Any]] = set()
 
     def add_task(self, task: asyncio.Task[typing.Any]) -> None:
-        """End a task with the reign."""
+        """Register a task to cancel when leadership ends."""
         self._tasks.append(task)
 
     def add_message_task(self, task: asyncio.Task[typing.Any]) -> None:
-        """End the wait for an answer with the reign."""
+        """Register a message exchange to cancel when leadership ends."""
         self._messages.add(task)
         task.add_done_callback(self._messages.discard)
 
@@ -92,19 +95,19 @@
         progress: Progress,
         task: asyncio.Task[None],
     ) -> None:
-        """Have a recorder's entries sent by a task."""
+        """Register the task that sends entries to a recorder."""
         self.progress[progress.member.identity] = progress
         self._senders[progress.member.identity] = task
 
     def remove_sender(self, identity: members.RecorderId) -> None:
-        """Send a recorder nothing any more."""
+        """Stop sending to a recorder."""
         self.progress.pop(identity, None)
         sender = self._senders.pop(identity, None)
         if sender is not None:
             sender.cancel()
 
     def record_contact(self, progress: Progress, sent_at: float) -> None:
-        """Note that a message was answered.
+        """Record that a recorder answered a message.
 
         :param sent_at: when the message was sent, in loop time.
         """
@@ -112,16 +115,16 @@
         self.notify()
 
     def notify(self) -> None:
-        """Wake those that wait for a move."""
+        """Resume all calls of :meth:`wait_for_change`."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def wait_for_change(self) -> None:
-        """Wait until a message is answered, an entry committed, or the end."""
+        """Wait for an answer, a higher commit index or the end."""
         await self._changed.wait()
 
     def end(self, reason: str) -> None:
-        """Stop all tasks; what waits for an answer stays uncertain."""
+        """Cancel all tasks, and fail pending proposals as uncertain."""
         self.ended = True
         for task in (*self._tasks, *self._senders.values(), *self._messages):
             task.cancel()
--- a/libs/consensus/geraniumweir/consensus/leadership_transfer.py
+++ b/libs/consensus/geraniumweir/consensus/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Leadership handed on, so that a leader's shutdown costs no election.
+"""Leadership transfer, so that a leader's shutdown costs no election timeout.
 
 References
 ==========
@@ -13,12 +13,13 @@
 
 
 async def transfer_leadership(this: core.Core) -> bool:
-    """Have the furthest voter take over.
+    """Transfer leadership to the most up-to-date voter.
 
-    New proposals are refused meanwhile; those under way are finished first,
-    within an election timeout.
+    New proposals are rejected meanwhile; entries in the log are replicated to
+    the target first. The transfer is given up after twice the maximum
+    election timeout.
 
-    :returns: whether this recorder leads no more.
+    :returns: whether this recorder is no longer the leader.
     """
     leader_state = this.leadership
     if leader_state is None:
@@ -35,7 +36,7 @@
 async def handle_campaign_now(
     this: core.Core, request: ttypes.CampaignNow
 ) -> None:
-    """Campaign at once, as the leader asked."""
+    """Start an election at once, as requested by the leader."""
     if request.to != this.identity or request.term != this.term:
         return
     if this.history.current.is_voter(this.identity):
--- a/libs/consensus/geraniumweir/consensus/leading.py
+++ b/libs/consensus/geraniumweir/consensus/leading.py
@@ -1,4 +1,4 @@
-"""What a leader does: take proposals, count copies, know its majority.
+"""Tasks of a leader: proposals, the read index and its own majority.
 
 References
 ==========
@@ -22,7 +22,7 @@
 
 
 def become_leader(this: core.Core, term: int) -> None:
-    """Lead in a term that this recorder was elected in."""
+    """Become leader in a term, if still a candidate in that term."""
     if this.role is not core.Role.candidate or this.term != term:
         return
     start = this.folder.log.last.index + 1
@@ -37,11 +37,11 @@
 
 
 def current(this: core.Core) -> leadership.LeaderState:
-    """Give the reign of this recorder.
+    """Return the leader state of this recorder.
 
-    :raises errors.NotLeaderError: when another one leads.
-    :raises errors.NoQuorumError: when nobody is known to lead.
-    :raises errors.RecorderFailedError: when this one stopped for good.
+    :raises errors.NotLeaderError: when another recorder is the leader.
+    :raises errors.NoQuorumError: when no leader is known.
+    :raises errors.RecorderFailedError: when this recorder has failed.
     """
     this.check_not_failed()
     if this.leadership is not None and not this.leadership.transferring:
@@ -62,9 +62,9 @@
     kind: machines.Kind,
     payload: bytes,
 ) -> int:
-    """Add an entry of the leader's own and have it sent.
+    """Append an entry of the leader and wake the senders.
 
-    :returns: its index.
+    :returns: the index of the entry.
     """
     index = this.folder.log.last.index + 1
     this.append([entries.Entry(index, leader_state.term, kind, payload)])
@@ -82,11 +82,11 @@
     timeout: float,
     kind: machines.Kind = machines.Kind.command,
 ) -> bytes:
-    """Add a command and wait for the state machine's answer.
+    """Append a command and wait for the state machine's answer.
 
     :param timeout: in seconds.
-    :raises errors.UncertainError: when no answer came; it may have been
-        taken.
+    :raises errors.UncertainError: when it wasn't applied in time or the
+        leader stepped down; it may have been committed.
     """
     leader_state = current(this)
     index = append(this, leader_state, kind, command)
@@ -102,11 +102,11 @@
 
 
 async def confirm(this: core.Core, timeout: float) -> int:
-    """Make sure that this recorder still leads.
+    """Confirm leadership with a majority and return a read index.
 
     :param timeout: in seconds.
-    :returns: an index; whatever was committed before this call is at it or
-        before it.
+    :returns: the read index; all entries committed before this call are at
+        or before it.
     :raises errors.NoQuorumError: when no majority answered in time.
     """
     leader_state = current(this)
@@ -141,7 +141,7 @@
 def update_senders(
     this: core.Core, leader_state: leadership.LeaderState
 ) -> None:
-    """Send entries to all current recorders, and to no others."""
+    """Start and stop senders to match the current membership."""
     recorders = this.history.current.recorders
     wanted = {member.identity: member for member in recorders}
     wanted.pop(this.identity, None)
@@ -161,7 +161,11 @@
 def majority_contact(
     this: core.Core, leader_state: leadership.LeaderState
 ) -> float:
-    """Tell since when a majority is known to have followed."""
+    """Return the time up to which a majority is known to have followed.
+
+    :returns: when the messages that a majority answered were sent, in loop
+        time; that of the slowest recorder of the fastest majority.
+    """
     times = [
         this.timers.now()
         if member.identity == this.identity
@@ -175,7 +179,7 @@
 async def _sync_appended(
     this: core.Core, leader_state: leadership.LeaderState
 ) -> None:
-    """Make the leader's own copy durable; many proposals share an fsync."""
+    """Sync the leader's own log; concurrent proposals share an fsync."""
     while True:
         await leader_state.appended.wait()
         leader_state.appended.clear()
@@ -186,7 +190,7 @@
 async def _watch_majority(
     this: core.Core, leader_state: leadership.LeaderState
 ) -> None:
-    """Step down when no majority is heard within an election timeout."""
+    """Step down after an election timeout without contact to a majority."""
     cfg = this.env.cfg
     started_watching_at = this.timers.now()
     while not leader_state.ended:
--- a/libs/consensus/geraniumweir/consensus/logevents.py
+++ b/libs/consensus/geraniumweir/consensus/logevents.py
@@ -5,37 +5,37 @@
 BECAME_LEADER = logevents.Event(
     520,
     logevents.Level.notice,
-    'leads in term {term} from log index {index}',
+    'became leader in term {term} at log index {index}',
 )
 STEPPED_DOWN = logevents.Event(
     521,
     logevents.Level.notice,
-    'leads no more in term {term}: {reason}',
+    'stepped down as leader in term {term}: {reason}',
 )
 FOLLOWS_LEADER = logevents.Event(
     522,
     logevents.Level.info,
-    'follows recorder {leader} in term {term}',
+    'following leader {leader} in term {term}',
 )
 ELECTION_STARTED = logevents.Event(
     523,
     logevents.Level.info,
-    'asks for votes in term {term}',
+    'started an election in term {term}',
 )
 MEMBERS_CHANGED = logevents.Event(
     524,
     logevents.Level.notice,
-    'recorders at log index {index}: {recorders}',
+    'membership changed at log index {index}: recorders {recorders}',
 )
 WRONG_RECORDER = logevents.Event(
     525,
     logevents.Level.warning,
-    'host {host} has another data folder than recorder {identity} had',
+    'the data folder of host {host} is not that of recorder {identity}',
 )
 SNAPSHOT_TAKEN = logevents.Event(
     526,
     logevents.Level.info,
-    'snapshot of {size} bytes at log index {index}',
+    'snapshot of {size} bytes taken at log index {index}',
 )
 SNAPSHOT_SENT = logevents.Event(
     527,
@@ -50,21 +50,21 @@
 RECORDER_FAILED = logevents.Event(
     529,
     logevents.Level.error,
-    'recorder stopped for good: {reason}',
+    'recorder failed and stopped permanently: {reason}',
 )
 BOOTSTRAPPED = logevents.Event(
     530,
     logevents.Level.notice,
-    'log founded with recorders {recorders}',
+    'log bootstrapped with recorders {recorders}',
 )
 MUST_BE_ADDED = logevents.Event(
     531,
     logevents.Level.warning,
-    'the data folder is new but {host} has a log already; this recorder'
-    ' must be added by an operator',
+    'the data folder is new but host {host} already has a log; an operator'
+    ' must add this recorder',
 )
 TORN_WRITE_REMOVED = logevents.Event(
     532,
     logevents.Level.warning,
-    'cut {lost} bytes that were never synced from the end of the log',
+    'removed {lost} bytes of an unsynced write from the end of the log',
 )
--- a/libs/consensus/geraniumweir/consensus/membership_change.py
+++ b/libs/consensus/geraniumweir/consensus/membership_change.py
@@ -1,10 +1,10 @@
-"""Changes of the recorders, one at a time.
+"""Membership changes, one at a time.
 
-A new recorder first learns: it gets the entries but has no vote, so a slow or
-empty one costs no majority. Only when it has caught up does it become a
-voter. Where an older recorder of the same host is still among the voters (its
-folder was emptied), that one is removed just before, so that the number of
-voters doesn't grow by one that never answers.
+A new recorder is first a learner: it receives entries but has no vote, so a
+slow or empty one costs no majority. It becomes a voter once it has caught up.
+Where an older recorder of the same host is still a voter (its folder was
+emptied), that one is removed just before, so that the membership never
+includes an additional voter that can't answer.
 
 References
 ==========
@@ -36,16 +36,16 @@
     timeout: float,
     lost: ids.HostId | None = None,
 ) -> None:
-    """Make the host's data folder a recorder; a repeat goes on where it was.
+    """Make a host's recorder a voter; a repeated call continues the change.
 
-    :param address: where the host's peer layer listens, or empty if known.
-    :param lost: a host whose recorders it takes the place of.
+    :param address: address of the host's peer layer, or empty if known.
+    :param lost: a host whose recorders are replaced, or None.
     :param timeout: for the learner to catch up and for each change, in
         seconds.
-    :raises errors.RefusedError: when another change is under way, or the host
-        doesn't answer.
+    :raises errors.RefusedError: when another change is in progress, or the
+        host doesn't answer.
     :raises errors.UncertainError: when it takes too long; the new recorder
-        may be there as a learner.
+        may be a learner by then.
     """
     leader_state = leading.current(this)
     async with _lock_for_change(leader_state):
@@ -61,7 +61,7 @@
     address: str,
     timeout: float,
 ) -> None:
-    """Make the host's data folder a learner, which stays without a vote.
+    """Make a host's recorder a learner, which has no vote.
 
     :raises errors.ConsensusError: as :func:`add`.
     """
@@ -81,7 +81,7 @@
     address: str,
     timeout: float,
 ) -> members.Member:
-    """Find a host's recorder among the members, or put it there."""
+    """Return a host's recorder, added as a learner if it is no member."""
     if address:
         this.env.peers.learn(host_id, ids.parse_address(address))
     identity = await _identify(this, host_id)
@@ -99,13 +99,13 @@
     host_id: ids.HostId,
     timeout: float,
 ) -> None:
-    """Remove the recorders of a host; none there is no error.
+    """Remove the recorders of a host; a host without any is no error.
 
     :param timeout: for each change, in seconds.
-    :raises errors.RefusedError: when another change is under way, or the
-        remaining recorders that answer are no majority.
-    :raises errors.NotLeaderError: when this recorder is to be removed itself;
-        it handed leadership on before.
+    :raises errors.RefusedError: when another change is in progress, or the
+        remaining recorders that answer form no majority.
+    :raises errors.NotLeaderError: when this recorder itself is to be removed;
+        it transferred leadership first.
     """
     leader_state = leading.current(this)
     async with _lock_for_change(leader_state):
@@ -148,7 +148,7 @@
     wanted: members.Members,
     timeout: float,
 ) -> None:
-    """Put new recorders into the log once the last change is committed."""
+    """Append a membership once the previous change is committed."""
     try:
         async with asyncio.timeout(timeout):
             await leading.until_committed(
@@ -174,7 +174,7 @@
     identity: members.RecorderId,
     timeout: float,
 ) -> None:
-    """Wait until the learner has all that is committed now."""
+    """Wait until a learner has all committed entries."""
     progress = leader_state.progress.get(identity)
     if progress is None:
         return
@@ -197,7 +197,7 @@
     lost: ids.HostId | None,
     timeout: float,
 ) -> None:
-    """Remove the recorders whose place a learner takes."""
+    """Remove the recorders that a learner replaces."""
     replaced = {member.host_id, lost}
     for other in this.history.current.recorders:
         if other.host_id in replaced and other.identity != member.identity:
@@ -225,7 +225,10 @@
     leader_state: leadership.LeaderState,
     remaining: members.Members,
 ) -> None:
-    """Refuse to remove a recorder that the majority can't spare."""
+    """Check that the voters of a membership that answer form a majority.
+
+    :raises errors.RefusedError: when they don't.
+    """
     answered_since = this.timers.now() - this.env.cfg.election_max
     live = [
         member
--- a/libs/consensus/geraniumweir/consensus/recorder.py
+++ b/libs/consensus/geraniumweir/consensus/recorder.py
@@ -1,6 +1,6 @@
-"""A recorder: one host's part in the replicated log.
+"""A recorder: one replica of the log.
 
-This is the face of the library for a host with a data folder.
+This is the library's interface for a host with a data folder.
 """
 
 import reactivex
@@ -26,10 +26,10 @@
 
 
 class Recorder:
-    """Keeps a copy of the log and takes part in its elections.
+    """Replica of the log that votes and can lead.
 
-    A recorder that isn't among the current recorders (a new folder, or one
-    that was removed) only waits to be added.
+    A recorder outside the current membership (a new folder, or one that was
+    removed) is passive until an operator adds it.
     """
 
     def __init__(
@@ -38,22 +38,22 @@
         opened: folders.Folder,
         first: bootstrap.InitialRecorders,
     ) -> None:
-        """Start nothing yet.
+        """Initialize without starting any task.
 
-        :param env: what the recorder is given.
+        :param env: dependencies of the recorder.
         :param opened: the open data folder.
-        :param first: the first recorders of the log, by host id.
+        :param first: addresses of the initial recorders of the log, by host.
         """
         self.core = core.Core(env, opened)
         self._first = first
 
     @property
     def changes(self) -> reactivex.Observable[machines.Change]:
-        """Everything applied to the state machine, in order."""
+        """Notifications of all that is applied, in log order."""
         return self.core.changes
 
     def start(self) -> None:
-        """Restore the state, answer messages and take part."""
+        """Restore the state, register the handlers and start the tasks."""
         this = self.core
         applying.restore(this)
         handlers.register(this)
@@ -62,16 +62,16 @@
         this.spawn(bootstrap.bootstrap_log(this, self._first))
 
     async def stop(self) -> None:
-        """Hand leadership on, then stop.
+        """Transfer leadership, then stop.
 
-        After this :meth:`geraniumweir.store.guard.OneThread.close` waits for
-        the last write, and then the disk may be closed.
+        Afterwards, :meth:`geraniumweir.store.guard.OneThread.close` waits for
+        the last write; the disk may be closed after that.
         """
         await leadership_transfer.transfer_leadership(self.core)
         self.kill()
 
     def kill(self) -> None:
-        """Stop at once, as a crash does."""
+        """Stop immediately, as in a crash."""
         self.core.halt(core.stopped_error())
 
     async def propose(
@@ -79,24 +79,28 @@
         command: bytes,
         timeout: float = _TIMEOUT_SECONDS,
     ) -> bytes:
-        """Have a command applied on all recorders.
+        """Append a command to the log and wait until it is applied.
 
         :param timeout: in seconds.
-        :returns: the state machine's answer, once a majority has the command
-            synced.
-        :raises errors.NotLeaderError: when another recorder leads.
-        :raises errors.NoQuorumError: when nobody leads; it wasn't taken.
-        :raises errors.UncertainError: when it may have been taken.
-        :raises errors.RecorderFailedError: when this one stopped for good.
+        :returns: the state machine's answer, once the command is synced on a
+            majority and applied here.
+        :raises errors.NotLeaderError: when another recorder is the leader.
+        :raises errors.NoQuorumError: when no leader is known; the command
+            was not appended.
+        :raises errors.UncertainError: when the command may have been
+            committed.
+        :raises errors.RecorderFailedError: when this recorder has failed.
         """
         return await leading.propose(self.core, command, timeout)
 
     async def read_barrier(self, timeout: float = _TIMEOUT_SECONDS) -> int:
-        """Make sure that the state machine has all that was answered before.
+        """Wait until all that was committed before the call is applied.
+
+        A read of the state machine afterwards is linearizable.
 
         :param timeout: in seconds.
-        :returns: the index that the state machine has reached.
-        :raises errors.NotLeaderError: when another recorder leads.
+        :returns: the read index, which the state machine has reached.
+        :raises errors.NotLeaderError: when another recorder is the leader.
         :raises errors.NoQuorumError: when no majority answered in time.
         """
         return await serving.barrier(self.core, timeout)
@@ -107,12 +111,12 @@
         address: str = '',
         timeout: float = _TIMEOUT_SECONDS,
     ) -> None:
-        """Add the recorder on a host, or put a new one in its place.
+        """Add the recorder of a host, replacing an earlier one of that host.
 
-        :raises errors.RefusedError: when another change is under way, or the
-            host doesn't answer.
-        :raises errors.UncertainError: when it takes too long; a repeat goes
-            on where this one ended.
+        :raises errors.RefusedError: when another change is in progress, or
+            the host doesn't answer.
+        :raises errors.UncertainError: when it takes too long; a repeated call
+            continues where this one ended.
         """
         await membership_change.add(self.core, host_id, address, timeout)
 
@@ -121,15 +125,15 @@
         host_id: ids.HostId,
         timeout: float = _TIMEOUT_SECONDS,
     ) -> None:
-        """Remove the recorder on a host.
+        """Remove the recorder of a host.
 
-        :raises errors.RefusedError: when the others that answer are no
-            majority.
+        :raises errors.RefusedError: when the remaining recorders that answer
+            form no majority.
         """
         await membership_change.remove(self.core, host_id, timeout)
 
     async def take_snapshot(self) -> int:
-        """Write a snapshot now and compact the log; gives its index."""
+        """Take a snapshot now, compact the log, and return its index."""
         self.core.check_not_failed()
         return await applying.take_snapshot(self.core)
 
@@ -139,7 +143,7 @@
         address: str,
         timeout: float = _TIMEOUT_SECONDS,
     ) -> None:
-        """Let the data folder of a host follow the log without a vote.
+        """Add the recorder of a host as a learner, which has no vote.
 
         :raises errors.RefusedError: as :meth:`add_recorder`.
         :raises errors.UncertainError: as :meth:`add_recorder`.
@@ -155,7 +159,7 @@
         lost: ids.HostId,
         timeout: float = _TIMEOUT_SECONDS,
     ) -> None:
-        """Put the recorder on a host in the place of a lost host's.
+        """Add the recorder of a host, replacing that of a lost host.
 
         :raises errors.RefusedError: as :meth:`add_recorder`.
         :raises errors.UncertainError: as :meth:`add_recorder`.
@@ -169,36 +173,37 @@
 
     @property
     def failure(self) -> str:
-        """Why this recorder stopped for good, or empty."""
+        """Reason why this recorder failed or was stopped, or empty."""
         return self.core.failure
 
     def is_leading(self) -> bool:
-        """Tell whether this recorder leads, as far as it knows."""
+        """Return whether this recorder considers itself the leader."""
         return self.core.role is core.Role.leader
 
     def leader(self) -> ids.HostId:
-        """Give the host whose recorder leads and is heard, or empty."""
+        """Return the host of the live leader, or empty."""
         return serving.current_leader(self.core)
 
     def is_current(self) -> bool:
-        """Tell whether all that was committed a moment ago is applied here.
+        """Return whether the applied state is current.
 
-        The moment is the shortest election timeout: as many messages of the
-        leader as may be lost before another one is elected.
+        It is when all entries committed up to a minimum election timeout ago
+        are applied here: messages of the leader may be lost for that time
+        before another one is elected.
         """
         return self.core.staleness() < self.core.env.cfg.election_min
 
     def status(self) -> serving.Status:
-        """Tell how this recorder sees things."""
+        """Return the status of the log as seen by this recorder."""
         return serving.status(self.core)
 
     def read_entries(self, after: int, limit: int) -> list[entries.Entry]:
-        """Give committed entries behind an index.
+        """Return committed entries after an index.
 
-        :raises errors.CompactedError: when only a snapshot has them any more.
+        :raises errors.CompactedError: when they were compacted.
         """
         return serving.read_entries(self.core, after, limit)
 
     def snapshot(self) -> snapshots.Snapshot:
-        """Give the newest snapshot; index 0 when there is none."""
+        """Return the newest snapshot; its index is 0 when there is none."""
         return self.core.folder.snapshots.newest
--- a/libs/consensus/geraniumweir/consensus/replication.py
+++ b/libs/consensus/geraniumweir/consensus/replication.py
@@ -1,7 +1,8 @@
-"""One task for each other recorder, which sends it the log.
+"""Replication of the log: one sending task for each other recorder.
 
-Entries go in batches, several of them under way at once. After a refusal or a
-loss the task probes with empty messages until it knows where to go on.
+Entries are sent in batches, several of them in flight. After a conflict or a
+lost message the task probes with empty messages until an answer shows where
+the logs match.
 """
 
 import asyncio
@@ -23,7 +24,7 @@
     leader_state: leadership.LeaderState,
     progress: leadership.Progress,
 ) -> None:
-    """Keep one recorder up to date for as long as the reign lasts."""
+    """Send entries or a snapshot to one recorder until leadership ends."""
     while not leader_state.ended:
         before = progress.next_index - 1
         if this.folder.log.term_at(before) is None:
@@ -36,7 +37,7 @@
 def advance_commit_index(
     this: core.Core, leader_state: leadership.LeaderState
 ) -> None:
-    """Commit what a majority holds."""
+    """Raise the commit index to what is durable on a majority."""
     if leader_state.ended:
         return
     index = _majority_match(this, leader_state)
@@ -50,7 +51,7 @@
 
 
 def to_wire(entry: entries.Entry) -> ttypes.LogEntry:
-    """Make the struct of an entry."""
+    """Return the thrift struct of an entry."""
     return ttypes.LogEntry(
         entry.index,
         entry.term,
@@ -104,7 +105,7 @@
 async def _wait_for_work(
     this: core.Core, progress: leadership.Progress
 ) -> None:
-    """Return when there is something to send, at the latest at a heartbeat."""
+    """Wait until a message is due: new entries, a request or a heartbeat."""
     cfg = this.env.cfg
     due = this.timers.now() + cfg.heartbeat
     while True:
@@ -181,13 +182,14 @@
     wanted = min(progress.next_index, index)
     progress.next_index = max(wanted, progress.match + 1)
     progress.probing = True
-    # Look again at once, but never in a closed circle with a late answer.
+    # Probe again at once, but not while messages are in flight: a late answer
+    # would request probes in an endless loop.
     if progress.in_flight == 0:
         progress.request_send()
 
 
 def record_replaced(this: core.Core, progress: leadership.Progress) -> None:
-    """Note that a host's data folder is not the one that was added."""
+    """Record that a host has another data folder than the one added."""
     progress.reset_next_index()
     if progress.replaced:
         return
--- a/libs/consensus/geraniumweir/consensus/serving.py
+++ b/libs/consensus/geraniumweir/consensus/serving.py
@@ -1,4 +1,4 @@
-"""Answers to other hosts: proposals, barriers, entries, snapshots, status."""
+"""Requests of other hosts: proposals, read barriers, reads and status."""
 
 import asyncio
 import dataclasses
@@ -22,13 +22,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecorderRow:
-    """One recorder as the leader sees it.
-
-    :ivar member: which one.
-    :ivar match_index: all entries up to it are durable there, as far as is
-        known; 0 when asked of a recorder that doesn't lead.
-    :ivar reachable: it answered within an election timeout.
-    :ivar silence: seconds since it answered, as far as is known.
+    """Status of one member of the log.
+
+    :ivar member: the recorder.
+    :ivar match_index: index up to which all entries are known to be durable
+        there; 0 for other recorders when this one is not the leader.
+    :ivar reachable: whether it answered within the maximum election timeout.
+    :ivar silence: time since the newest answered message was sent, but not
+        more than since the leader began to send to it, in seconds.
     """
 
     member: members.Member
@@ -39,17 +40,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Status:
-    """A recorder's view.
-
-    :ivar identity: of its data folder.
-    :ivar role: what it is at the moment.
-    :ivar term: the newest known.
-    :ivar leader: the host that leads, or empty.
-    :ivar commit: all entries up to it are committed.
-    :ivar applied: all entries up to it are in the state machine.
-    :ivar last_index: of the log's last entry.
-    :ivar recorders: all of them.
-    :ivar failure: why this one stopped for good, or empty.
+    """Status of the log as seen by one recorder.
+
+    :ivar identity: identity of its data folder.
+    :ivar role: its role in the current term.
+    :ivar term: the current term.
+    :ivar leader: host of the live leader, or empty.
+    :ivar commit: commit index.
+    :ivar applied: last applied index.
+    :ivar last_index: index of the log's last entry.
+    :ivar recorders: status of all members.
+    :ivar failure: reason why this recorder failed or was stopped, or empty.
     """
 
     identity: members.RecorderId
@@ -64,7 +65,7 @@
 
 
 def status(this: core.Core) -> Status:
-    """Tell how this recorder sees things."""
+    """Return the status of the log as seen by this recorder."""
     return Status(
         identity=this.identity,
         role=this.role,
@@ -79,14 +80,14 @@
 
 
 def rows(this: core.Core) -> tuple[RecorderRow, ...]:
-    """Give all recorders as this one sees them."""
+    """Return the status of all members as seen by this recorder."""
     return tuple(
         _row(this, member) for member in this.history.current.recorders
     )
 
 
 def current_leader(this: core.Core) -> ids.HostId:
-    """Give the host of the leader that is heard, or empty."""
+    """Return the host of the live leader, or empty."""
     leader = this.history.current.find(this.leader)
     if leader is None or not this.has_live_leader():
         return ids.HostId('')
@@ -94,9 +95,9 @@
 
 
 def leads_since(this: core.Core, at: float) -> bool:
-    """Tell whether a majority followed this recorder since a time.
+    """Return whether a majority is known to have followed since a time.
 
-    :param at: in loop time.
+    :param at: the time, in loop time.
     """
     if this.leadership is None:
         return False
@@ -104,9 +105,11 @@
 
 
 async def barrier(this: core.Core, timeout: float) -> int:
-    """Confirm leadership and apply all that was committed before.
+    """Confirm leadership and wait until the read index is applied.
 
-    :param timeout: for each of the two, in seconds.
+    :param timeout: for each of the two steps, in seconds.
+    :returns: the read index.
+    :raises errors.NoQuorumError: when a step takes too long.
     """
     index = await leading.confirm(this, timeout)
     try:
@@ -122,9 +125,9 @@
     after: int,
     limit: int,
 ) -> list[entries.Entry]:
-    """Give committed entries behind an index.
+    """Return committed entries after an index.
 
-    :raises errors.CompactedError: when only a snapshot has them any more.
+    :raises errors.CompactedError: when they were compacted.
     """
     left = max(this.commit.height - after, 0)
     try:
@@ -174,7 +177,7 @@
     this: core.Core,
     request: ttypes.ReadEntries,
 ) -> ttypes.EntriesAnswer:
-    """Give committed entries to another host."""
+    """Answer a request for committed entries."""
     limit = min(request.limit, _MAX_ENTRIES)
     try:
         batch = read_entries(this, request.after_index, limit)
@@ -188,9 +191,9 @@
     this: core.Core,
     request: ttypes.FetchSnapshot,
 ) -> ttypes.SnapshotContent:
-    """Give a piece of the newest snapshot.
+    """Answer a request for a chunk of the newest snapshot.
 
-    A piece of another one than was asked for starts at its first byte.
+    When that is another snapshot than requested, its first chunk is returned.
     """
     newest = this.folder.snapshots.newest
     offset = request.offset if request.index == newest.index else 0
@@ -207,7 +210,7 @@
     this: core.Core,
     _ask: ttypes.AskStatus,
 ) -> ttypes.StatusAnswer:
-    """Give this recorder's view to another host."""
+    """Answer a request for this recorder's status."""
     view = status(this)
     wire_rows = [
         ttypes.RecorderStatus(
@@ -276,6 +279,6 @@
     progress = this.leadership.progress[member.identity]
     silence = this.timers.now() - progress.last_contact_at
     reachable = silence <= this.env.cfg.election_max
-    # One that was added a moment ago hasn't been silent for longer.
+    # A recorder can't have been silent for longer than it has been sent to.
     silence = min(silence, this.timers.now() - progress.started_at)
     return RecorderRow(member, progress.match, reachable, silence)
--- a/libs/consensus/geraniumweir/consensus/snapshot_transfer.py
+++ b/libs/consensus/geraniumweir/consensus/snapshot_transfer.py
@@ -1,7 +1,7 @@
-"""Snapshots sent to a recorder that needs entries no longer in the log.
+"""Transfer of snapshots to a recorder that needs compacted entries.
 
-They go in pieces of bounded size; a piece that was lost is sent again, and
-the receiver says with which byte to go on.
+A snapshot is sent in chunks of bounded size. A lost chunk is sent again, and
+each answer of the receiver contains the offset to continue at.
 
 References
 ==========
@@ -24,7 +24,7 @@
     leader_state: leadership.LeaderState,
     progress: leadership.Progress,
 ) -> None:
-    """Send the newest snapshot; return when it is installed or lost."""
+    """Send the newest snapshot until it is installed or a call fails."""
     newest = this.folder.snapshots.newest
     offset = 0
     while not leader_state.ended:
@@ -46,7 +46,7 @@
 
 
 def checksum(state: bytes) -> int:
-    """Give a checksum that fits a signed 64-bit field."""
+    """Return a checksum that fits into a signed 64-bit field."""
     return xxhash.xxh3_64_intdigest(state) >> _SIGN_BITS
 
 
--- a/libs/consensus/geraniumweir/consensus/tests/cluster.py
+++ b/libs/consensus/geraniumweir/consensus/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Recorders in virtual time over an in-memory network and disks."""
+"""Cluster of recorders in virtual time, on an in-memory network and disks."""
 
 import asyncio
 import dataclasses
@@ -26,12 +26,12 @@
 
 
 def run(scenario: typing.Coroutine[typing.Any, typing.Any, _Done]) -> _Done:
-    """Run a scenario in virtual time; one without an end fails."""
+    """Run a scenario in virtual time; it fails when it doesn't end in time."""
     return virtual.run(asyncio.wait_for(scenario, _MAX_SECONDS))
 
 
 class ListMachine:
-    """Keeps the commands in a list; a command counts once only."""
+    """State machine that lists the commands; repeated ones count once."""
 
     def __init__(self) -> None:
         self.commands: list[bytes] = []
@@ -52,7 +52,7 @@
 
 
 def place(answer: bytes) -> int:
-    """Read the place that a command got."""
+    """Return a command's place in the list, as its answer gives it."""
     return int(_NUMBER.unpack(answer)[0])
 
 
@@ -67,17 +67,17 @@
 
 
 class Cluster:
-    """Recorders that can crash, be cut off and lose their folders."""
+    """Recorders that can crash, be partitioned and lose their folders."""
 
     def __init__(self, seed: int = 0, **sizes: int) -> None:
         self.rng = random.Random(seed)
         self.network = memory.MemoryNetwork(seed)
         self.sizes = sizes
-        # A disk takes so long, drawn anew for each write, in seconds.
+        # Bounds of the duration of each disk operation, in seconds.
         self.fsync_seconds = (0.001, 0.002)
         self.nodes: dict[ids.HostId, Node] = {}
         self.disks: dict[ids.HostId, memory_disk.MemoryDisk] = {}
-        # Who led in which term, and what was applied at which index.
+        # Identity of the leader by term, and command applied by index.
         self.leaders: dict[int, str] = {}
         self.applied: dict[int, bytes] = {}
         self.violations: list[str] = []
@@ -87,7 +87,7 @@
             await self.boot(host_id)
 
     async def boot(self, host_id: ids.HostId) -> Node:
-        """Start a recorder on what its disk holds."""
+        """Start a recorder on the content of its disk."""
         seed = self.rng.getrandbits(32)
         disk = self.disks.setdefault(host_id, memory_disk.MemoryDisk(seed))
         peer_layer = self.network.join(host_id, address(host_id))
@@ -114,7 +114,7 @@
         return node
 
     def crash(self, host_id: ids.HostId) -> None:
-        """Cut a host's power; one that is down stays so."""
+        """Simulate a power failure of a host; do nothing when it is down."""
         if host_id not in self.nodes:
             return
         node = self.nodes.pop(host_id)
@@ -123,24 +123,24 @@
         node.recorder.kill()
 
     def empty(self, host_id: ids.HostId) -> None:
-        """Lose the folder of a host that is down."""
+        """Remove the data folder of a host that is down."""
         self.disks.pop(host_id)
 
     def partition(self, host_id: ids.HostId) -> None:
-        """Lose everything from and to a host."""
+        """Discard all messages from and to a host."""
         for other in list(self.disks):
             if other != host_id:
                 self.network.cut(host_id, other)
                 self.network.cut(other, host_id)
 
     def client(self, name: str = 'eel') -> client.LogClient:
-        """Give a client on a host without a disk."""
+        """Return a client on a host without a disk."""
         host_id = ids.HostId(name)
         peer_layer = self.network.join(host_id, address(host_id))
         return client.LogClient(peer_layer, HOSTS)
 
     async def leader(self) -> ids.HostId:
-        """Wait until one recorder leads and a majority knows it."""
+        """Wait for a leader that a majority confirms, and return its host."""
         while True:
             for host_id, node in list(self.nodes.items()):
                 if await _is_confirmed_leader(node.recorder):
@@ -148,7 +148,10 @@
             await asyncio.sleep(0.05)
 
     async def wait_until_applied(self) -> list[list[bytes]]:
-        """Wait until all live recorders have applied the same, give it."""
+        """Wait until all running recorders have applied what is committed.
+
+        :returns: the commands applied by each of them.
+        """
         while True:
             leading = await self.leader()
             goal = self.nodes[leading].recorder.status().commit
@@ -193,12 +196,12 @@
 
 
 def address(host_id: ids.HostId) -> ids.Address:
-    """Give the address of a host in the tests."""
+    """Return the address of a host in the tests."""
     return ids.Address('127.0.0.1', sum(host_id.encode()))
 
 
 async def started(seed: int = 0, **sizes: int) -> Cluster:
-    """Start recorders; sizes are those of the log."""
+    """Start a cluster; ``sizes`` are settings of the log."""
     cluster = Cluster(seed, **sizes)
     await cluster.start()
     return cluster
@@ -209,7 +212,7 @@
     count: int,
     prefix: str = 'x',
 ) -> list[bytes]:
-    """Propose commands at once and give them."""
+    """Propose commands concurrently and return them."""
     leading = cluster.nodes[await cluster.leader()].recorder
     commands = [f'{prefix}{number}'.encode() for number in range(count)]
     await asyncio.gather(*(leading.propose(command) for command in commands))
--- a/libs/consensus/geraniumweir/consensus/tests/histories.py
+++ b/libs/consensus/geraniumweir/consensus/tests/histories.py
@@ -1,7 +1,7 @@
-"""What callers saw, and whether one list, changed one by one, explains it.
+"""Histories of appends and reads, and a check that they are linearizable.
 
-Each command asks for a place in a list and is answered with that place, so
-the order of all commands is known and needn't be searched for [1]_.
+Each command requests a place in a list and is answered with that place, so
+the order of all commands is given and needn't be searched for [1]_.
 
 References
 ==========
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Append:
-    """One command: when it was asked for, and its place when answered."""
+    """One command: when it was proposed and answered, and its place."""
 
     command: bytes
     began: float
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Read:
-    """One read: how many commands were in the list."""
+    """One read: when it ran and the number of commands it found."""
 
     began: float
     ended: float
@@ -50,7 +50,7 @@
         caller: client.LogClient | recorder.Recorder,
         timeout: float,
     ) -> Append:
-        """Ask for the next place and note the outcome."""
+        """Propose a command for the next place and record the outcome."""
         now = asyncio.get_running_loop().time
         entry = Append(b'c%d' % len(self.appends), now())
         self.appends.append(entry)
@@ -66,7 +66,7 @@
         return entry
 
     async def read(self, node: clusters.Node) -> None:
-        """Read the state behind a barrier and note it if it was allowed."""
+        """Read the state after a read barrier, and record it if that passed."""
         now = asyncio.get_running_loop().time
         began = now()
         try:
@@ -77,13 +77,13 @@
         self.reads.append(Read(began, now(), count))
 
     def check(self, final: typing.Sequence[bytes]) -> None:
-        """Compare with the plain list that all recorders ended with."""
+        """Compare the history with the final list of all recorders."""
         assert len(set(final)) == len(final)
         for entry in self.appends:
             if entry.place is not None:
                 assert final[entry.place] == entry.command, 'lost'
             if entry.refused:
-                assert entry.command not in final, 'taken though refused'
+                assert entry.command not in final, 'committed though rejected'
         self._check_order(final)
         self._check_reads(final)
 
@@ -94,7 +94,7 @@
             for earlier in taken:
                 if earlier.ended < later.began:
                     assert places[earlier.command] < places[later.command], (
-                        'order turned round'
+                        'order reversed'
                     )
 
     def _check_reads(self, final: typing.Sequence[bytes]) -> None:
--- a/libs/consensus/geraniumweir/consensus/tests/test_changes_of_recorders.py
+++ b/libs/consensus/geraniumweir/consensus/tests/test_changes_of_recorders.py
@@ -1,4 +1,7 @@
-"""Recorders are added, removed and replaced, emptied folders too."""
+"""Membership changes: recorders added, removed and replaced.
+
+A recorder whose data folder was emptied must not vote or bootstrap a log.
+"""
 
 import asyncio
 
@@ -12,7 +15,7 @@
 
 
 def test_emptied_folder_never_votes() -> None:
-    """With one recorder down and one emptied there is no majority."""
+    """With one recorder down and one folder emptied there is no majority."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
@@ -35,19 +38,19 @@
     clusters.run(scenario())
 
 
-def test_emptied_founder_founds_no_second_log() -> None:
-    """The lowest host id, emptied, waits to be added."""
+def test_emptied_recorder_bootstraps_no_second_log() -> None:
+    """The lowest host, its folder emptied, must wait to be added."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
         commands = await clusters.fill(cluster, 5)
-        founder = clusters.HOSTS[0]
-        cluster.crash(founder)
-        cluster.empty(founder)
-        node = await cluster.boot(founder)
+        lowest = clusters.HOSTS[0]
+        cluster.crash(lowest)
+        cluster.empty(lowest)
+        node = await cluster.boot(lowest)
         await asyncio.sleep(30)
         assert node.recorder.status().last_index == 0
-        await cluster.client().add_recorder(founder)
+        await cluster.client().add_recorder(lowest)
         for applied in await cluster.wait_until_applied():
             assert applied == commands
 
@@ -55,7 +58,7 @@
 
 
 def test_second_recorder_lost_right_after_a_replacement() -> None:
-    """As soon as the replacement is done, another one can go."""
+    """Another recorder may crash as soon as a replacement is complete."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
@@ -76,7 +79,7 @@
 
 
 def test_replacing_an_emptied_folder_keeps_three_voters() -> None:
-    """The old identity goes as the new one becomes a voter."""
+    """The old identity is removed before the new one becomes a voter."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
@@ -96,7 +99,7 @@
 
 
 def test_removal_that_would_cost_the_majority_is_refused() -> None:
-    """With one of three down, a live one can't be removed."""
+    """With one of three down, a running one can't be removed."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
@@ -110,8 +113,8 @@
     clusters.run(scenario())
 
 
-def test_leader_removed_by_a_client_hands_on_first() -> None:
-    """The client follows the hint and the new leader removes the old."""
+def test_leader_removed_by_a_client_transfers_leadership_first() -> None:
+    """The client follows the hint, and the new leader removes the old one."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
@@ -127,7 +130,7 @@
 
 
 def test_two_changes_at_once_are_refused() -> None:
-    """The second one is told so."""
+    """The second change is rejected while the first is in progress."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
--- a/libs/consensus/geraniumweir/consensus/tests/test_faults.py
+++ b/libs/consensus/geraniumweir/consensus/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Random crashes, cuts, losses, repeats and reordering, all together."""
+"""Random crashes, partitions, loss, duplicates and reordering combined."""
 
 import asyncio
 import random
@@ -25,11 +25,11 @@
     cluster: clusters.Cluster,
     history: histories.History,
 ) -> None:
-    """Mend everything and check all promises."""
+    """Repair all faults and check the history."""
     cluster.network.heal()
     cluster.network.loss = 0
     for host_id in clusters.HOSTS:
-        # A disk that was about to fail makes its host a crashed one.
+        # A host whose disk is set to fail is crashed, to get a working disk.
         if cluster.disks[host_id].operations_left is not None:
             cluster.crash(host_id)
         if host_id not in cluster.nodes:
@@ -43,7 +43,7 @@
 
 
 class FaultMachine(stateful.RuleBasedStateMachine):
-    """Whatever the order of faults, no promise is broken."""
+    """Random sequences of faults, after which the history is checked."""
 
     @stateful.initialize(seed=st.integers(0, 1000))
     def start(self, seed: int) -> None:
@@ -59,29 +59,29 @@
 
     @stateful.rule(seconds=st.sampled_from((0.003, 0.05, 0.6, 2)))
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the virtual time."""
         self.loop.run(asyncio.sleep(seconds))
 
     @stateful.rule(count=st.integers(1, 8))
     def append(self, count: int) -> None:
-        """Have a client ask for places at once."""
+        """Propose commands concurrently by a client."""
         self.loop.run(self._append(count))
 
     @stateful.rule(host_id=_HOST)
     def read(self, host_id: str) -> None:
-        """Read at a recorder."""
+        """Read the state of a recorder."""
         node = self.cluster.nodes.get(host_id)
         if node is not None:
             self.loop.run(self.history.read(node))
 
     @stateful.rule(host_id=_HOST)
     def crash(self, host_id: str) -> None:
-        """Cut the power of a host."""
+        """Simulate a power failure of a host."""
         self.loop.run(self._crash(host_id))
 
     @stateful.rule(host_id=_HOST, operations=st.integers(0, 6))
     def fail_disk(self, host_id: str, operations: int) -> None:
-        """Let a disk fail in the midst of its next writes."""
+        """Make a disk fail during one of its next operations."""
         node = self.cluster.nodes.get(host_id)
         if node is not None:
             node.disk.operations_left = operations
@@ -94,22 +94,22 @@
 
     @stateful.rule(sender=_HOST, receiver=_HOST)
     def cut(self, sender: str, receiver: str) -> None:
-        """Lose everything in one direction."""
+        """Discard all messages in one direction."""
         self.cluster.network.cut(sender, receiver)
 
     @stateful.rule(loss=st.sampled_from((0, 0.1, 0.4)))
     def heal(self, loss: float) -> None:
-        """Undo the cuts, but perhaps lose some messages."""
+        """End all partitions, and set the message loss."""
         self.cluster.network.heal()
         self.cluster.network.loss = loss
 
     @stateful.invariant()
     def keeps_election_safety(self) -> None:
-        """No two leaders in a term, no two commands at an index."""
+        """Check for two leaders in a term or two commands at an index."""
         assert not self.cluster.violations
 
     def teardown(self) -> None:
-        """Mend everything and check all promises."""
+        """Repair all faults and check the history."""
         if hasattr(self, 'loop'):
             self.loop.run(
                 asyncio.wait_for(_finish(self.cluster, self.history), 600),
@@ -168,8 +168,8 @@
         case _:
             cluster.network.heal()
     for name, node in list(cluster.nodes.items()):
-        # An operator takes one with a failed disk down; with two of them
-        # up nothing could go on.
+        # An operator would take a recorder with a failed disk down; with two
+        # such recorders no progress is possible.
         if node.recorder.status().role is core.Role.failed:
             cluster.crash(name)
     for name in clusters.HOSTS:
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize('seed', range(10))
 def test_a_minute_of_faults(seed: int) -> None:
-    """Callers, reads and faults at the same time for a minute."""
+    """Concurrent callers, reads and faults for a minute."""
 
     async def scenario() -> None:
         rng = random.Random(seed)
@@ -209,7 +209,7 @@
 
 
 async def _replace(cluster: clusters.Cluster, host_id: str) -> None:
-    """Lose a folder and add the new one, as often as it takes."""
+    """Erase a data folder and add the new recorder, with retries."""
     cluster.crash(host_id)
     cluster.empty(host_id)
     await cluster.boot(host_id)
@@ -223,7 +223,7 @@
 
 @pytest.mark.parametrize('seed', range(5))
 def test_folders_replaced_under_load(seed: int) -> None:
-    """Each time another recorder is lost as soon as the new one votes."""
+    """Another recorder crashes each time as soon as the new one is a voter."""
 
     async def scenario() -> None:
         rng = random.Random(seed)
--- a/libs/consensus/geraniumweir/consensus/tests/test_recorders.py
+++ b/libs/consensus/geraniumweir/consensus/tests/test_recorders.py
@@ -1,4 +1,4 @@
-"""What the recorders do about each single failure."""
+"""Behaviour of the recorders at single failures."""
 
 import asyncio
 import errno
@@ -11,7 +11,7 @@
 
 
 def test_commands_are_applied_by_all_in_one_order() -> None:
-    """Proposals made at once come out the same everywhere."""
+    """Concurrent proposals are applied in the same order everywhere."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
@@ -23,7 +23,7 @@
 
 
 def test_proposals_share_syncs() -> None:
-    """A hundred proposals at once cost a recorder a few fsyncs."""
+    """A hundred concurrent proposals cost a recorder only a few fsyncs."""
 
     async def scenario() -> int:
         cluster = await clusters.started()
@@ -35,8 +35,8 @@
     assert clusters.run(scenario()) <= 3
 
 
-def test_silently_cut_leader_says_so_within_two_seconds() -> None:
-    """It takes nothing, says so, and what it answered before stays true."""
+def test_partitioned_leader_steps_down_within_two_seconds() -> None:
+    """It rejects proposals and reads; what it answered before is kept."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
@@ -64,8 +64,8 @@
     clusters.run(scenario())
 
 
-def test_cut_leader_answers_no_barrier() -> None:
-    """Right after the cut, before it stepped down, it confirms no read."""
+def test_partitioned_leader_answers_no_barrier() -> None:
+    """It confirms no read, even before it has stepped down."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
@@ -78,7 +78,7 @@
 
 
 def test_returning_recorder_disturbs_nobody() -> None:
-    """One that was cut off for long raises no term and ends no reign."""
+    """A recorder that was partitioned for long deposes no leader."""
 
     async def scenario() -> tuple[int, int]:
         cluster = await clusters.started()
@@ -95,8 +95,8 @@
     assert before == after
 
 
-def test_follower_that_is_not_heard_disturbs_nobody() -> None:
-    """One-way loss towards a follower doesn't end the reign."""
+def test_one_way_loss_to_a_follower_raises_no_term() -> None:
+    """A follower that receives nothing of the leader doesn't depose it."""
 
     async def scenario() -> tuple[int, int]:
         cluster = await clusters.started()
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize('failure', [errno.EIO, errno.ENOSPC])
 def test_leader_with_a_failing_disk_steps_down(failure: int) -> None:
-    """It answers nothing, leads no more and votes no more."""
+    """It answers nothing, is no longer leader and votes no more."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
@@ -133,7 +133,7 @@
         for applied in await cluster.wait_until_applied():
             assert applied[:3] == before
             assert applied[-3:] == after
-        # Of three, one failed and one is down: its vote must not help.
+        # Of three, one failed and one is down: the failed one must not vote.
         cluster.crash(await cluster.leader())
         await asyncio.sleep(30)
         left = next(iter(cluster.nodes.values()))
@@ -143,7 +143,7 @@
 
 
 def test_graceful_stop_costs_no_election_timeout() -> None:
-    """Another one leads before the shortest election timeout is over."""
+    """Another leader is elected within the minimum election timeout."""
 
     async def scenario() -> float:
         cluster = await clusters.started()
@@ -160,7 +160,7 @@
 
 
 def test_stopped_recorder_answers_nothing() -> None:
-    """It neither votes nor takes entries, though the host is still there."""
+    """It neither votes nor accepts entries, though its host is reachable."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
--- a/libs/consensus/geraniumweir/consensus/tests/test_replacing_leaders.py
+++ b/libs/consensus/geraniumweir/consensus/tests/test_replacing_leaders.py
@@ -1,4 +1,4 @@
-"""How long a leader that is lost without a word goes unreplaced."""
+"""Time until a leader that is silently lost is replaced."""
 
 import asyncio
 
@@ -6,13 +6,13 @@
 from geraniumweir.consensus.tests import cluster
 
 _SEEDS = 30
-# Seconds from the loss to a new leader.
+# Bounds of the time from the loss to a new leader.
 _MAX_MEAN_SECONDS = 0.75
 _MAX_SECONDS = 1.2
 
 
 async def _seconds_without_leader(seed: int) -> float:
-    """Cut the leader off and measure until another one leads."""
+    """Return the seconds from a partition of the leader to the next one."""
     loop = asyncio.get_running_loop()
     recorders = await cluster.started(seed)
     lost = await recorders.leader()
@@ -28,7 +28,7 @@
 
 
 def test_lost_leader_is_replaced_soon() -> None:
-    """Two others soon agree, though one heard it last."""
+    """The others elect a leader soon, though their timers differ."""
     took = [
         cluster.run(_seconds_without_leader(seed)) for seed in range(_SEEDS)
     ]
--- a/libs/consensus/geraniumweir/consensus/tests/test_rules.py
+++ b/libs/consensus/geraniumweir/consensus/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Single rules of agreement, shown to a recorder by scripted peers."""
+"""Single rules of the consensus algorithm, tested with scripted peers."""
 
 import asyncio
 import copy
@@ -13,10 +13,10 @@
 
 
 class Script:
-    """The two other recorders of a cluster, played by the test."""
+    """The two other recorders of a cluster, scripted by the test."""
 
     def __init__(self, cluster: clusters.Cluster, played: ids.HostId) -> None:
-        """Take the place of all recorders but one."""
+        """Replace all recorders but one."""
         self.votes = False
         self.holds = 0
         self.host = played
@@ -34,7 +34,7 @@
                 self.peers.append(peer_layer)
 
     def other(self) -> str:
-        """Give the identity of the first played recorder."""
+        """Return the identity of the first scripted recorder."""
         host_id = self.peers[0].host_id
         rows = self.node.recorder.status().recorders
         return next(
@@ -42,7 +42,7 @@
         )
 
     def vote_request(self, last: entries.Position, term: int) -> ttypes.AskVote:
-        """Make an ask of the first played recorder."""
+        """Return a vote request of the first scripted recorder."""
         return ttypes.AskVote(
             self.cluster_name(),
             self.node.identity,
@@ -61,7 +61,7 @@
         term: int,
         commit: int = 0,
     ) -> ttypes.AppendEntries:
-        """Make a message of the first played recorder."""
+        """Return an append message of the first scripted recorder."""
         rows = [
             ttypes.LogEntry(one.index, one.term, one.kind, one.payload)
             for one in new
@@ -78,7 +78,7 @@
         )
 
     def cluster_name(self) -> str:
-        """Give the name of the log."""
+        """Return the identity of the log."""
         core = self.node.recorder.core
         return core.history.current.cluster
 
@@ -116,7 +116,7 @@
 
 
 def test_old_entries_are_not_committed_by_counting() -> None:
-    """A copy of an older term counts only with one of the leader's own."""
+    """Entries of older terms are committed only by one of the own term."""
 
     async def scenario() -> None:
         script = await _scripted(batch_entries=1)
@@ -138,7 +138,7 @@
 
 
 def test_vote_is_for_an_up_to_date_log_only() -> None:
-    """An older last term or a shorter log gets no vote, an equal one does."""
+    """An older last term or a shorter log gets no vote; an equal one does."""
 
     async def scenario() -> list[bool]:
         script = await _scripted()
@@ -161,7 +161,7 @@
 
 
 def test_one_vote_in_a_term_also_after_a_crash() -> None:
-    """The vote is durable before it is given."""
+    """The vote is durable before it is answered."""
 
     async def scenario() -> list[bool]:
         cluster = clusters.Cluster()
@@ -185,7 +185,7 @@
 
 
 def test_entries_of_a_leader_that_was_voted_out_are_not_acknowledged() -> None:
-    """A vote given while an append is being synced takes back the append."""
+    """A vote in a newer term, given during a sync, makes the append stale."""
 
     async def scenario() -> int:
         script = await _scripted()
@@ -209,8 +209,8 @@
     assert clusters.run(scenario()) == ttypes.Outcome.stale_term
 
 
-def test_late_message_cuts_off_nothing() -> None:
-    """A repeat of older entries leaves newer ones in place."""
+def test_late_message_truncates_nothing() -> None:
+    """A repeated message with older entries keeps newer ones."""
 
     async def scenario() -> None:
         script = await _scripted()
@@ -232,7 +232,7 @@
 
 
 def test_only_what_matches_is_committed() -> None:
-    """A commit index beyond what the message shows is not believed."""
+    """A commit index beyond the entries that match is not adopted."""
 
     async def scenario() -> None:
         script = await _scripted()
@@ -253,7 +253,7 @@
 
 
 def test_leader_counts_its_own_copy_only_once_synced() -> None:
-    """With one follower's copy a commit waits for the leader's fsync."""
+    """With one follower's copy, a commit waits for the leader's fsync."""
 
     async def scenario() -> tuple[bool, bool]:
         script = await _scripted()
--- a/libs/consensus/geraniumweir/consensus/tests/test_snapshots.py
+++ b/libs/consensus/geraniumweir/consensus/tests/test_snapshots.py
@@ -1,4 +1,4 @@
-"""The log stays small, and nobody misses what was cut off it."""
+"""Snapshots, log compaction and followers that need compacted entries."""
 
 import asyncio
 import contextlib
@@ -11,12 +11,13 @@
 _COW = clusters.HOSTS[2]
 _BIG = b'd' * 1000
 _MANY = 1000
-# The bounds of the test, and what comes in while a snapshot is written.
+# Snapshot and trailing bytes of the test, and the entries that arrive while a
+# snapshot is written.
 _MAX_HELD_BYTES = 8000 + 3000 + 4 * 1004
 
 
 def test_late_follower_catches_up_by_snapshot() -> None:
-    """Pieces, a compacted log, and entries behind the snapshot."""
+    """A follower gets the snapshot in chunks, then the entries after it."""
 
     async def scenario() -> None:
         cluster = await clusters.started(
@@ -44,7 +45,7 @@
 
 
 def test_log_of_big_commands_stays_small() -> None:
-    """Cut by bytes long before the number of entries would cut it."""
+    """The log is compacted by bytes long before the limit of entries."""
 
     async def scenario() -> None:
         cluster = await clusters.started(
@@ -64,7 +65,7 @@
         for applied in await cluster.wait_until_applied():
             assert applied == commands
         assert cluster.nodes[late].recorder.snapshot().index > 0
-        # The one that took the snapshot in cuts its log by itself, too.
+        # The recorder that installed the snapshot compacts its own log, too.
         for number in range(40, 60):
             commands.append(b'%d:' % number + _BIG)
             await cluster.nodes[leading].recorder.propose(commands[-1])
@@ -77,8 +78,8 @@
     clusters.run(scenario())
 
 
-def test_tail_fits_its_bytes_or_is_empty() -> None:
-    """A single entry above the bound isn't kept, and nothing is lost."""
+def test_retained_entries_fit_their_bytes_or_none_are_retained() -> None:
+    """A single entry above the limit isn't retained, and none is lost."""
 
     async def scenario() -> None:
         cluster = await clusters.started(
@@ -103,7 +104,7 @@
 
 
 def _held(cluster: clusters.Cluster, host_id: ids.HostId) -> int:
-    """Give the bytes of the entries that a recorder still has in its log."""
+    """Return the bytes of the entries that a recorder has in its log."""
     asked = cluster.nodes[host_id].recorder
     after = asked.status().applied
     held = 0
@@ -118,7 +119,7 @@
 
 
 def test_client_reads_snapshot_and_entries() -> None:
-    """A host without a disk gets everything from any recorder."""
+    """A host without a disk can read the complete log from any recorder."""
 
     async def scenario() -> None:
         cluster = await clusters.started(piece_bytes=7)
@@ -138,8 +139,8 @@
     clusters.run(scenario())
 
 
-def test_all_restart_with_everything() -> None:
-    """After a power cut of all, all that was answered is there."""
+def test_answered_commands_survive_a_restart_of_all() -> None:
+    """After a power failure of all hosts no answered command is lost."""
 
     async def scenario() -> None:
         cluster = await clusters.started(
@@ -155,10 +156,8 @@
     clusters.run(scenario())
 
 
-def test_snapshot_of_a_leader_that_hears_no_answer_makes_nobody_current() -> (
-    None
-):
-    """It is sent again and again, and is older than what is committed."""
+def test_snapshot_of_a_leader_without_answers_makes_no_one_current() -> None:
+    """It is sent repeatedly, and is older than the commit index."""
 
     async def scenario() -> None:
         cluster = await clusters.started(
