--- a/libs/consensus/geraniumweir/consensus/applying.py
+++ b/libs/consensus/geraniumweir/consensus/applying.py
@@ -13,8 +13,10 @@
     newest = this.folder.snapshots.newest
     if newest.index:
         this.env.machine.restore(newest.state)
-    if this.folder.cut:
-        this.env.report(logevents.TORN_WRITE_REMOVED, lost=this.folder.cut)
+    if this.folder.torn_bytes:
+        this.env.report(
+            logevents.TORN_WRITE_REMOVED, lost=this.folder.torn_bytes
+        )
 
 
 async def apply_committed(this: core.Core) -> None:
@@ -122,7 +124,7 @@
         index=index,
     )
     this.history.discard_before(index)
-    compact_index = this.folder.log.start_of_tail(
+    compact_index = this.folder.log.retained_start(
         index,
         this.env.cfg.trailing_entries,
         this.env.cfg.trailing_bytes,
--- a/libs/consensus/geraniumweir/consensus/bootstrap.py
+++ b/libs/consensus/geraniumweir/consensus/bootstrap.py
@@ -97,6 +97,6 @@
         members.encode(initial),
     )
     this.append([first_entry])
-    await this.folder.ballot.wait_durable()
+    await this.folder.vote_store.wait_durable()
     await this.folder.log.sync()
     this.env.report(logevents.BOOTSTRAPPED, recorders=list(first))
--- a/libs/consensus/geraniumweir/consensus/core.py
+++ b/libs/consensus/geraniumweir/consensus/core.py
@@ -155,7 +155,7 @@
     @property
     def term(self) -> int:
         """The current term: the newest one known."""
-        return self.folder.ballot.term
+        return self.folder.vote_store.term
 
     @property
     def failure(self) -> str:
@@ -217,7 +217,7 @@
         """Become a follower in a newer term; do nothing in any other."""
         if term <= self.term:
             return
-        self.folder.ballot.cast(term)
+        self.folder.vote_store.set_vote(term)
         self.leader = members.RecorderId('')
         self.become_follower(reason)
 
--- a/libs/consensus/geraniumweir/consensus/following.py
+++ b/libs/consensus/geraniumweir/consensus/following.py
@@ -37,12 +37,12 @@
     this.update_caught_up()
     hint = _find_conflict(this, message)
     if hint is not None:
-        await this.folder.ballot.wait_durable()
+        await this.folder.vote_store.wait_durable()
         conflict = ttypes.Outcome.conflict
         return ttypes.AppendAnswer(message.term, conflict, hint)
     this.append(_new_entries(this, message))
     match = message.previous_index + len(message.entries)
-    await this.folder.ballot.wait_durable()
+    await this.folder.vote_store.wait_durable()
     await this.folder.log.sync()
     this.check_not_failed()
     if this.term != message.term:
@@ -77,7 +77,7 @@
     this.leader_contact.committed = max(
         this.leader_contact.committed, piece.index
     )
-    await this.folder.ballot.wait_durable()
+    await this.folder.vote_store.wait_durable()
     if this.commit.height < piece.index:
         _store_piece(incoming, piece)
         if len(incoming.content) == piece.total:
--- a/libs/consensus/geraniumweir/consensus/serving.py
+++ b/libs/consensus/geraniumweir/consensus/serving.py
@@ -155,7 +155,7 @@
     this: core.Core,
     request: ttypes.AskBarrier,
 ) -> ttypes.ProposeAnswer:
-    """Answer a barrier of another host with the index to wait for."""
+    """Answer a read barrier of another host with the read index."""
     return await _verdict(barrier(this, request.timeout_ms / _MS_PER_SECOND))
 
 
@@ -163,7 +163,7 @@
     this: core.Core,
     request: ttypes.ChangeRecorders,
 ) -> ttypes.ProposeAnswer:
-    """Change the recorders for another host."""
+    """Answer a membership change requested by another host."""
     timeout = request.timeout_ms / _MS_PER_SECOND
     host_id = ids.HostId(request.host_id)
     if request.kind == ttypes.ChangeKind.add:
--- a/libs/consensus/geraniumweir/consensus/voting.py
+++ b/libs/consensus/geraniumweir/consensus/voting.py
@@ -40,7 +40,7 @@
         return ttypes.VoteAnswer(this.term, granted)
     this.enter_term(request.term, 'another recorder asks for votes')
     granted = _vote(this, request)
-    await this.folder.ballot.wait_durable()
+    await this.folder.vote_store.wait_durable()
     this.check_not_failed()
     return ttypes.VoteAnswer(this.term, granted and this.term == request.term)
 
@@ -83,12 +83,12 @@
         return False
     if this.has_live_leader() and not transfer:
         return True
-    this.folder.ballot.cast(this.term + 1, this.identity)
+    this.folder.vote_store.set_vote(this.term + 1, this.identity)
     term = this.term
     this.role = core.Role.candidate
     this.leader = members.RecorderId('')
     this.env.report(logevents.ELECTION_STARTED, term=term)
-    await this.folder.ballot.wait_durable()
+    await this.folder.vote_store.wait_durable()
     if await _wins_election(this, term, transfer=transfer):
         leading.become_leader(this, term)
     elif this.role is core.Role.candidate and this.term == term:
@@ -110,12 +110,12 @@
 
 
 def _vote(this: core.Core, request: ttypes.AskVote) -> bool:
-    ballot = this.folder.ballot
-    if request.term != ballot.term or not _is_up_to_date(this, request):
+    vote_store = this.folder.vote_store
+    if request.term != vote_store.term or not _is_up_to_date(this, request):
         return False
-    if ballot.candidate:
-        return ballot.candidate == request.candidate
-    ballot.cast(request.term, request.candidate)
+    if vote_store.candidate:
+        return vote_store.candidate == request.candidate
+    vote_store.set_vote(request.term, request.candidate)
     this.election_timer_reset_at = this.timers.now()
     return True
 
--- a/libs/store/geraniumweir/store/__init__.py
+++ b/libs/store/geraniumweir/store/__init__.py
@@ -1,8 +1,8 @@
 """Durable files of one recorder: log segments, snapshots, vote, identity.
 
-All files lie flat in one data folder that one process holds at a time.
-Nothing counts before it is synced, and after the first failing write or sync
-the folder never says yes again.
+All files lie directly in one data folder, which one process locks at a time.
+Nothing is acknowledged before it is synced, and after the first failed write
+or sync the folder accepts no operation any more.
 
 See Also
 ========
--- a/libs/store/geraniumweir/store/disk.py
+++ b/libs/store/geraniumweir/store/disk.py
@@ -1,8 +1,8 @@
-"""The few operations on one flat data folder, and their real form.
+"""Operations on one flat data folder, and their implementation on files.
 
-Everything above this module can run on
-:class:`geraniumweir.store.memory_disk.MemoryDisk`, which forgets what wasn't
-synced.
+All other modules also work on
+:class:`geraniumweir.store.memory_disk.MemoryDisk`, which simulates the loss of
+unsynced data.
 """
 
 import contextlib
@@ -18,44 +18,44 @@
 
 
 class Disk(typing.Protocol):
-    """One data folder. Every operation raises :exc:`OSError` on failure."""
+    """Data folder; every operation raises :exc:`OSError` on failure."""
 
     def names(self) -> list[str]:
-        """List the files."""
+        """Return the names of the files."""
 
     def read(self, name: str) -> bytes:
-        """Give the whole content of a file."""
+        """Return the complete content of a file."""
 
     def append(self, name: str, content: bytes) -> None:
-        """Write at the end of a file, which is made when missing."""
+        """Append to a file, which is created when missing."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a size in bytes."""
+        """Truncate a file to a size in bytes."""
 
     def sync(self, name: str) -> None:
         """Make the content of a file durable."""
 
     def sync_folder(self) -> None:
-        """Make names durable: files made, renamed and removed."""
+        """Make creations, renames and removals of files durable."""
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name in place of any that has it."""
+        """Rename a file, replacing any file with the new name."""
 
     def remove(self, name: str) -> None:
         """Remove a file."""
 
     def close(self) -> None:
-        """Let go of the folder."""
+        """Release the folder."""
 
 
 class RealDisk:
-    """A folder of the file system, locked for this process."""
+    """Data folder in the file system, locked by this process."""
 
     def __init__(self, folder: pathlib.Path) -> None:
-        """Make the folder when missing, and lock it.
+        """Create the folder when missing, and lock it.
 
-        :raises errors.FolderInUseError: when another process has it.
-        :raises errors.StoreError: when it can't be made or written.
+        :raises errors.FolderInUseError: when another process has locked it.
+        :raises errors.StoreError: when it can't be created or written.
         """
         self._folder = folder
         self._files: dict[str, int] = {}
@@ -70,23 +70,23 @@
             raise errors.StoreError(f'{folder}: {exc.strerror}') from exc
 
     def names(self) -> list[str]:
-        """List the files but for the lock."""
+        """Return the names of the files except the lock."""
         found = os.listdir(self._folder)
         return [name for name in found if name != _LOCK_NAME]
 
     def read(self, name: str) -> bytes:
-        """Give the whole content of a file."""
+        """Return the complete content of a file."""
         return (self._folder / name).read_bytes()
 
     def append(self, name: str, content: bytes) -> None:
-        """Write at the end of a file, which is made when missing."""
+        """Append to a file, which is created when missing."""
         handle = self._handle(name)
         rest = memoryview(content)
         while rest:
             rest = rest[os.write(handle, rest) :]
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a size in bytes."""
+        """Truncate a file to a size in bytes."""
         os.ftruncate(self._handle(name), size)
 
     def sync(self, name: str) -> None:
@@ -94,7 +94,7 @@
         os.fsync(self._handle(name))
 
     def sync_folder(self) -> None:
-        """Make names durable."""
+        """Make creations, renames and removals of files durable."""
         handle = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(handle)
@@ -102,20 +102,20 @@
             os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name in place of any that has it."""
-        self._forget(old)
-        self._forget(new)
+        """Rename a file, replacing any file with the new name."""
+        self._close_file(old)
+        self._close_file(new)
         os.replace(self._folder / old, self._folder / new)
 
     def remove(self, name: str) -> None:
         """Remove a file."""
-        self._forget(name)
+        self._close_file(name)
         (self._folder / name).unlink()
 
     def close(self) -> None:
         """Close all files and unlock the folder."""
         for name in list(self._files):
-            self._forget(name)
+            self._close_file(name)
         if self._lock >= 0:
             os.close(self._lock)
         self._lock = -1
@@ -133,7 +133,7 @@
             self._files[name] = opened
         return self._files[name]
 
-    def _forget(self, name: str) -> None:
+    def _close_file(self, name: str) -> None:
         handle = self._files.pop(name, None)
         if handle is not None:
             with contextlib.suppress(OSError):
--- a/libs/store/geraniumweir/store/entries.py
+++ b/libs/store/geraniumweir/store/entries.py
@@ -1,21 +1,21 @@
-"""Entries of the log and how a batch of them is written."""
+"""Entries of the log and their encoding in batches."""
 
 import dataclasses
 import struct
 import typing
 
 _HEADER = struct.Struct('<QQBI')
-# A record that isn't an entry: everything before it is void, and the log goes
-# on behind the index and term that it carries.
+# Kind of a record that is no entry: it discards everything before it, and the
+# log continues after its index and term.
 RESET = 255
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Position:
-    """A place in the log.
+    """Position in the log.
 
-    :ivar index: of an entry; the first one is 1.
-    :ivar term: of that entry.
+    :ivar index: index of an entry; that of the first one is 1.
+    :ivar term: term of that entry.
     """
 
     index: int
@@ -23,17 +23,17 @@
 
 
 START = Position(0, 0)
-# Of a position whose entry is gone and isn't needed.
+# Term of a position whose entry was removed and isn't needed.
 UNKNOWN_TERM = -1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """An entry of the log.
+    """Entry of the log.
 
-    :ivar index: its place.
-    :ivar term: of the leader that made it.
-    :ivar kind: what it is to the layer above, 0 to 254.
+    :ivar index: its index.
+    :ivar term: term of the leader that created it.
+    :ivar kind: kind of the payload for the layer above, 0 to 254.
     :ivar payload: its content.
     """
 
@@ -44,12 +44,12 @@
 
     @property
     def position(self) -> Position:
-        """The place without the content."""
+        """Index and term of the entry."""
         return Position(self.index, self.term)
 
 
 def encode(batch: typing.Iterable[Entry]) -> bytes:
-    """Write entries one after the other.
+    """Encode entries as a batch.
 
     >>> decode(encode([Entry(1, 1, 0, b'one')]))[0].payload
     b'one'
@@ -63,9 +63,9 @@
 
 
 def decode(payload: bytes) -> list[Entry]:
-    """Read what :func:`encode` wrote.
+    """Decode a batch that :func:`encode` returned.
 
-    :raises struct.error: when it is something else.
+    :raises struct.error: when the payload is malformed.
     """
     batch = []
     place = 0
--- a/libs/store/geraniumweir/store/errors.py
+++ b/libs/store/geraniumweir/store/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the durable files."""
+"""Errors of the data folder."""
 
 from geraniumweir.common import errors
 
@@ -10,7 +10,7 @@
 
 
 class StoreFailedError(StoreError):
-    """A write or a sync failed; the folder takes nothing any more.
+    """A write or a sync failed; the folder accepts no operation any more.
 
     After a failing fsync the kernel may have dropped the data and marked it
     clean, so a later fsync that succeeds proves nothing [1]_.
@@ -25,16 +25,16 @@
 
 
 class CorruptError(StoreError):
-    """A file holds what can't have been written in order."""
+    """A file has content that no sequence of complete writes leaves."""
 
     code = 'GW-5003'
 
     def __init__(self, name: str, offset: int, reason: str) -> None:
-        """Name the place.
+        """Initialize with the location of the damage.
 
-        :param name: the file in the data folder.
-        :param offset: in bytes from its start.
-        :param reason: what is wrong there.
+        :param name: name of the file in the data folder.
+        :param offset: offset in the file, in bytes.
+        :param reason: description of the damage.
         """
         super().__init__(f'{name} at byte {offset}: {reason}')
         self.name = name
@@ -42,12 +42,12 @@
 
 
 class FolderInUseError(StoreError):
-    """Another process holds the data folder."""
+    """Another process has locked the data folder."""
 
     code = 'GW-5004'
 
 
 class FormatError(StoreError):
-    """The data folder was written by a version that this one can't read."""
+    """The data folder has a format that this version can't read."""
 
     code = 'GW-5005'
--- a/libs/store/geraniumweir/store/folder.py
+++ b/libs/store/geraniumweir/store/folder.py
@@ -1,12 +1,13 @@
-"""Opens a data folder: lock, identity, vote, snapshot and log together.
+"""Opening of a data folder: identity, vote, snapshot and log.
 
-The identity is a random name made when a folder is first used. It stands for
-all that a recorder promised, so it goes when the folder is emptied.
+The identity is a random name, created when a folder is first used. It stands
+for all votes and entries that a recorder acknowledged, so it is lost with them
+when the folder is emptied.
 
 References
 ==========
 .. [1] R. Alagappan et al., "Protocol-Aware Recovery for Consensus-Based
-   Storage", FAST 2018: why a recorder that lost its files mustn't vote.
+   Storage", FAST 2018: why a recorder that lost its files must not vote.
 """
 
 import dataclasses
@@ -14,13 +15,13 @@
 import uuid
 
 from geraniumweir.store import (
-    ballots,
     disk,
     errors,
     guard,
     log,
     segments,
     snapshots,
+    votes,
     wholefiles,
 )
 
@@ -32,24 +33,24 @@
 class Folder:
     """An open data folder.
 
-    :ivar identity: of the recorder that lives in it.
-    :ivar ballot: term and vote.
+    :ivar identity: identity of its recorder.
+    :ivar vote_store: term and vote.
     :ivar log: the entries.
     :ivar snapshots: the newest snapshot.
-    :ivar guarded: knows whether the disk failed.
-    :ivar cut: bytes of a torn write that were removed.
+    :ivar guarded: guard of all disk work, with the disk's failure.
+    :ivar torn_bytes: size of a torn write that was removed, in bytes.
     """
 
     identity: str
-    ballot: ballots.Ballot
+    vote_store: votes.VoteStore
     log: log.Log
     snapshots: snapshots.Snapshots
     guarded: guard.Guard
-    cut: int
+    torn_bytes: int
 
 
 def random_identity() -> str:
-    """Give an identity that no recorder ever had."""
+    """Return a new, globally unique identity."""
     return uuid.uuid4().hex
 
 
@@ -57,29 +58,29 @@
     medium: disk.Disk,
     run: guard.Runner,
     segment_bytes: int = log.SEGMENT_BYTES,
-    name_recorder: typing.Callable[[], str] = random_identity,
+    make_identity: typing.Callable[[], str] = random_identity,
 ) -> Folder:
-    """Open a data folder, or make a new one.
+    """Open a data folder, or initialize a new one.
 
     :param medium: the locked folder.
-    :param run: how disk work is run off the event loop.
-    :param segment_bytes: size at which a new segment is begun.
-    :param name_recorder: gives the identity of a new folder.
-    :raises errors.CorruptError: when files are damaged; names the place.
-    :raises errors.FormatError: when another version wrote them.
+    :param run: runner that executes disk work off the event loop.
+    :param segment_bytes: size after which a new segment is begun, in bytes.
+    :param make_identity: function that returns the identity of a new folder.
+    :raises errors.CorruptError: when a file is damaged.
+    :raises errors.FormatError: when the folder has another format.
     :raises errors.StoreFailedError: when the disk fails.
     """
     guarded = guard.Guard(run)
-    identity = await guarded.run(lambda: _find_identity(medium, name_recorder))
+    identity = await guarded.run(lambda: _find_identity(medium, make_identity))
     found = await guarded.run(lambda: segments.replay(medium, identity))
     cfg = log.LogSettings(identity, segment_bytes)
     opened = Folder(
         identity,
-        ballots.Ballot(medium, guarded, ballots.load(medium)),
+        votes.VoteStore(medium, guarded, votes.load(medium)),
         log.Log(medium, guarded, cfg, found),
         snapshots.Snapshots(medium, guarded, snapshots.load(medium)),
         guarded,
-        found.cut,
+        found.torn_bytes,
     )
     log.match_snapshot(opened.log, opened.snapshots.newest)
     await opened.log.sync()
@@ -88,12 +89,12 @@
 
 def _find_identity(
     medium: disk.Disk,
-    name_recorder: typing.Callable[[], str],
+    make_identity: typing.Callable[[], str],
 ) -> str:
     wholefiles.remove_drafts(medium)
     written = wholefiles.load(medium, _IDENTITY)
     if written is None:
-        return _make_identity(medium, name_recorder())
+        return _make_identity(medium, make_identity())
     version, _, identity = written.decode().partition(' ')
     if version != str(_FORMAT):
         raise errors.FormatError(f'format {version}, not {_FORMAT}')
--- a/libs/store/geraniumweir/store/frames.py
+++ b/libs/store/geraniumweir/store/frames.py
@@ -1,12 +1,12 @@
-"""Checksummed frames, of which every file is made.
+"""Checksummed frames, of which all files consist.
 
 A frame is a magic word, the length of its payload, a checksum and the
-payload. The checksum is seeded with the frame's place, so a frame that ended
-up elsewhere is no frame.
+payload. The checksum is seeded with the frame's offset, so a frame at any
+other offset is invalid.
 
-A writer syncs each frame before it writes the next. So a broken frame with
-nothing whole behind it is a torn write, which nobody was told of, and one with
-a whole frame behind it is a damaged file.
+A writer syncs each frame before it writes the next. So an invalid frame
+without a valid frame after it is a torn write, which was never acknowledged,
+and one with a valid frame after it means that the file is damaged.
 """
 
 import dataclasses
@@ -23,11 +23,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Frame:
-    """A whole frame.
+    """A valid frame.
 
-    :ivar offset: of its first byte in the file.
-    :ivar payload: what was written.
-    :ivar end: offset behind its last byte.
+    :ivar offset: offset of its first byte in the file.
+    :ivar payload: its content.
+    :ivar end: offset after its last byte.
     """
 
     offset: int
@@ -36,9 +36,9 @@
 
 
 def encode(payload: bytes, offset: int) -> bytes:
-    """Make the frame of a payload.
+    """Return the frame of a payload.
 
-    :param offset: where in the file it will lie, in bytes.
+    :param offset: offset in the file at which it will be written, in bytes.
 
     >>> frame = encode(b'entry', 0)
     >>> decode(frame, 0).payload
@@ -51,7 +51,7 @@
 
 
 def decode(content: bytes, offset: int) -> Frame | None:
-    """Read the frame at an offset, or None where there is no whole one."""
+    """Return the frame at an offset, or None where there is no valid one."""
     start = offset + _HEADER.size
     if start > len(content):
         return None
@@ -64,8 +64,8 @@
     return Frame(offset, payload, start + length)
 
 
-def whole_frames(content: bytes) -> typing.Iterator[Frame]:
-    """Give the frames from the start of a file up to the first broken one."""
+def read_frames(content: bytes) -> typing.Iterator[Frame]:
+    """Yield the frames from the start of a file to the first invalid one."""
     offset = 0
     while True:
         frame = decode(content, offset)
@@ -76,10 +76,10 @@
 
 
 def check_torn(name: str, content: bytes, offset: int) -> None:
-    """Make sure that what lies from an offset on is a torn write.
+    """Check that the content from an offset on is a torn write.
 
-    :param offset: end of the last whole frame.
-    :raises errors.CorruptError: when a whole frame lies behind it.
+    :param offset: end of the last valid frame, in bytes.
+    :raises errors.CorruptError: when a valid frame follows.
     """
     place = content.find(_MAGIC, offset + 1)
     while place >= 0:
@@ -88,8 +88,8 @@
         place = content.find(_MAGIC, place + 1)
 
 
-def only(name: str, content: bytes) -> bytes:
-    """Give the payload of a file that is a single frame.
+def decode_single(name: str, content: bytes) -> bytes:
+    """Return the payload of a file that consists of a single frame.
 
     :raises errors.CorruptError: when it isn't.
     """
--- a/libs/store/geraniumweir/store/group_commit.py
+++ b/libs/store/geraniumweir/store/group_commit.py
@@ -1,4 +1,4 @@
-"""Group commit: many waiters share one run of a slow durable step.
+"""Group commit: many waiters share one run of a slow write and sync.
 
 References
 ==========
@@ -13,45 +13,47 @@
 
 
 class GroupCommit:
-    """Runs a step until it covers all that was marked.
+    """Coordinator of waiters that share the runs of a step.
 
-    The step takes up everything marked before it starts, synchronously,
-    before its first ``await``. A waiter that is cancelled doesn't stop it.
+    The step must collect all pending changes synchronously, before its first
+    ``await``. A cancelled waiter doesn't cancel the step.
     """
 
     def __init__(self, step: Step) -> None:
-        """Start with nothing marked.
+        """Initialize without pending changes.
 
-        :param step: makes all that is pending durable.
+        :param step: coroutine function that makes all pending changes
+            durable.
         """
         self._step = step
         self._marked = 0
-        self._covered = 0
+        self._durable = 0
         self._task: asyncio.Task[None] | None = None
 
     def mark(self) -> None:
-        """Note that there is something new to make durable."""
+        """Record that there is a new change to make durable."""
         self._marked += 1
 
     async def wait_durable(self) -> None:
-        """Wait until all that was marked before this call is durable.
+        """Wait until all changes marked before this call are durable.
 
         :raises errors.StoreFailedError: when the step fails.
         """
-        goal = self._marked
-        while self._covered < goal:
+        wanted = self._marked
+        while self._durable < wanted:
             if self._task is None or self._task.done():
-                self._task = asyncio.create_task(self._cover())
-                self._task.add_done_callback(_retrieve)
+                self._task = asyncio.create_task(self._run_step())
+                self._task.add_done_callback(_retrieve_exception)
             await asyncio.shield(self._task)
 
-    async def _cover(self) -> None:
-        covers = self._marked
+    async def _run_step(self) -> None:
+        target = self._marked
         await self._step()
-        self._covered = covers
+        self._durable = target
 
 
-def _retrieve(task: asyncio.Task[None]) -> None:
-    # Waiters may all be gone; asyncio would report the error as unseen.
+def _retrieve_exception(task: asyncio.Task[None]) -> None:
+    # All waiters may have been cancelled; asyncio would report the exception
+    # as never retrieved.
     if not task.cancelled():
         task.exception()
--- a/libs/store/geraniumweir/store/guard.py
+++ b/libs/store/geraniumweir/store/guard.py
@@ -1,4 +1,4 @@
-"""Runs disk work off the event loop, and stops for good at a failure."""
+"""Execution of disk work off the event loop, until the first failure."""
 
 import asyncio
 import typing
@@ -12,48 +12,48 @@
 
 
 class OneThread:
-    """Runs actions one after the other in a thread of its own."""
+    """Runner that executes actions sequentially in one thread."""
 
     def __init__(self) -> None:
-        """Make the thread when it is first needed."""
+        """Initialize; the thread is started at the first action."""
         self._pool = futures.ThreadPoolExecutor(
             max_workers=1,
             thread_name_prefix='store',
         )
 
     async def __call__(self, action: Action[_Result]) -> _Result:
-        """Run an action and give its result."""
+        """Run an action and return its result."""
         loop = asyncio.get_running_loop()
         return await loop.run_in_executor(self._pool, action)
 
     def close(self) -> None:
-        """Wait for the action that runs, and end the thread."""
+        """Wait for pending actions, and end the thread."""
         self._pool.shutdown(wait=True)
 
 
 class VirtualDelay:
-    """Runs actions on the loop after a delay, for tests in virtual time."""
+    """Runner on the event loop with a delay, for tests in virtual time."""
 
     def __init__(self, delay: float) -> None:
-        """Set the delay in seconds."""
+        """Initialize with a delay in seconds."""
         self._delay = delay
 
     async def __call__(self, action: Action[_Result]) -> _Result:
-        """Wait, run an action and give its result."""
+        """Wait, run an action and return its result."""
         await asyncio.sleep(self._delay)
         return action()
 
 
 class Guard:
-    """Lets work through until the first failure, and none after it.
+    """Gate that runs actions until the first failure, and none after it.
 
-    :ivar failure: what the folder died of, or None while it is sound.
+    :ivar failure: the first failure, or None.
     """
 
     def __init__(self, run: Runner) -> None:
-        """Start sound.
+        """Initialize without a failure.
 
-        :param run: how actions are run off the event loop.
+        :param run: runner that executes actions off the event loop.
         """
         self.failure: errors.StoreFailedError | None = None
         self._run = run
@@ -61,8 +61,8 @@
     async def run(self, action: Action[_Result]) -> _Result:
         """Run an action on the disk.
 
-        :raises errors.StoreFailedError: when it fails, or anything before
-            it failed.
+        :raises errors.StoreFailedError: when it fails or an earlier
+            action failed.
         """
         self.check()
         try:
@@ -72,9 +72,9 @@
             raise self.failure from exc
 
     def check(self) -> None:
-        """Make sure that nothing failed so far.
+        """Check that no action has failed so far.
 
-        :raises errors.StoreFailedError: when something did.
+        :raises errors.StoreFailedError: when one has failed.
         """
         if self.failure is not None:
             raise self.failure
--- a/libs/store/geraniumweir/store/log.py
+++ b/libs/store/geraniumweir/store/log.py
@@ -1,8 +1,8 @@
 """The log of one recorder: entries in memory, batches in segment files.
 
-All entries behind the last compaction are held in memory as well, so reading
-never waits for the disk. What is appended counts only after :meth:`Log.sync`;
-all that wait for one share a write and an fsync.
+All entries after the last compaction are in memory as well, so reading never
+waits for the disk. Appended entries are durable only after :meth:`Log.sync`;
+concurrent calls of it share a write and an fsync.
 
 References
 ==========
@@ -29,10 +29,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogSettings:
-    """Sizes of the log.
+    """Settings of the log.
 
-    :ivar identity: of the recorder that writes it.
-    :ivar segment_bytes: size at which a new segment is begun.
+    :ivar identity: identity of the recorder that writes it.
+    :ivar segment_bytes: size after which a new segment is begun, in bytes.
     """
 
     identity: str
@@ -40,10 +40,10 @@
 
 
 class Log:
-    """Entries in order, without gaps.
+    """Sequence of entries without gaps.
 
-    :ivar base: the position before the first entry that is still there.
-    :ivar synced_index: all entries up to it are durable.
+    :ivar base: position before the first retained entry.
+    :ivar synced_index: index up to which all entries are durable.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         cfg: LogSettings,
         found: segments.Replayed,
     ) -> None:
-        """Start from what was replayed, all of it durable."""
+        """Initialize with the replayed entries, which are all durable."""
         self.base = found.base
         self.synced_index = found.last.index
         self._disk = folder
@@ -63,27 +63,27 @@
         self._files = found.files
         self._pending: list[entries.Entry] = []
         self._written = found.last
-        # Grows whenever entries are made void; a sync that began before
-        # says nothing about what came in their place.
-        self._voided = 0
+        # Number of truncations. A sync that began before one doesn't cover
+        # the entries that replaced the truncated ones.
+        self._truncations = 0
         self._commit = group_commit.GroupCommit(self._flush)
 
     @property
     def last(self) -> entries.Position:
-        """The position of the last entry."""
+        """Position of the last entry."""
         return self._entries[-1].position if self._entries else self.base
 
     def append(self, batch: typing.Sequence[entries.Entry]) -> None:
-        """Add entries; they count after the next :meth:`sync`.
+        """Append entries; they are durable after the next :meth:`sync`.
 
-        An index that is already there makes the old entry and all behind it
-        void.
+        An entry with an existing index truncates the log from that index on
+        first.
 
         :raises ValueError: when there would be a gap.
         """
         for entry in batch:
             if entry.index <= self.last.index:
-                self._void_from(entry.index)
+                self._truncate_from(entry.index)
             if entry.index != self.last.index + 1:
                 raise ValueError(f'{entry.index} after {self.last.index}')
             self._entries.append(entry)
@@ -91,7 +91,7 @@
         self._commit.mark()
 
     def term_at(self, index: int) -> int | None:
-        """Give the term of an entry, or None where the log has none."""
+        """Return the term of an entry, or None where the log has none."""
         if index == self.base.index:
             return self.base.term
         place = index - self.base.index - 1
@@ -105,25 +105,26 @@
         limit: int,
         max_bytes: int | None = None,
     ) -> list[entries.Entry]:
-        """Give the entries behind an index.
+        """Return the entries after an index.
 
-        :param limit: at most so many.
-        :param max_bytes: stop when so much payload is together; one entry is
-            given in any case.
+        :param limit: maximum number of entries.
+        :param max_bytes: maximum payload in bytes, or None; the first entry
+            is returned in any case.
         :raises LookupError: when they were compacted.
         """
         place = after - self.base.index
         if place < 0:
             raise LookupError(f'compacted up to {self.base.index}')
         batch = self._entries[place : place + limit]
-        return batch if max_bytes is None else _within(batch, max_bytes)
+        return batch if max_bytes is None else _limit_bytes(batch, max_bytes)
 
-    def start_of_tail(self, end: int, limit: int, max_bytes: int) -> int:
-        """Give the index behind which the last entries up to an end begin.
+    def retained_start(self, end: int, limit: int, max_bytes: int) -> int:
+        """Return the index after which the entries to retain begin.
 
-        :param end: index of the last of them.
-        :param limit: at most so many entries.
-        :param max_bytes: at most so much payload, be it of no entry.
+        :param end: index of the last entry to retain.
+        :param limit: maximum number of entries.
+        :param max_bytes: maximum payload in bytes; even a single entry that
+            exceeds it is not retained.
         """
         start = end
         lowest = max(end - limit, self.base.index)
@@ -136,7 +137,7 @@
         return start
 
     async def sync(self) -> None:
-        """Wait until everything appended before this call is durable.
+        """Wait until all entries appended before this call are durable.
 
         :raises errors.StoreFailedError: when the disk fails or did before.
         """
@@ -144,8 +145,8 @@
         await self._commit.wait_durable()
 
     def reset(self, to: entries.Position) -> None:
-        """Drop all entries and go on behind a snapshot; counts when synced."""
-        self._voided += 1
+        """Discard all entries and continue after a snapshot; needs a sync."""
+        self._truncations += 1
         self._entries = []
         self.base = to
         self.synced_index = to.index
@@ -155,33 +156,33 @@
         self._commit.mark()
 
     async def compact_to(self, index: int) -> None:
-        """Forget the entries up to an index that a snapshot covers.
+        """Discard the entries up to an index that a snapshot covers.
 
-        Files go once nothing in them is needed.
+        Segment files are removed once none of their entries is needed.
 
         :raises errors.StoreFailedError: when the disk fails.
         """
         if self.base.index < index <= self.last.index:
-            self.forget_to(index)
+            self.discard_up_to(index)
             await self._guard.run(self._remove_files)
 
-    def forget_to(self, index: int) -> None:
-        """Start behind an entry; the files stay as they are."""
+    def discard_up_to(self, index: int) -> None:
+        """Discard the entries up to an index from memory only."""
         place = index - self.base.index
         self.base = self._entries[place - 1].position
         self._entries = self._entries[place:]
 
-    def _void_from(self, index: int) -> None:
-        self._voided += 1
+    def _truncate_from(self, index: int) -> None:
+        self._truncations += 1
         del self._entries[index - self.base.index - 1 :]
         self.synced_index = min(self.synced_index, index - 1)
 
     async def _flush(self) -> None:
         batch = self._pending
         self._pending = []
-        voided = self._voided
+        truncations = self._truncations
         await self._guard.run(lambda: self._write(batch))
-        if batch and voided == self._voided:
+        if batch and truncations == self._truncations:
             self.synced_index = batch[-1].index
 
     def _write(self, batch: list[entries.Entry]) -> None:
@@ -219,15 +220,15 @@
                 return
             self._disk.remove(self._files[0].name)
             self._files.pop(0)
-            # One after the other, so that a crash leaves no gap.
+            # Sync after each removal, so that a crash leaves no gap.
             self._disk.sync_folder()
 
 
 def match_snapshot(log: Log, snapshot: snapshots.Snapshot) -> None:
-    """Make a log go on from a snapshot.
+    """Make a log consistent with a snapshot; the caller must sync it.
 
-    A log that has the snapshot's last entry keeps what is behind it; any
-    other is void. The caller syncs.
+    A log that has the snapshot's last entry retains the entries after it; any
+    other log is reset.
 
     :raises errors.CorruptError: when entries between the two are missing.
     """
@@ -236,16 +237,16 @@
         raise errors.CorruptError(
             'log',
             0,
-            f'starts behind {log.base.index}, the snapshot ends at'
+            f'starts after {log.base.index}, the snapshot ends at'
             f' {snapshot.index}',
         )
     if log.term_at(snapshot.index) != snapshot.term:
         log.reset(entries.Position(snapshot.index, snapshot.term))
     elif not known:
-        log.forget_to(snapshot.index)
+        log.discard_up_to(snapshot.index)
 
 
-def _within(
+def _limit_bytes(
     batch: list[entries.Entry],
     max_bytes: int,
 ) -> list[entries.Entry]:
--- a/libs/store/geraniumweir/store/segments.py
+++ b/libs/store/geraniumweir/store/segments.py
@@ -1,10 +1,10 @@
-"""Segment files of the log: how they are named, opened and replayed.
+"""Segment files of the log: names, creation and replay.
 
-Segments are numbered without gaps. Each starts with a frame that names the
-recorder and the log's last position before it; every further frame is a batch
-of entries. Batches are only ever added: an entry with an index that is
-already there makes the old one and all behind it void, so nothing is cut out
-of the middle of a file.
+Segments are numbered without gaps. The first frame of each is a header with
+the recorder's identity and the log's last position before it; every further
+frame is a batch of entries. Segments are append-only: an entry with an
+existing index truncates the log from that index on when it is replayed, so no
+file is ever modified in the middle.
 """
 
 import dataclasses
@@ -18,11 +18,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Segment:
-    """One file of the log.
+    """Segment file of the log.
 
-    :ivar number: its place among the segments.
-    :ivar size: in bytes.
-    :ivar highest: the highest index in it, void entries counted.
+    :ivar number: its number among the segments.
+    :ivar size: its size in bytes.
+    :ivar highest: highest index in it, including truncated entries.
     """
 
     number: int
@@ -31,35 +31,36 @@
 
     @property
     def name(self) -> str:
-        """The file's name."""
+        """Name of the file."""
         return f'{_PREFIX}{self.number:012d}'
 
 
 @dataclasses.dataclass(slots=True)
 class Replayed:
-    """What the segments hold.
+    """Log as replayed from the segments.
 
-    :ivar base: the position before the first entry.
-    :ivar tail: all entries behind it that aren't void.
+    :ivar base: position before the first entry.
+    :ivar tail: all entries after it that are not truncated.
     :ivar files: the segments, oldest first.
-    :ivar cut: bytes of a torn write that were removed.
-    :ivar is_cut: whether the base is where the first segment begins.
+    :ivar torn_bytes: size of a torn write that was removed, in bytes.
+    :ivar base_from_header: whether the base is that of the first segment's
+        header.
     """
 
     base: entries.Position = entries.START
     tail: list[entries.Entry] = dataclasses.field(default_factory=list)
     files: list[Segment] = dataclasses.field(default_factory=list)
-    cut: int = 0
-    is_cut: bool = False
+    torn_bytes: int = 0
+    base_from_header: bool = False
 
     @property
     def last(self) -> entries.Position:
-        """The position of the last entry."""
+        """Position of the last entry."""
         return self.tail[-1].position if self.tail else self.base
 
 
 def is_segment(name: str) -> bool:
-    """Tell segments from other files.
+    """Return whether a file is a segment.
 
     >>> is_segment('log-000000000001'), is_segment('vote')
     (True, False)
@@ -68,10 +69,10 @@
 
 
 def replay(folder: disk.Disk, identity: str) -> Replayed:
-    """Read all segments and cut a torn write off the last one.
+    """Replay all segments, and remove a torn write from the last one.
 
-    :param identity: of the recorder that must have written them.
-    :raises errors.CorruptError: when anything else is wrong with them.
+    :param identity: identity of the recorder that must have written them.
+    :raises errors.CorruptError: when there is any other fault in them.
     """
     state = Replayed()
     names = sorted(name for name in folder.names() if is_segment(name))
@@ -83,8 +84,8 @@
         if name != names[-1]:
             raise errors.CorruptError(name, end, 'damaged')
         frames.check_torn(name, content, end)
-        state.cut = len(content) - end
-        _cut(folder, state, name, end)
+        state.torn_bytes = len(content) - end
+        _remove_torn_write(folder, state, name, end)
     return state
 
 
@@ -94,7 +95,7 @@
     identity: str,
     last: entries.Position,
 ) -> Segment:
-    """Make a segment and make it durable.
+    """Create a durable segment without entries.
 
     :param last: the log's last position before it.
     :raises OSError: when any step fails.
@@ -115,7 +116,7 @@
     identity: str,
 ) -> int:
     end = 0
-    for frame in frames.whole_frames(content):
+    for frame in frames.read_frames(content):
         try:
             _replay_frame(state, name, frame, identity)
         except (struct.error, ValueError) as exc:
@@ -132,13 +133,13 @@
     identity: str,
 ) -> None:
     if frame.offset == 0:
-        _enter_segment(state, name, frame.payload, identity)
+        _replay_header(state, name, frame.payload, identity)
         return
     for entry in entries.decode(frame.payload):
         _replay_entry(state, entry)
 
 
-def _enter_segment(
+def _replay_header(
     state: Replayed,
     name: str,
     payload: bytes,
@@ -147,57 +148,60 @@
     number, index, term = _HEADER.unpack_from(payload)
     segment = Segment(number, 0, index)
     if segment.name != name:
-        raise ValueError(f'the header is of {segment.name}')
+        raise ValueError(f'the header names {segment.name}')
     if payload[_HEADER.size :].decode() != identity:
         raise ValueError(f'not written by recorder {identity}')
-    _check_follows(state, number, entries.Position(index, term))
+    _check_contiguous(state, number, entries.Position(index, term))
     state.files.append(segment)
 
 
-def _check_follows(
+def _check_contiguous(
     state: Replayed,
     number: int,
     before: entries.Position,
 ) -> None:
     if not state.files:
         state.base = before
-        state.is_cut = True
+        state.base_from_header = True
     elif state.files[-1].number + 1 != number:
         raise ValueError('a segment before this one is missing')
     elif state.last != before:
-        raise ValueError('does not go on where the last segment ends')
+        raise ValueError('does not continue where the previous segment ends')
 
 
 def _replay_entry(state: Replayed, entry: entries.Entry) -> None:
     segment = state.files[-1]
     segment.highest = max(segment.highest, entry.index)
     if entry.kind == entries.RESET:
-        state.is_cut = False
-    if entry.kind == entries.RESET or _is_over_removed(state, entry):
+        state.base_from_header = False
+    if entry.kind == entries.RESET or _replaces_removed(state, entry):
         state.base = entry.position
         state.tail.clear()
         return
     if entry.index > state.last.index + 1:
         raise ValueError(f'entry {entry.index} after {state.last.index}')
     if entry.index <= state.base.index:
-        # It replaces one whose segment is gone, so a snapshot must cover it.
+        # It replaces an entry in a removed segment, so a snapshot must cover
+        # that one.
         state.base = entries.Position(entry.index - 1, entries.UNKNOWN_TERM)
     del state.tail[entry.index - state.base.index - 1 :]
     state.tail.append(entry)
 
 
-def _is_over_removed(state: Replayed, entry: entries.Entry) -> bool:
-    """Tell whether an entry replaced one in a segment that was removed.
+def _replaces_removed(state: Replayed, entry: entries.Entry) -> bool:
+    """Return whether an entry replaced one in a removed segment.
 
-    The segments left may hold entries that made void the end of a removed
-    one. A snapshot covers both; the log goes on behind the newer one.
+    The remaining segments may have entries that truncated the end of a
+    removed one. A snapshot covers both; the log continues after the newer one.
     """
-    return state.is_cut and 0 < entry.index <= state.base.index
+    return state.base_from_header and 0 < entry.index <= state.base.index
 
 
-def _cut(folder: disk.Disk, state: Replayed, name: str, end: int) -> None:
+def _remove_torn_write(
+    folder: disk.Disk, state: Replayed, name: str, end: int
+) -> None:
     if end == 0:
-        # Not even its first frame was synced.
+        # Not even its header was synced.
         folder.remove(name)
         folder.sync_folder()
         return
--- a/libs/store/geraniumweir/store/snapshots.py
+++ b/libs/store/geraniumweir/store/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of the state machine, the newest kept."""
+"""Durable snapshots of the state machine; only the newest is retained."""
 
 import dataclasses
 import struct
@@ -12,12 +12,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The state after an entry, in place of all entries up to it.
+    """State after an entry, which replaces all entries up to it.
 
-    :ivar index: of the last entry it covers.
-    :ivar term: of that entry.
-    :ivar members: the recorders after that entry, encoded.
-    :ivar state: what the state machine gave.
+    :ivar index: index of the last entry that it covers.
+    :ivar term: term of that entry.
+    :ivar members: encoded membership after that entry.
+    :ivar state: encoded state of the state machine.
     """
 
     index: int
@@ -30,9 +30,10 @@
 
 
 class Snapshots:
-    """The snapshots of one data folder.
+    """Snapshots of one data folder.
 
-    :ivar newest: the last one that is durable; index 0 when there is none.
+    :ivar newest: the newest durable snapshot; its index is 0 when there is
+        none.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         guarded: guard.Guard,
         newest: Snapshot,
     ) -> None:
-        """Start from what :func:`load` found."""
+        """Initialize with the snapshot that :func:`load` returned."""
         self.newest = newest
         self._disk = folder
         self._guard = guarded
@@ -49,7 +50,7 @@
     async def save(self, snapshot: Snapshot) -> None:
         """Make a snapshot durable and remove older ones.
 
-        One that is no newer than what is there is left out.
+        A snapshot that isn't newer than the newest one is ignored.
 
         :raises errors.StoreFailedError: when the disk fails.
         """
@@ -61,10 +62,10 @@
 
 
 def load(folder: disk.Disk) -> Snapshot:
-    """Find the newest snapshot and remove what is older.
+    """Return the newest snapshot and remove older ones.
 
     :raises errors.CorruptError: when the newest one is damaged; an older one
-        would do no good, as the log before the newest may be gone.
+        is of no use, as the log before the newest may have been removed.
     """
     found = _sorted_names(folder)
     if not found:
--- a/libs/store/geraniumweir/store/tests/test_crashes.py
+++ b/libs/store/geraniumweir/store/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""The log against a plain list, with crashes between write and sync."""
+"""The log compared with a plain list, with crashes at any operation."""
 
 import asyncio
 
@@ -18,25 +18,25 @@
 
 
 class LogMachine(stateful.RuleBasedStateMachine):
-    """Appends, overwrites, compacts and crashes at any disk operation."""
+    """Random appends, overwrites, compactions and crashes of a log."""
 
     @stateful.initialize(seed=st.integers(0, 1000))
     def start(self, seed: int) -> None:
         """Open an empty folder."""
         self.loop = asyncio.Runner()
         self.disk = memory_disk.MemoryDisk(seed)
-        # What the log holds now, and what was ever promised to be durable.
+        # Entries of the log, and those known to be durable.
         self.model: list[entries.Entry] = []
-        self.promised: list[entries.Entry] = []
-        self.voided_at: int | None = None
+        self.durable: list[entries.Entry] = []
+        self.truncated_at: int | None = None
         self.vote = (0, '')
-        self.promised_vote = (0, '')
+        self.durable_vote = (0, '')
         self.snapshot_index = 0
         self.term = 1
         self.open()
 
     def open(self) -> None:
-        """Open the folder as it is."""
+        """Open the folder with its current content."""
         self.folder = self.loop.run(
             folder.open_folder(
                 self.disk,
@@ -48,7 +48,7 @@
 
     @stateful.rule(count=st.integers(1, 4), size=st.integers(0, 60))
     def append(self, count: int, size: int) -> None:
-        """Add entries."""
+        """Append entries."""
         batch = [
             entries.Entry(
                 len(self.model) + 1 + place,
@@ -63,32 +63,32 @@
 
     @stateful.rule(back=st.integers(1, 6))
     def overwrite(self, back: int) -> None:
-        """Make the last entries void, as a new leader does."""
+        """Replace the last entries, as a new leader does."""
         index = max(len(self.model) + 1 - back, self.snapshot_index + 1)
         self.term += 1
         entry = entries.Entry(index, self.term, 1, b'overwritten')
         self.folder.log.append([entry])
         self.model = [*self.model[: index - 1], entry]
-        # Until the next sync either the old end or the new one is there.
-        first = self.voided_at or index
-        self.voided_at = min(first, index)
+        # Until the next sync, a crash leaves the old or the new entries.
+        first = self.truncated_at or index
+        self.truncated_at = min(first, index)
 
     @stateful.rule()
     def sync(self) -> None:
-        """Have a promise."""
+        """Sync the log; all entries are durable afterwards."""
         self.loop.run(self.folder.log.sync())
-        self.promised = list(self.model)
-        self.voided_at = None
+        self.durable = list(self.model)
+        self.truncated_at = None
         assert self.folder.log.synced_index == len(self.model)
 
     @stateful.rule(back=st.integers(0, 3))
     def compact(self, back: int) -> None:
-        """Save a snapshot of a durable part and drop the entries."""
-        index = len(self.promised) - back
-        if self.voided_at or index <= self.snapshot_index:
+        """Save a snapshot of durable entries and compact the log."""
+        index = len(self.durable) - back
+        if self.truncated_at or index <= self.snapshot_index:
             return
-        state = entries.encode(self.promised[:index])
-        term = self.promised[index - 1].term
+        state = entries.encode(self.durable[:index])
+        term = self.durable[index - 1].term
         taken = snapshots.Snapshot(index, term, b'members', state)
         self.loop.run(self.folder.snapshots.save(taken))
         self.loop.run(self.folder.log.compact_to(index))
@@ -96,20 +96,20 @@
 
     @stateful.rule(term=st.integers(0, 3), candidate=st.sampled_from('xy'))
     def cast(self, term: int, candidate: str) -> None:
-        """Vote and have a promise."""
+        """Vote, and wait until the vote is durable."""
         self.vote = (self.vote[0] + term, candidate)
-        self.folder.ballot.cast(*self.vote)
-        self.loop.run(self.folder.ballot.wait_durable())
-        self.promised_vote = self.vote
+        self.folder.vote_store.set_vote(*self.vote)
+        self.loop.run(self.folder.vote_store.wait_durable())
+        self.durable_vote = self.vote
 
     @stateful.rule()
     def crash(self) -> None:
-        """Cut the power with unsynced entries pending."""
+        """Simulate a power failure with unsynced entries."""
         self.recover()
 
     @stateful.rule(operations=st.integers(0, 8), snapshot=st.booleans())
     def crash_inside(self, operations: int, *, snapshot: bool) -> None:
-        """Cut the power inside a sync or a snapshot."""
+        """Simulate a power failure during a sync or a snapshot."""
         self.disk.operations_left = operations
         try:
             if snapshot:
@@ -121,30 +121,30 @@
         self.recover()
 
     def recover(self) -> None:
-        """Check that the next process finds every promise kept."""
+        """Check that the next process finds all that was durable."""
         self.disk = self.disk.crash()
         self.open()
         found = self._contents()
-        kept = len(self.promised)
-        if self.voided_at:
-            kept = min(kept, self.voided_at - 1)
-        assert found[:kept] == self.promised[:kept]
+        kept = len(self.durable)
+        if self.truncated_at:
+            kept = min(kept, self.truncated_at - 1)
+        assert found[:kept] == self.durable[:kept]
         assert found in (
             self.model[: len(found)],
-            self.promised[: len(found)],
+            self.durable[: len(found)],
         )
-        ballot = self.folder.ballot
-        vote = (ballot.term, ballot.candidate)
-        assert vote in {self.promised_vote, self.vote}
+        vote_store = self.folder.vote_store
+        vote = (vote_store.term, vote_store.candidate)
+        assert vote in {self.durable_vote, self.vote}
         self.vote = vote
-        self.promised_vote = vote
+        self.durable_vote = vote
         self.snapshot_index = self.folder.snapshots.newest.index
         self.model = found
-        self.promised = list(found)
-        self.voided_at = None
+        self.durable = list(found)
+        self.truncated_at = None
 
     def teardown(self) -> None:
-        """Let the loop go."""
+        """Close the event loop."""
         self.loop.close()
 
     def _contents(self) -> list[entries.Entry]:
--- a/libs/store/geraniumweir/store/tests/test_folder.py
+++ b/libs/store/geraniumweir/store/tests/test_folder.py
@@ -1,4 +1,4 @@
-"""What a damaged, foreign, held or failing folder leads to."""
+"""Damaged, foreign, locked and failing data folders."""
 
 import asyncio
 import errno
@@ -33,7 +33,7 @@
 
 
 def test_damaged_middle_is_refused_with_its_place() -> None:
-    """A flipped byte before the last batch names file and offset."""
+    """The error for an inverted byte gives the file and the offset."""
 
     async def scenario() -> None:
         medium = memory_disk.MemoryDisk()
@@ -48,7 +48,7 @@
 
 
 def test_damage_before_the_last_batch_of_the_last_file() -> None:
-    """A whole batch behind the damage shows that it's no torn write."""
+    """A valid batch after the damage shows that it is no torn write."""
 
     async def scenario() -> None:
         medium = memory_disk.MemoryDisk()
@@ -60,8 +60,8 @@
         asyncio.run(scenario())
 
 
-def test_entry_replaced_after_its_segment_went() -> None:
-    """The oldest segment may start by making void what came before it."""
+def test_entry_replaced_after_its_segment_was_removed() -> None:
+    """The oldest segment may begin by truncating entries before it."""
 
     async def scenario() -> tuple[entries.Position, list[entries.Entry]]:
         medium = memory_disk.MemoryDisk()
@@ -82,7 +82,7 @@
 
 
 def test_missing_segment_is_refused() -> None:
-    """A gap among the segments is named."""
+    """A gap in the numbers of the segments is an error."""
 
     async def scenario() -> None:
         medium = memory_disk.MemoryDisk()
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize('count', range(2, 9))
 def test_entries_over_those_of_a_removed_segment(count: int) -> None:
-    """What made void the end of a segment may outlive the segment."""
+    """Entries may be retained that truncated the end of a removed segment."""
 
     async def scenario() -> list[entries.Entry]:
         medium = memory_disk.MemoryDisk()
@@ -114,8 +114,8 @@
     assert found == [entries.Entry(count + 1, 2, 0, b'y')]
 
 
-def test_identity_goes_with_the_folder() -> None:
-    """An emptied folder is another recorder; files alone are refused."""
+def test_identity_is_lost_with_the_folder() -> None:
+    """An emptied folder is a new recorder; one without identity is rejected."""
 
     async def scenario() -> tuple[str, str, str]:
         medium = memory_disk.MemoryDisk()
@@ -133,7 +133,7 @@
 
 
 def test_other_format_is_refused() -> None:
-    """A folder of a later version is left alone."""
+    """A folder with the format of a later version is rejected."""
 
     async def scenario() -> None:
         medium = memory_disk.MemoryDisk()
@@ -145,8 +145,8 @@
 
 
 @pytest.mark.parametrize('failure', [errno.ENOSPC, errno.EIO])
-def test_failed_disk_never_says_yes_again(failure: int) -> None:
-    """After one failure nothing is promised, though the disk recovers."""
+def test_failed_disk_accepts_nothing_any_more(failure: int) -> None:
+    """After a failure no sync succeeds, even if the disk recovers."""
 
     async def scenario() -> None:
         medium = memory_disk.MemoryDisk()
@@ -157,16 +157,16 @@
             await opened.log.sync()
         medium.failing = 0
         opened.log.append([entries.Entry(3, 1, 0, b'')])
-        for promise in (opened.log.sync, opened.ballot.wait_durable):
+        for sync_once in (opened.log.sync, opened.vote_store.wait_durable):
             with pytest.raises(errors.StoreFailedError):
-                await promise()
+                await sync_once()
         assert opened.log.synced_index == 1
 
     asyncio.run(scenario())
 
 
 def test_waiting_syncs_share_one_fsync() -> None:
-    """A hundred waiters cost two fsyncs: one running, one for the rest."""
+    """A hundred waiters cost two fsyncs: one running, one for the others."""
 
     async def scenario() -> int:
         medium = memory_disk.MemoryDisk()
@@ -175,18 +175,18 @@
         await opened.log.sync()
         before = medium.syncs
 
-        async def promise(index: int) -> None:
+        async def sync_once(index: int) -> None:
             opened.log.append([entries.Entry(index, 1, 0, b'')])
             await opened.log.sync()
 
-        await asyncio.gather(*(promise(index) for index in range(2, 102)))
+        await asyncio.gather(*(sync_once(index) for index in range(2, 102)))
         return medium.syncs - before
 
     assert asyncio.run(scenario()) <= 2
 
 
-def test_one_process_holds_a_real_folder(tmp_path: pathlib.Path) -> None:
-    """The lock refuses a second opener, and the files outlive the first."""
+def test_one_process_locks_a_real_folder(tmp_path: pathlib.Path) -> None:
+    """A second opener is rejected, and the files persist after a close."""
 
     async def scenario() -> tuple[str, str, int]:
         medium = disk.RealDisk(tmp_path)
@@ -204,15 +204,15 @@
     assert index == 9
 
 
-def test_unwritable_folder_is_named(tmp_path: pathlib.Path) -> None:
-    """A file in the folder's place is a clear error."""
+def test_error_names_an_unwritable_folder(tmp_path: pathlib.Path) -> None:
+    """A file in place of the folder is an error that names it."""
     (tmp_path / 'data').write_text('')
     with pytest.raises(errors.StoreError, match='data'):
         disk.RealDisk(tmp_path / 'data')
 
 
-def test_running_sync_does_not_cover_what_came_later() -> None:
-    """An entry made or replaced during an fsync waits for the next one."""
+def test_running_sync_does_not_cover_later_entries() -> None:
+    """An entry appended or replaced during an fsync waits for the next."""
 
     async def scenario() -> tuple[int, int]:
         medium = memory_disk.MemoryDisk()
--- a/libs/store/geraniumweir/store/ballots.py
+++ b/libs/store/geraniumweir/store/votes.py
@@ -1,4 +1,4 @@
-"""The term and the vote of a recorder, which must survive."""
+"""Durable term and vote of a recorder."""
 
 import dataclasses
 import struct
@@ -11,21 +11,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Vote:
-    """What a recorder promised.
+    """Term and vote of a recorder.
 
-    :ivar term: the newest it knows.
-    :ivar candidate: whom it voted for in that term, or empty.
+    :ivar term: the newest term known.
+    :ivar candidate: identity it voted for in that term, or empty.
     """
 
     term: int = 0
     candidate: str = ''
 
 
-class Ballot:
-    """The vote as it is now, and whether it is durable.
+class VoteStore:
+    """Current vote, and its copy on disk.
 
-    A new vote holds in memory at once, so that nothing is promised against
-    it; nobody may be told of it before :meth:`wait_durable`.
+    A new vote takes effect in memory at once, so that no conflicting one is
+    given; it must not be sent to others before :meth:`wait_durable` returns.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         guarded: guard.Guard,
         vote: Vote,
     ) -> None:
-        """Start from what :func:`load` found."""
+        """Initialize with the vote that :func:`load` returned."""
         self._vote = vote
         self._disk = folder
         self._guard = guarded
@@ -42,25 +42,25 @@
 
     @property
     def term(self) -> int:
-        """The newest term known."""
+        """The current term: the newest one known."""
         return self._vote.term
 
     @property
     def candidate(self) -> str:
-        """Whom this recorder voted for in the term, or empty."""
+        """Identity this recorder voted for in the term, or empty."""
         return self._vote.candidate
 
-    def cast(self, term: int, candidate: str = '') -> None:
-        """Enter a term or vote in it.
+    def set_vote(self, term: int, candidate: str = '') -> None:
+        """Set the term, and the vote in it.
 
-        :param term: no older than the newest known.
-        :param candidate: whom to vote for, or empty for nobody yet.
+        :param term: a term no older than the current one.
+        :param candidate: identity to vote for, or empty for no vote yet.
         """
         self._vote = Vote(term, candidate)
         self._commit.mark()
 
     async def wait_durable(self) -> None:
-        """Wait until the vote is durable.
+        """Wait until the current vote is durable.
 
         :raises errors.StoreFailedError: when the disk fails.
         """
@@ -76,7 +76,7 @@
 
 
 def load(folder: disk.Disk) -> Vote:
-    """Read the vote file; without one nothing was ever promised.
+    """Return the vote in the vote file; without a file there was none.
 
     :raises errors.CorruptError: when the file is damaged.
     """
--- a/libs/store/geraniumweir/store/wholefiles.py
+++ b/libs/store/geraniumweir/store/wholefiles.py
@@ -1,6 +1,7 @@
-"""Small files that are replaced as a whole: old or new, never half.
+"""Atomic replacement of small files.
 
-Written under another name, synced, renamed, and the folder synced.
+The new content is written to a temporary file, synced, and renamed; then the
+folder is synced. After a crash a file has its old or its new content.
 """
 
 from geraniumweir.store import disk, frames
@@ -9,9 +10,9 @@
 
 
 def replace(folder: disk.Disk, name: str, payload: bytes) -> None:
-    """Put a payload durably under a name.
+    """Replace the content of a file atomically and durably.
 
-    :raises OSError: when any step fails; the old content may be in place.
+    :raises OSError: when any step fails; the old content may remain.
     """
     draft = name + _SUFFIX
     if draft in folder.names():
@@ -23,17 +24,17 @@
 
 
 def load(folder: disk.Disk, name: str) -> bytes | None:
-    """Give the payload under a name, or None when there is no such file.
+    """Return the payload of a file, or None when it doesn't exist.
 
     :raises errors.CorruptError: when the file is damaged.
     """
     if name not in folder.names():
         return None
-    return frames.only(name, folder.read(name))
+    return frames.decode_single(name, folder.read(name))
 
 
 def remove_drafts(folder: disk.Disk) -> None:
-    """Remove what a crash left half written."""
+    """Remove temporary files left by a crash."""
     for name in folder.names():
         if name.endswith(_SUFFIX):
             folder.remove(name)
