--- a/libs/configuration/geraniumweir/configuration/recordings.py
+++ b/libs/configuration/geraniumweir/configuration/recordings.py
@@ -9,7 +9,7 @@
 
 from geraniumweir.common import eventlog, ids
 from geraniumweir.configuration import state
-from geraniumweir.consensus import core, bootstrap, recorder, settings
+from geraniumweir.consensus import bootstrap, core, recorder, settings
 from geraniumweir.store import disk, folder, guard
 from geraniumweir.wire import peers
 
--- a/libs/consensus/geraniumweir/consensus/core.py
+++ b/libs/consensus/geraniumweir/consensus/core.py
@@ -13,14 +13,14 @@
 import typing
 
 import reactivex
-from geraniumweir.common import logevents as events
 from geraniumweir.common import ids, timers
+from geraniumweir.common import logevents as events
 from geraniumweir.consensus import (
     errors,
+    leadership,
     logevents,
     machines,
     members,
-    leadership,
     settings,
     watermarks,
 )
--- a/libs/consensus/geraniumweir/consensus/handlers.py
+++ b/libs/consensus/geraniumweir/consensus/handlers.py
@@ -5,10 +5,10 @@
 
 from geraniumweir.common import ids
 from geraniumweir.consensus import (
+    bootstrap,
     core,
     errors,
     following,
-    bootstrap,
     leadership_transfer,
     serving,
     voting,
--- a/libs/consensus/geraniumweir/consensus/leading.py
+++ b/libs/consensus/geraniumweir/consensus/leading.py
@@ -13,9 +13,9 @@
 from geraniumweir.consensus import (
     core,
     errors,
+    leadership,
     logevents,
     machines,
-    leadership,
     replication,
 )
 from geraniumweir.store import entries
--- a/libs/consensus/geraniumweir/consensus/logevents.py
+++ b/libs/consensus/geraniumweir/consensus/logevents.py
@@ -15,7 +15,7 @@
 FOLLOWS_LEADER = logevents.Event(
     522,
     logevents.Level.info,
-    'following leader {leader} in term {term}',
+    'following recorder {leader} in term {term}',
 )
 ELECTION_STARTED = logevents.Event(
     523,
--- a/libs/consensus/geraniumweir/consensus/membership_change.py
+++ b/libs/consensus/geraniumweir/consensus/membership_change.py
@@ -19,11 +19,11 @@
 from geraniumweir.consensus import (
     core,
     errors,
+    leadership,
     leadership_transfer,
     leading,
     machines,
     members,
-    leadership,
 )
 from geraniumweir.wire import errors as wire_errors
 from geraniumweir.wire.gen.consensus import ttypes
--- a/libs/consensus/geraniumweir/consensus/recorder.py
+++ b/libs/consensus/geraniumweir/consensus/recorder.py
@@ -7,20 +7,19 @@
 from geraniumweir.common import ids
 from geraniumweir.consensus import (
     applying,
-    membership_change,
-    core,
     bootstrap,
-    leadership_transfer,
+    core,
     handlers,
+    leadership_transfer,
     leading,
     machines,
     members,
+    membership_change,
     serving,
     voting,
 )
-from geraniumweir.store import entries
+from geraniumweir.store import entries, snapshots
 from geraniumweir.store import folder as folders
-from geraniumweir.store import snapshots
 
 _TIMEOUT_SECONDS = 2.0
 
--- a/libs/consensus/geraniumweir/consensus/replication.py
+++ b/libs/consensus/geraniumweir/consensus/replication.py
@@ -10,8 +10,8 @@
 
 from geraniumweir.consensus import (
     core,
-    logevents,
     leadership,
+    logevents,
     snapshot_transfer,
 )
 from geraniumweir.store import entries
--- a/libs/consensus/geraniumweir/consensus/serving.py
+++ b/libs/consensus/geraniumweir/consensus/serving.py
@@ -6,11 +6,11 @@
 
 from geraniumweir.common import ids
 from geraniumweir.consensus import (
-    membership_change,
     core,
     errors,
     leading,
     members,
+    membership_change,
     replication,
 )
 from geraniumweir.store import entries
--- a/libs/consensus/geraniumweir/consensus/snapshot_transfer.py
+++ b/libs/consensus/geraniumweir/consensus/snapshot_transfer.py
@@ -11,7 +11,7 @@
 import asyncio
 
 import xxhash
-from geraniumweir.consensus import core, logevents, leadership
+from geraniumweir.consensus import core, leadership, logevents
 from geraniumweir.store import snapshots
 from geraniumweir.wire import errors as wire_errors
 from geraniumweir.wire.gen.consensus import ttypes
--- a/libs/store/geraniumweir/store/wholefiles.py
+++ b/libs/store/geraniumweir/store/wholefiles.py
@@ -1,7 +1,8 @@
 """Atomic replacement of small files.
 
 The new content is written to a temporary file, synced, and renamed; then the
-folder is synced. After a crash a file has its old or its new content.
+folder is synced. After a crash a file has its complete old or new content,
+never half of it.
 """
 
 from geraniumweir.store import disk, frames
