--- a/libs/configuration/geraniumweir/configuration/recordings.py
+++ b/libs/configuration/geraniumweir/configuration/recordings.py
@@ -9,7 +9,7 @@
 
 from geraniumweir.common import eventlog, ids
 from geraniumweir.configuration import state
-from geraniumweir.consensus import core, founding, recorder, settings
+from geraniumweir.consensus import bootstrap, core, recorder, settings
 from geraniumweir.store import disk, folder, guard
 from geraniumweir.wire import peers
 
@@ -25,7 +25,7 @@
 
     host_id: ids.HostId
     folder: pathlib.Path
-    first: founding.First
+    first: bootstrap.InitialRecorders
 
 
 class Recording:
@@ -67,7 +67,7 @@
         stack.push_async_callback(asyncio.to_thread, thread.close)
         found = await folder.open_folder(medium, thread)
         machine = state.SystemState()
-        env = core.Surroundings(
+        env = core.Environment(
             cfg=settings.Settings(place.host_id),
             peers=peer_layer,
             machine=machine,
--- a/libs/consensus/geraniumweir/consensus/founding.py
+++ b/libs/consensus/geraniumweir/consensus/bootstrap.py
@@ -1,9 +1,9 @@
-"""The first entry of a log, made once by one of the first recorders.
+"""Bootstrap of a log by one of its initial recorders.
 
-The founder is the one with the lowest host id, and it founds only when each of
-the first recorders has answered that it holds nothing. So a recorder whose
-folder was emptied can't found a second log beside the first: one of the others
-holds entries, or can't be asked.
+Only the recorder with the lowest host id writes the first entry, and only
+after each of the initial recorders has answered that its log is empty. So a
+recorder whose folder was emptied can't bootstrap a second log: one of the
+others has entries or can't be reached.
 """
 
 import asyncio
@@ -15,40 +15,42 @@
 from geraniumweir.wire import errors as wire_errors
 from geraniumweir.wire.gen.consensus import ttypes
 
-First = typing.Mapping[ids.HostId, ids.Address]
+InitialRecorders = typing.Mapping[ids.HostId, ids.Address]
 
 
-async def found(this: core.Core, first: First) -> None:
-    """Found the log if that is this recorder's part; return when it's not.
+async def bootstrap_log(this: core.Core, first: InitialRecorders) -> None:
+    """Write the first entry of a new log, if that is up to this recorder.
 
-    :param first: the first recorders and their addresses.
+    Returns when it is not, or no longer.
+
+    :param first: addresses of the initial recorders, by host.
     """
     own = this.env.cfg.host_id
     if not first or own != min(first):
         return
-    told = False
+    reported = False
     while is_blank(this):
         answers = [await _identify(this, host_id) for host_id in first]
         if all(answer and answer.blank for answer in answers):
-            await _write_first(this, first, answers)
+            await _write_first_entry(this, first, answers)
             return
-        told = told or _tell_who_has_a_log(this, first, answers)
+        reported = reported or _report_existing_log(this, first, answers)
         await asyncio.sleep(this.env.cfg.heartbeat)
 
 
 def is_blank(this: core.Core) -> bool:
-    """Tell whether this recorder holds nothing of any log."""
+    """Return whether this recorder's log is empty."""
     return this.folder.log.last.index == 0
 
 
 def identified(this: core.Core) -> ttypes.Identified:
-    """Tell who this recorder is."""
+    """Return the answer to an identify message."""
     return ttypes.Identified(this.identity, is_blank(this))
 
 
-def _tell_who_has_a_log(
+def _report_existing_log(
     this: core.Core,
-    first: First,
+    first: InitialRecorders,
     answers: typing.Sequence[ttypes.Identified | None],
 ) -> bool:
     for host_id, answer in zip(first, answers):
@@ -74,9 +76,9 @@
         return None
 
 
-async def _write_first(
+async def _write_first_entry(
     this: core.Core,
-    first: First,
+    first: InitialRecorders,
     answers: typing.Sequence[ttypes.Identified | None],
 ) -> None:
     recorders = tuple(
@@ -84,7 +86,7 @@
         for host_id, answer in zip(first, answers)
         if answer is not None
     )
-    founded = members.Members(this.identity, recorders)
+    initial = members.Members(this.identity, recorders)
     if not is_blank(this):
         return
     this.enter_term(1, 'founds the log')
@@ -92,9 +94,9 @@
         1,
         this.term,
         machines.Kind.members,
-        members.encode(founded),
+        members.encode(initial),
     )
     this.append([first_entry])
-    await this.folder.ballot.settle()
+    await this.folder.vote_store.wait_durable()
     await this.folder.log.sync()
-    this.env.report(logevents.FOUNDED, recorders=list(first))
+    this.env.report(logevents.BOOTSTRAPPED, recorders=list(first))
--- a/libs/consensus/geraniumweir/consensus/handlers.py
+++ b/libs/consensus/geraniumweir/consensus/handlers.py
@@ -1,15 +1,15 @@
-"""Which message of another host is answered by what."""
+"""Registration of the handlers for messages of other hosts."""
 
 import functools
 import typing
 
 from geraniumweir.common import ids
 from geraniumweir.consensus import (
+    bootstrap,
     core,
     errors,
     following,
-    founding,
-    handing,
+    leadership_transfer,
     serving,
     voting,
 )
@@ -24,7 +24,7 @@
 
 
 def register(this: core.Core) -> None:
-    """Answer all messages that are meant for a recorder."""
+    """Register the handlers for all messages to a recorder."""
     for message_type, handler in _HANDLERS.items():
         this.env.peers.handle(
             message_type,
@@ -49,15 +49,15 @@
     this: core.Core,
     _ask: ttypes.Identify,
 ) -> ttypes.Identified:
-    this.check_sound()
-    return founding.identified(this)
+    this.check_not_failed()
+    return bootstrap.identified(this)
 
 
 _HANDLERS: typing.Mapping[type, _Handler] = {
     ttypes.AskVote: voting.answer_vote,
-    ttypes.AppendEntries: following.take_entries,
-    ttypes.SnapshotPiece: following.take_piece,
-    ttypes.CampaignNow: handing.take_over,
+    ttypes.AppendEntries: following.handle_append_entries,
+    ttypes.SnapshotPiece: following.handle_snapshot_piece,
+    ttypes.CampaignNow: leadership_transfer.handle_campaign_now,
     ttypes.Identify: _identify,
     ttypes.Propose: serving.answer_propose,
     ttypes.AskBarrier: serving.answer_barrier,
--- a/libs/consensus/geraniumweir/consensus/leading.py
+++ b/libs/consensus/geraniumweir/consensus/leading.py
@@ -1,4 +1,4 @@
-"""What a leader does: take proposals, count copies, know its majority.
+"""Tasks of a leader: proposals, the read index and its own majority.
 
 References
 ==========
@@ -13,39 +13,39 @@
 from geraniumweir.consensus import (
     core,
     errors,
+    leadership,
     logevents,
     machines,
-    reign,
     replication,
 )
 from geraniumweir.store import entries
 
 
-def begin(this: core.Core, term: int) -> None:
-    """Lead in a term that this recorder was elected in."""
+def become_leader(this: core.Core, term: int) -> None:
+    """Become leader in a term, if still a candidate in that term."""
     if this.role is not core.Role.candidate or this.term != term:
         return
     start = this.folder.log.last.index + 1
     this.role = core.Role.leader
     this.leader = this.identity
-    this.reign = reign.Reign(term, start)
-    this.env.report(logevents.LEADS, term=term, index=start)
-    append(this, this.reign, machines.Kind.term_start, b'')
-    follow_members(this, this.reign)
-    this.reign.keep(this.spawn(_sync_appended(this, this.reign)))
-    this.reign.keep(this.spawn(_watch_majority(this, this.reign)))
+    this.leadership = leadership.LeaderState(term, start)
+    this.env.report(logevents.BECAME_LEADER, term=term, index=start)
+    append(this, this.leadership, machines.Kind.term_start, b'')
+    update_senders(this, this.leadership)
+    this.leadership.add_task(this.spawn(_sync_appended(this, this.leadership)))
+    this.leadership.add_task(this.spawn(_watch_majority(this, this.leadership)))
 
 
-def current(this: core.Core) -> reign.Reign:
-    """Give the reign of this recorder.
+def current(this: core.Core) -> leadership.LeaderState:
+    """Return the leader state of this recorder.
 
-    :raises errors.NotLeaderError: when another one leads.
-    :raises errors.NoQuorumError: when nobody is known to lead.
-    :raises errors.RecorderFailedError: when this one stopped for good.
+    :raises errors.NotLeaderError: when another recorder is the leader.
+    :raises errors.NoQuorumError: when no leader is known.
+    :raises errors.RecorderFailedError: when this recorder has failed.
     """
-    this.check_sound()
-    if this.reign is not None and not this.reign.closing:
-        return this.reign
+    this.check_not_failed()
+    if this.leadership is not None and not this.leadership.transferring:
+        return this.leadership
     leader = this.history.current.find(this.leader)
     if leader is None or leader.identity == this.identity:
         raise errors.NoQuorumError('no recorder is known to lead')
@@ -58,21 +58,21 @@
 
 def append(
     this: core.Core,
-    led: reign.Reign,
+    leader_state: leadership.LeaderState,
     kind: machines.Kind,
     payload: bytes,
 ) -> int:
-    """Add an entry of the leader's own and have it sent.
+    """Append an entry of the leader and wake the senders.
 
-    :returns: its index.
+    :returns: the index of the entry.
     """
     index = this.folder.log.last.index + 1
-    this.append([entries.Entry(index, led.term, kind, payload)])
+    this.append([entries.Entry(index, leader_state.term, kind, payload)])
     if kind is machines.Kind.members:
-        follow_members(this, led)
-    led.appended.set()
-    for progress in led.progress.values():
-        progress.wake.set()
+        update_senders(this, leader_state)
+    leader_state.appended.set()
+    for progress in leader_state.progress.values():
+        progress.wakeup.set()
     return index
 
 
@@ -82,104 +82,121 @@
     timeout: float,
     kind: machines.Kind = machines.Kind.command,
 ) -> bytes:
-    """Add a command and wait for the state machine's answer.
+    """Append a command and wait for the state machine's answer.
 
     :param timeout: in seconds.
-    :raises errors.UncertainError: when no answer came; it may have been
-        taken.
+    :raises errors.UncertainError: when it wasn't applied in time or the
+        leader stepped down; it may have been committed.
     """
-    led = current(this)
-    index = append(this, led, kind, command)
+    leader_state = current(this)
+    index = append(this, leader_state, kind, command)
     fut = asyncio.get_running_loop().create_future()
-    led.waiters[index] = fut
+    leader_state.waiters[index] = fut
     try:
         async with asyncio.timeout(timeout):
             return await fut
     except TimeoutError as exc:
         raise errors.UncertainError('not committed in time') from exc
     finally:
-        led.waiters.pop(index, None)
+        leader_state.waiters.pop(index, None)
 
 
 async def confirm(this: core.Core, timeout: float) -> int:
-    """Make sure that this recorder still leads.
+    """Confirm leadership with a majority and return a read index.
 
     :param timeout: in seconds.
-    :returns: an index; whatever was committed before this call is at it or
-        before it.
+    :returns: the read index; all entries committed before this call are at
+        or before it.
     :raises errors.NoQuorumError: when no majority answered in time.
     """
-    led = current(this)
+    leader_state = current(this)
     asked_at = this.timers.now()
     try:
         async with asyncio.timeout(timeout):
-            await until_committed(this, led, led.start_index)
+            await until_committed(this, leader_state, leader_state.start_index)
             index = this.commit.height
-            for progress in led.progress.values():
-                progress.nudge()
-            while majority_contact(this, led) < asked_at and not led.ended:
-                await led.move()
+            for progress in leader_state.progress.values():
+                progress.request_send()
+            while (
+                majority_contact(this, leader_state) < asked_at
+                and not leader_state.ended
+            ):
+                await leader_state.wait_for_change()
     except TimeoutError as exc:
         raise errors.NoQuorumError('no majority answered') from exc
-    if led.ended:
+    if leader_state.ended:
         raise errors.NoQuorumError('leads no more')
     return index
 
 
 async def until_committed(
     this: core.Core,
-    led: reign.Reign,
+    leader_state: leadership.LeaderState,
     index: int,
 ) -> None:
-    while this.commit.height < index and not led.ended:
-        await led.move()
+    while this.commit.height < index and not leader_state.ended:
+        await leader_state.wait_for_change()
 
 
-def follow_members(this: core.Core, led: reign.Reign) -> None:
-    """Send entries to all current recorders, and to no others."""
+def update_senders(
+    this: core.Core, leader_state: leadership.LeaderState
+) -> None:
+    """Start and stop senders to match the current membership."""
     recorders = this.history.current.recorders
     wanted = {member.identity: member for member in recorders}
     wanted.pop(this.identity, None)
-    for gone in set(led.progress) - set(wanted):
-        led.drop(gone)
-    for identity in set(wanted) - set(led.progress):
+    for gone in set(leader_state.progress) - set(wanted):
+        leader_state.remove_sender(gone)
+    for identity in set(wanted) - set(leader_state.progress):
         next_index = this.folder.log.last.index + 1
-        progress = reign.Progress(
+        progress = leadership.Progress(
             wanted[identity],
             next_index,
-            since=this.timers.now(),
+            started_at=this.timers.now(),
         )
-        sender = replication.replicate(this, led, progress)
-        led.keep_sender(progress, this.spawn(sender))
+        sender = replication.replicate(this, leader_state, progress)
+        leader_state.add_sender(progress, this.spawn(sender))
+
 
+def majority_contact(
+    this: core.Core, leader_state: leadership.LeaderState
+) -> float:
+    """Return the time up to which a majority is known to have followed.
 
-def majority_contact(this: core.Core, led: reign.Reign) -> float:
-    """Tell since when a majority is known to have followed."""
+    :returns: when the messages that a majority answered were sent, in loop
+        time; that of the slowest recorder of the fastest majority.
+    """
     times = [
         this.timers.now()
         if member.identity == this.identity
-        else led.progress[member.identity].contact
+        else leader_state.progress[member.identity].last_contact_at
         for member in this.history.current.voters
     ]
     times.sort(reverse=True)
     return times[this.history.current.majority - 1]
 
 
-async def _sync_appended(this: core.Core, led: reign.Reign) -> None:
-    """Make the leader's own copy durable; many proposals share an fsync."""
+async def _sync_appended(
+    this: core.Core, leader_state: leadership.LeaderState
+) -> None:
+    """Sync the leader's own log; concurrent proposals share an fsync."""
     while True:
-        await led.appended.wait()
-        led.appended.clear()
+        await leader_state.appended.wait()
+        leader_state.appended.clear()
         await this.folder.log.sync()
-        replication.count_copies(this, led)
+        replication.advance_commit_index(this, leader_state)
 
 
-async def _watch_majority(this: core.Core, led: reign.Reign) -> None:
-    """Step down when no majority is heard within an election timeout."""
+async def _watch_majority(
+    this: core.Core, leader_state: leadership.LeaderState
+) -> None:
+    """Step down after an election timeout without contact to a majority."""
     cfg = this.env.cfg
-    began = this.timers.now()
-    while not led.ended:
+    started_watching_at = this.timers.now()
+    while not leader_state.ended:
         await asyncio.sleep(cfg.heartbeat)
-        heard = max(majority_contact(this, led), began)
-        if this.timers.now() - heard > cfg.election_max:
-            this.follow('no majority was heard')
+        majority_seen_at = max(
+            majority_contact(this, leader_state), started_watching_at
+        )
+        if this.timers.now() - majority_seen_at > cfg.election_max:
+            this.become_follower('no majority was heard')
--- a/libs/consensus/geraniumweir/consensus/changing.py
+++ b/libs/consensus/geraniumweir/consensus/membership_change.py
@@ -1,10 +1,10 @@
-"""Changes of the recorders, one at a time.
+"""Membership changes, one at a time.
 
-A new recorder first learns: it gets the entries but has no vote, so a slow or
-empty one costs no majority. Only when it has caught up does it become a
-voter. Where an older recorder of the same host is still among the voters (its
-folder was emptied), that one is removed just before, so that the number of
-voters doesn't grow by one that never answers.
+A new recorder is first a learner: it receives entries but has no vote, so a
+slow or empty one costs no majority. It becomes a voter once it has caught up.
+Where an older recorder of the same host is still a voter (its folder was
+emptied), that one is removed just before, so that the membership never
+includes an additional voter that can't answer.
 
 References
 ==========
@@ -19,11 +19,11 @@
 from geraniumweir.consensus import (
     core,
     errors,
-    handing,
+    leadership,
+    leadership_transfer,
     leading,
     machines,
     members,
-    reign,
 )
 from geraniumweir.wire import errors as wire_errors
 from geraniumweir.wire.gen.consensus import ttypes
@@ -36,52 +36,52 @@
     timeout: float,
     lost: ids.HostId | None = None,
 ) -> None:
-    """Make the host's data folder a recorder; a repeat goes on where it was.
+    """Make a host's recorder a voter; a repeated call continues the change.
 
-    :param address: where the host's peer layer listens, or empty if known.
-    :param lost: a host whose recorders it takes the place of.
+    :param address: address of the host's peer layer, or empty if known.
+    :param lost: a host whose recorders are replaced, or None.
     :param timeout: for the learner to catch up and for each change, in
         seconds.
-    :raises errors.RefusedError: when another change is under way, or the host
-        doesn't answer.
+    :raises errors.RefusedError: when another change is in progress, or the
+        host doesn't answer.
     :raises errors.UncertainError: when it takes too long; the new recorder
-        may be there as a learner.
+        may be a learner by then.
     """
-    led = leading.current(this)
-    async with _one_change(led):
-        member = await _learner(this, led, host_id, address, timeout)
-        await _catch_up(this, led, member.identity, timeout)
-        await _drop_others(this, led, member, lost, timeout)
-        await _promote(this, led, member.identity, timeout)
+    leader_state = leading.current(this)
+    async with _lock_for_change(leader_state):
+        member = await _learner(this, leader_state, host_id, address, timeout)
+        await _catch_up(this, leader_state, member.identity, timeout)
+        await _remove_replaced(this, leader_state, member, lost, timeout)
+        await _promote(this, leader_state, member.identity, timeout)
 
 
-async def learn(
+async def add_as_learner(
     this: core.Core,
     host_id: ids.HostId,
     address: str,
     timeout: float,
 ) -> None:
-    """Make the host's data folder a learner, which stays without a vote.
+    """Make a host's recorder a learner, which has no vote.
 
     :raises errors.ConsensusError: as :func:`add`.
     """
-    led = leading.current(this)
-    async with _one_change(led):
-        member = await _learner(this, led, host_id, address, timeout)
+    leader_state = leading.current(this)
+    async with _lock_for_change(leader_state):
+        member = await _learner(this, leader_state, host_id, address, timeout)
         for other in this.history.current.on_host(host_id):
             if other.identity != member.identity and not other.voter:
-                left = this.history.current.without(other.identity)
-                await _change(this, led, left, timeout)
+                remaining = this.history.current.without(other.identity)
+                await _change(this, leader_state, remaining, timeout)
 
 
 async def _learner(
     this: core.Core,
-    led: reign.Reign,
+    leader_state: leadership.LeaderState,
     host_id: ids.HostId,
     address: str,
     timeout: float,
 ) -> members.Member:
-    """Find a host's recorder among the members, or put it there."""
+    """Return a host's recorder, added as a learner if it is no member."""
     if address:
         this.env.peers.learn(host_id, ids.parse_address(address))
     identity = await _identify(this, host_id)
@@ -90,7 +90,7 @@
     member = members.Member(identity, host_id, address, voter=False)
     if this.history.current.find(identity) is None:
         grown = this.history.current.with_member(member)
-        await _change(this, led, grown, timeout)
+        await _change(this, leader_state, grown, timeout)
     return member
 
 
@@ -99,30 +99,30 @@
     host_id: ids.HostId,
     timeout: float,
 ) -> None:
-    """Remove the recorders of a host; none there is no error.
+    """Remove the recorders of a host; a host without any is no error.
 
     :param timeout: for each change, in seconds.
-    :raises errors.RefusedError: when another change is under way, or the
-        remaining recorders that answer are no majority.
-    :raises errors.NotLeaderError: when this recorder is to be removed itself;
-        it handed leadership on before.
+    :raises errors.RefusedError: when another change is in progress, or the
+        remaining recorders that answer form no majority.
+    :raises errors.NotLeaderError: when this recorder itself is to be removed;
+        it transferred leadership first.
     """
-    led = leading.current(this)
-    async with _one_change(led):
+    leader_state = leading.current(this)
+    async with _lock_for_change(leader_state):
         for member in this.history.current.on_host(host_id):
-            left = this.history.current.without(member.identity)
-            _check_majority(this, led, left)
+            remaining = this.history.current.without(member.identity)
+            _check_majority(this, leader_state, remaining)
             if member.identity == this.identity:
-                await handing.hand_on(this)
+                await leadership_transfer.transfer_leadership(this)
                 leading.current(this)
                 raise errors.RefusedError('nobody took over leadership')
-            await _change(this, led, left, timeout)
+            await _change(this, leader_state, remaining, timeout)
 
 
-def _one_change(led: reign.Reign) -> asyncio.Lock:
-    if led.changing.locked():
+def _lock_for_change(leader_state: leadership.LeaderState) -> asyncio.Lock:
+    if leader_state.membership_lock.locked():
         raise errors.RefusedError('another change of recorders is under way')
-    return led.changing
+    return leader_state.membership_lock
 
 
 async def _identify(
@@ -144,21 +144,21 @@
 
 async def _change(
     this: core.Core,
-    led: reign.Reign,
+    leader_state: leadership.LeaderState,
     wanted: members.Members,
     timeout: float,
 ) -> None:
-    """Put new recorders into the log once the last change is committed."""
+    """Append a membership once the previous change is committed."""
     try:
         async with asyncio.timeout(timeout):
             await leading.until_committed(
                 this,
-                led,
-                max(led.start_index, this.history.index),
+                leader_state,
+                max(leader_state.start_index, this.history.index),
             )
     except TimeoutError as exc:
         raise errors.NoQuorumError('the last change isn’t committed') from exc
-    if led.ended:
+    if leader_state.ended:
         raise errors.NoQuorumError('leads no more')
     await leading.propose(
         this,
@@ -170,43 +170,45 @@
 
 async def _catch_up(
     this: core.Core,
-    led: reign.Reign,
+    leader_state: leadership.LeaderState,
     identity: members.RecorderId,
     timeout: float,
 ) -> None:
-    """Wait until the learner has all that is committed now."""
-    progress = led.progress.get(identity)
+    """Wait until a learner has all committed entries."""
+    progress = leader_state.progress.get(identity)
     if progress is None:
         return
     try:
         async with asyncio.timeout(timeout):
-            while not led.ended and progress.match < this.commit.height:
-                await led.move()
+            while (
+                not leader_state.ended and progress.match < this.commit.height
+            ):
+                await leader_state.wait_for_change()
     except TimeoutError as exc:
         raise errors.UncertainError(
             f'{progress.member.host_id} is a learner and didn’t catch up',
         ) from exc
 
 
-async def _drop_others(
+async def _remove_replaced(
     this: core.Core,
-    led: reign.Reign,
+    leader_state: leadership.LeaderState,
     member: members.Member,
     lost: ids.HostId | None,
     timeout: float,
 ) -> None:
-    """Remove the recorders whose place a learner takes."""
+    """Remove the recorders that a learner replaces."""
     replaced = {member.host_id, lost}
     for other in this.history.current.recorders:
         if other.host_id in replaced and other.identity != member.identity:
-            left = this.history.current.without(other.identity)
-            _check_majority(this, led, left)
-            await _change(this, led, left, timeout)
+            remaining = this.history.current.without(other.identity)
+            _check_majority(this, leader_state, remaining)
+            await _change(this, leader_state, remaining, timeout)
 
 
 async def _promote(
     this: core.Core,
-    led: reign.Reign,
+    leader_state: leadership.LeaderState,
     identity: members.RecorderId,
     timeout: float,
 ) -> None:
@@ -215,24 +217,28 @@
         return
     voter = members.Member(identity, known.host_id, known.address)
     grown = this.history.current.with_member(voter)
-    await _change(this, led, grown, timeout)
+    await _change(this, leader_state, grown, timeout)
 
 
 def _check_majority(
     this: core.Core,
-    led: reign.Reign,
-    left: members.Members,
+    leader_state: leadership.LeaderState,
+    remaining: members.Members,
 ) -> None:
-    """Refuse to remove a recorder that the majority can't spare."""
-    since = this.timers.now() - this.env.cfg.election_max
+    """Check that the voters of a membership that answer form a majority.
+
+    :raises errors.RefusedError: when they don't.
+    """
+    answered_since = this.timers.now() - this.env.cfg.election_max
     live = [
         member
-        for member in left.voters
+        for member in remaining.voters
         if member.identity == this.identity
-        or led.progress[member.identity].contact >= since
+        or leader_state.progress[member.identity].last_contact_at
+        >= answered_since
     ]
-    if len(live) < left.majority:
+    if len(live) < remaining.majority:
         raise errors.RefusedError(
-            f'of {len(left.voters)} recorders that would be left only'
+            f'of {len(remaining.voters)} recorders that would be left only'
             f' {len(live)} answer',
         )
--- a/libs/consensus/geraniumweir/consensus/replication.py
+++ b/libs/consensus/geraniumweir/consensus/replication.py
@@ -1,13 +1,19 @@
-"""One task for each other recorder, which sends it the log.
+"""Replication of the log: one sending task for each other recorder.
 
-Entries go in batches, several of them under way at once. After a refusal or a
-loss the task probes with empty messages until it knows where to go on.
+Entries are sent in batches, several of them in flight. After a conflict or a
+lost message the task probes with empty messages until an answer shows where
+the logs match.
 """
 
 import asyncio
 import contextlib
 
-from geraniumweir.consensus import core, logevents, reign, shipping
+from geraniumweir.consensus import (
+    core,
+    leadership,
+    logevents,
+    snapshot_transfer,
+)
 from geraniumweir.store import entries
 from geraniumweir.wire import errors as wire_errors
 from geraniumweir.wire.gen.consensus import ttypes
@@ -15,35 +21,37 @@
 
 async def replicate(
     this: core.Core,
-    led: reign.Reign,
-    progress: reign.Progress,
+    leader_state: leadership.LeaderState,
+    progress: leadership.Progress,
 ) -> None:
-    """Keep one recorder up to date for as long as the reign lasts."""
-    while not led.ended:
+    """Send entries or a snapshot to one recorder until leadership ends."""
+    while not leader_state.ended:
         before = progress.next_index - 1
         if this.folder.log.term_at(before) is None:
-            await shipping.ship_snapshot(this, led, progress)
+            await snapshot_transfer.send_snapshot(this, leader_state, progress)
         else:
-            _send(this, led, progress)
+            _send(this, leader_state, progress)
         await _wait_for_work(this, progress)
 
 
-def count_copies(this: core.Core, led: reign.Reign) -> None:
-    """Commit what a majority holds."""
-    if led.ended:
+def advance_commit_index(
+    this: core.Core, leader_state: leadership.LeaderState
+) -> None:
+    """Raise the commit index to what is durable on a majority."""
+    if leader_state.ended:
         return
-    index = _majority_match(this, led)
-    if index < led.start_index or index <= this.commit.height:
+    index = _majority_match(this, leader_state)
+    if index < leader_state.start_index or index <= this.commit.height:
         return
     this.commit.raise_to(index)
-    led.notify()
-    for progress in led.progress.values():
-        if progress.under_way == 0:
-            progress.nudge()
+    leader_state.notify()
+    for progress in leader_state.progress.values():
+        if progress.in_flight == 0:
+            progress.request_send()
 
 
 def to_wire(entry: entries.Entry) -> ttypes.LogEntry:
-    """Make the struct of an entry."""
+    """Return the thrift struct of an entry."""
     return ttypes.LogEntry(
         entry.index,
         entry.term,
@@ -52,11 +60,13 @@
     )
 
 
-def _majority_match(this: core.Core, led: reign.Reign) -> int:
+def _majority_match(
+    this: core.Core, leader_state: leadership.LeaderState
+) -> int:
     copies = [
         this.folder.log.synced_index
         if member.identity == this.identity
-        else led.progress[member.identity].match
+        else leader_state.progress[member.identity].match
         for member in this.history.current.voters
     ]
     copies.sort(reverse=True)
@@ -65,8 +75,8 @@
 
 def _send(
     this: core.Core,
-    led: reign.Reign,
-    progress: reign.Progress,
+    leader_state: leadership.LeaderState,
+    progress: leadership.Progress,
 ) -> None:
     cfg = this.env.cfg
     log = this.folder.log
@@ -78,36 +88,40 @@
         cluster=this.history.current.cluster,
         to=progress.member.identity,
         leader=this.identity,
-        term=led.term,
+        term=leader_state.term,
         previous_index=before,
         previous_term=log.term_at(before),
         entries=[to_wire(entry) for entry in batch],
         commit=this.commit.height,
     )
     progress.next_index += len(batch)
-    progress.nudged = False
-    progress.under_way += 1
-    led.keep_message(this.spawn(_exchange(this, led, progress, message)))
+    progress.send_due = False
+    progress.in_flight += 1
+    leader_state.add_message_task(
+        this.spawn(_exchange(this, leader_state, progress, message))
+    )
 
 
-async def _wait_for_work(this: core.Core, progress: reign.Progress) -> None:
-    """Return when there is something to send, at the latest at a heartbeat."""
+async def _wait_for_work(
+    this: core.Core, progress: leadership.Progress
+) -> None:
+    """Wait until a message is due: new entries, a request or a heartbeat."""
     cfg = this.env.cfg
     due = this.timers.now() + cfg.heartbeat
     while True:
         late = this.timers.now() >= due
-        if progress.under_way < cfg.window and (
+        if progress.in_flight < cfg.window and (
             late or _has_work(this, progress)
         ):
             return
-        progress.wake.clear()
+        progress.wakeup.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(None if late else due):
-                await progress.wake.wait()
+                await progress.wakeup.wait()
 
 
-def _has_work(this: core.Core, progress: reign.Progress) -> bool:
-    if progress.nudged:
+def _has_work(this: core.Core, progress: leadership.Progress) -> bool:
+    if progress.send_due:
         return True
     more = progress.next_index <= this.folder.log.last.index
     return more and not progress.probing
@@ -115,8 +129,8 @@
 
 async def _exchange(
     this: core.Core,
-    led: reign.Reign,
-    progress: reign.Progress,
+    leader_state: leadership.LeaderState,
+    progress: leadership.Progress,
     message: ttypes.AppendEntries,
 ) -> None:
     sent_at = this.timers.now()
@@ -127,55 +141,56 @@
             this.env.cfg.election_min,
         )
     except wire_errors.PeerError:
-        progress.back_up()
+        progress.reset_next_index()
         return
     finally:
-        progress.under_way -= 1
-        progress.wake.set()
-    if not led.ended:
-        _take_answer(this, led, progress, answer, sent_at)
+        progress.in_flight -= 1
+        progress.wakeup.set()
+    if not leader_state.ended:
+        _handle_answer(this, leader_state, progress, answer, sent_at)
 
 
-def _take_answer(
+def _handle_answer(
     this: core.Core,
-    led: reign.Reign,
-    progress: reign.Progress,
+    leader_state: leadership.LeaderState,
+    progress: leadership.Progress,
     answer: ttypes.AppendAnswer,
     sent_at: float,
 ) -> None:
     match answer.outcome:
         case ttypes.Outcome.done:
-            led.contacted(progress, sent_at)
-            _note_match(progress, answer.index)
-            count_copies(this, led)
+            leader_state.record_contact(progress, sent_at)
+            _record_match(progress, answer.index)
+            advance_commit_index(this, leader_state)
         case ttypes.Outcome.conflict:
-            led.contacted(progress, sent_at)
-            _go_back(progress, answer.index)
+            leader_state.record_contact(progress, sent_at)
+            _handle_conflict(progress, answer.index)
         case ttypes.Outcome.wrong_recorder:
-            note_replaced(this, progress)
+            record_replaced(this, progress)
         case _:
             this.enter_term(answer.term, 'a newer term was met')
 
 
-def _note_match(progress: reign.Progress, index: int) -> None:
+def _record_match(progress: leadership.Progress, index: int) -> None:
     progress.match = max(progress.match, index)
     progress.next_index = max(progress.next_index, progress.match + 1)
     progress.probing = False
     progress.replaced = False
 
 
-def _go_back(progress: reign.Progress, index: int) -> None:
+def _handle_conflict(progress: leadership.Progress, index: int) -> None:
     wanted = min(progress.next_index, index)
     progress.next_index = max(wanted, progress.match + 1)
     progress.probing = True
-    # Look again at once, but never in a closed circle with a late answer.
-    if progress.under_way == 0:
-        progress.nudge()
+    # Probe again at once, but not while messages are in flight: a late answer
+    # would request probes in an endless loop.
+    if progress.in_flight == 0:
+        progress.request_send()
 
 
-def note_replaced(this: core.Core, progress: reign.Progress) -> None:
-    """Note that a host's data folder is not the one that was added."""
-    progress.back_up()
+def record_replaced(this: core.Core, progress: leadership.Progress) -> None:
+    """Record that a host has another data folder than the one added."""
+    progress.reset_next_index()
     if progress.replaced:
         return
     progress.replaced = True
--- a/libs/consensus/geraniumweir/consensus/serving.py
+++ b/libs/consensus/geraniumweir/consensus/serving.py
@@ -1,4 +1,4 @@
-"""Answers to other hosts: proposals, barriers, entries, snapshots, status."""
+"""Requests of other hosts: proposals, read barriers, reads and status."""
 
 import asyncio
 import dataclasses
@@ -6,29 +6,30 @@
 
 from geraniumweir.common import ids
 from geraniumweir.consensus import (
-    changing,
     core,
     errors,
     leading,
     members,
+    membership_change,
     replication,
 )
 from geraniumweir.store import entries
 from geraniumweir.wire.gen.consensus import ttypes
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 _MAX_ENTRIES = 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecorderRow:
-    """One recorder as the leader sees it.
-
-    :ivar member: which one.
-    :ivar match_index: all entries up to it are durable there, as far as is
-        known; 0 when asked of a recorder that doesn't lead.
-    :ivar reachable: it answered within an election timeout.
-    :ivar silence: seconds since it answered, as far as is known.
+    """Status of one member of the log.
+
+    :ivar member: the recorder.
+    :ivar match_index: index up to which all entries are known to be durable
+        there; 0 for other recorders when this one is not the leader.
+    :ivar reachable: whether it answered within the maximum election timeout.
+    :ivar silence: time since the newest answered message was sent, but not
+        more than since the leader began to send to it, in seconds.
     """
 
     member: members.Member
@@ -39,17 +40,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Status:
-    """A recorder's view.
-
-    :ivar identity: of its data folder.
-    :ivar role: what it is at the moment.
-    :ivar term: the newest known.
-    :ivar leader: the host that leads, or empty.
-    :ivar commit: all entries up to it are committed.
-    :ivar applied: all entries up to it are in the state machine.
-    :ivar last_index: of the log's last entry.
-    :ivar recorders: all of them.
-    :ivar failure: why this one stopped for good, or empty.
+    """Status of the log as seen by one recorder.
+
+    :ivar identity: identity of its data folder.
+    :ivar role: its role in the current term.
+    :ivar term: the current term.
+    :ivar leader: host of the live leader, or empty.
+    :ivar commit: commit index.
+    :ivar applied: last applied index.
+    :ivar last_index: index of the log's last entry.
+    :ivar recorders: status of all members.
+    :ivar failure: reason why this recorder failed or was stopped, or empty.
     """
 
     identity: members.RecorderId
@@ -64,12 +65,12 @@
 
 
 def status(this: core.Core) -> Status:
-    """Tell how this recorder sees things."""
+    """Return the status of the log as seen by this recorder."""
     return Status(
         identity=this.identity,
         role=this.role,
         term=this.term,
-        leader=heard_leader(this),
+        leader=current_leader(this),
         commit=this.commit.height,
         applied=this.applied.height,
         last_index=this.folder.log.last.index,
@@ -79,34 +80,36 @@
 
 
 def rows(this: core.Core) -> tuple[RecorderRow, ...]:
-    """Give all recorders as this one sees them."""
+    """Return the status of all members as seen by this recorder."""
     return tuple(
         _row(this, member) for member in this.history.current.recorders
     )
 
 
-def heard_leader(this: core.Core) -> ids.HostId:
-    """Give the host of the leader that is heard, or empty."""
+def current_leader(this: core.Core) -> ids.HostId:
+    """Return the host of the live leader, or empty."""
     leader = this.history.current.find(this.leader)
-    if leader is None or not this.hears_leader():
+    if leader is None or not this.has_live_leader():
         return ids.HostId('')
     return leader.host_id
 
 
 def leads_since(this: core.Core, at: float) -> bool:
-    """Tell whether a majority followed this recorder since a time.
+    """Return whether a majority is known to have followed since a time.
 
-    :param at: in loop time.
+    :param at: the time, in loop time.
     """
-    if this.reign is None:
+    if this.leadership is None:
         return False
-    return leading.majority_contact(this, this.reign) >= at
+    return leading.majority_contact(this, this.leadership) >= at
 
 
 async def barrier(this: core.Core, timeout: float) -> int:
-    """Confirm leadership and apply all that was committed before.
+    """Confirm leadership and wait until the read index is applied.
 
-    :param timeout: for each of the two, in seconds.
+    :param timeout: for each of the two steps, in seconds.
+    :returns: the read index.
+    :raises errors.NoQuorumError: when a step takes too long.
     """
     index = await leading.confirm(this, timeout)
     try:
@@ -122,9 +125,9 @@
     after: int,
     limit: int,
 ) -> list[entries.Entry]:
-    """Give committed entries behind an index.
+    """Return committed entries after an index.
 
-    :raises errors.CompactedError: when only a snapshot has them any more.
+    :raises errors.CompactedError: when they were compacted.
     """
     left = max(this.commit.height - after, 0)
     try:
@@ -139,43 +142,45 @@
 
 async def answer_propose(
     this: core.Core,
-    ask: ttypes.Propose,
+    request: ttypes.Propose,
 ) -> ttypes.ProposeAnswer:
     """Answer a proposal of another host."""
-    work = leading.propose(this, ask.command, ask.timeout_ms / _MS)
+    work = leading.propose(
+        this, request.command, request.timeout_ms / _MS_PER_SECOND
+    )
     return await _verdict(work)
 
 
 async def answer_barrier(
     this: core.Core,
-    ask: ttypes.AskBarrier,
+    request: ttypes.AskBarrier,
 ) -> ttypes.ProposeAnswer:
-    """Answer a barrier of another host with the index to wait for."""
-    return await _verdict(barrier(this, ask.timeout_ms / _MS))
+    """Answer a read barrier of another host with the read index."""
+    return await _verdict(barrier(this, request.timeout_ms / _MS_PER_SECOND))
 
 
 async def answer_change(
     this: core.Core,
-    ask: ttypes.ChangeRecorders,
+    request: ttypes.ChangeRecorders,
 ) -> ttypes.ProposeAnswer:
-    """Change the recorders for another host."""
-    timeout = ask.timeout_ms / _MS
-    host_id = ids.HostId(ask.host_id)
-    if ask.kind == ttypes.ChangeKind.add:
+    """Answer a membership change requested by another host."""
+    timeout = request.timeout_ms / _MS_PER_SECOND
+    host_id = ids.HostId(request.host_id)
+    if request.kind == ttypes.ChangeKind.add:
         return await _verdict(
-            changing.add(this, host_id, ask.address, timeout),
+            membership_change.add(this, host_id, request.address, timeout),
         )
-    return await _verdict(changing.remove(this, host_id, timeout))
+    return await _verdict(membership_change.remove(this, host_id, timeout))
 
 
 async def answer_entries(
     this: core.Core,
-    ask: ttypes.ReadEntries,
+    request: ttypes.ReadEntries,
 ) -> ttypes.EntriesAnswer:
-    """Give committed entries to another host."""
-    limit = min(ask.limit, _MAX_ENTRIES)
+    """Answer a request for committed entries."""
+    limit = min(request.limit, _MAX_ENTRIES)
     try:
-        batch = read_entries(this, ask.after_index, limit)
+        batch = read_entries(this, request.after_index, limit)
     except errors.CompactedError:
         return ttypes.EntriesAnswer([], this.commit.height, compacted=True)
     found = [replication.to_wire(entry) for entry in batch]
@@ -184,14 +189,14 @@
 
 async def answer_snapshot(
     this: core.Core,
-    ask: ttypes.FetchSnapshot,
+    request: ttypes.FetchSnapshot,
 ) -> ttypes.SnapshotContent:
-    """Give a piece of the newest snapshot.
+    """Answer a request for a chunk of the newest snapshot.
 
-    A piece of another one than was asked for starts at its first byte.
+    When that is another snapshot than requested, its first chunk is returned.
     """
     newest = this.folder.snapshots.newest
-    offset = ask.offset if ask.index == newest.index else 0
+    offset = request.offset if request.index == newest.index else 0
     end = offset + this.env.cfg.piece_bytes
     return ttypes.SnapshotContent(
         newest.index,
@@ -205,7 +210,7 @@
     this: core.Core,
     _ask: ttypes.AskStatus,
 ) -> ttypes.StatusAnswer:
-    """Give this recorder's view to another host."""
+    """Answer a request for this recorder's status."""
     view = status(this)
     wire_rows = [
         ttypes.RecorderStatus(
@@ -269,11 +274,11 @@
 def _row(this: core.Core, member: members.Member) -> RecorderRow:
     if member.identity == this.identity:
         return RecorderRow(member, this.folder.log.synced_index, True)
-    if this.reign is None:
+    if this.leadership is None:
         return RecorderRow(member, 0, False)
-    progress = this.reign.progress[member.identity]
-    silence = this.timers.now() - progress.contact
+    progress = this.leadership.progress[member.identity]
+    silence = this.timers.now() - progress.last_contact_at
     reachable = silence <= this.env.cfg.election_max
-    # One that was added a moment ago hasn't been silent for longer.
-    silence = min(silence, this.timers.now() - progress.since)
+    # A recorder can't have been silent for longer than it has been sent to.
+    silence = min(silence, this.timers.now() - progress.started_at)
     return RecorderRow(member, progress.match, reachable, silence)
--- a/libs/consensus/geraniumweir/consensus/shipping.py
+++ b/libs/consensus/geraniumweir/consensus/snapshot_transfer.py
@@ -1,7 +1,7 @@
-"""Snapshots sent to a recorder that needs entries no longer in the log.
+"""Transfer of snapshots to a recorder that needs compacted entries.
 
-They go in pieces of bounded size; a piece that was lost is sent again, and
-the receiver says with which byte to go on.
+A snapshot is sent in chunks of bounded size. A lost chunk is sent again, and
+each answer of the receiver contains the offset to continue at.
 
 References
 ==========
@@ -11,7 +11,7 @@
 import asyncio
 
 import xxhash
-from geraniumweir.consensus import core, logevents, reign
+from geraniumweir.consensus import core, leadership, logevents
 from geraniumweir.store import snapshots
 from geraniumweir.wire import errors as wire_errors
 from geraniumweir.wire.gen.consensus import ttypes
@@ -19,17 +19,17 @@
 _SIGN_BITS = 1
 
 
-async def ship_snapshot(
+async def send_snapshot(
     this: core.Core,
-    led: reign.Reign,
-    progress: reign.Progress,
+    leader_state: leadership.LeaderState,
+    progress: leadership.Progress,
 ) -> None:
-    """Send the newest snapshot; return when it is installed or lost."""
+    """Send the newest snapshot until it is installed or a call fails."""
     newest = this.folder.snapshots.newest
     offset = 0
-    while not led.ended:
+    while not leader_state.ended:
         sent_at = this.timers.now()
-        piece = _piece(this, led, progress, newest, offset)
+        piece = _piece(this, leader_state, progress, newest, offset)
         answer = await _call(this, progress, piece)
         if answer is None:
             await asyncio.sleep(this.env.cfg.heartbeat)
@@ -38,21 +38,21 @@
             this.enter_term(answer.term, 'a newer term was met')
             progress.replaced = answer.outcome == ttypes.Outcome.wrong_recorder
             return
-        led.contacted(progress, sent_at)
+        leader_state.record_contact(progress, sent_at)
         offset = answer.offset
         if answer.installed:
-            _note_installed(this, progress, newest)
+            _record_installed(this, progress, newest)
             return
 
 
 def checksum(state: bytes) -> int:
-    """Give a checksum that fits a signed 64-bit field."""
+    """Return a checksum that fits into a signed 64-bit field."""
     return xxhash.xxh3_64_intdigest(state) >> _SIGN_BITS
 
 
 async def _call(
     this: core.Core,
-    progress: reign.Progress,
+    progress: leadership.Progress,
     piece: ttypes.SnapshotPiece,
 ) -> ttypes.PieceAnswer | None:
     try:
@@ -67,8 +67,8 @@
 
 def _piece(
     this: core.Core,
-    led: reign.Reign,
-    progress: reign.Progress,
+    leader_state: leadership.LeaderState,
+    progress: leadership.Progress,
     newest: snapshots.Snapshot,
     offset: int,
 ) -> ttypes.SnapshotPiece:
@@ -77,7 +77,7 @@
         cluster=this.history.current.cluster,
         to=progress.member.identity,
         leader=this.identity,
-        term=led.term,
+        term=leader_state.term,
         index=newest.index,
         index_term=newest.term,
         members=newest.members,
@@ -88,15 +88,15 @@
     )
 
 
-def _note_installed(
+def _record_installed(
     this: core.Core,
-    progress: reign.Progress,
+    progress: leadership.Progress,
     newest: snapshots.Snapshot,
 ) -> None:
     progress.match = max(progress.match, newest.index)
     progress.next_index = progress.match + 1
     progress.probing = False
-    progress.nudged = True
+    progress.send_due = True
     this.env.report(
         logevents.SNAPSHOT_SENT,
         index=newest.index,
--- a/libs/consensus/geraniumweir/consensus/tests/cluster.py
+++ b/libs/consensus/geraniumweir/consensus/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Recorders in virtual time over an in-memory network and disks."""
+"""Cluster of recorders in virtual time, on an in-memory network and disks."""
 
 import asyncio
 import dataclasses
@@ -20,18 +20,18 @@
 from geraniumweir.wire import memory
 
 HOSTS = tuple(ids.HostId(name) for name in ('ant', 'bee', 'cow'))
-_LONGEST_SECONDS = 600
+_MAX_SECONDS = 600
 _Done = typing.TypeVar('_Done')
 _NUMBER = struct.Struct('<Q')
 
 
 def run(scenario: typing.Coroutine[typing.Any, typing.Any, _Done]) -> _Done:
-    """Run a scenario in virtual time; one without an end fails."""
-    return virtual.run(asyncio.wait_for(scenario, _LONGEST_SECONDS))
+    """Run a scenario in virtual time; it fails when it doesn't end in time."""
+    return virtual.run(asyncio.wait_for(scenario, _MAX_SECONDS))
 
 
 class ListMachine:
-    """Keeps the commands in a list; a command counts once only."""
+    """State machine that lists the commands; repeated ones count once."""
 
     def __init__(self) -> None:
         self.commands: list[bytes] = []
@@ -52,7 +52,7 @@
 
 
 def place(answer: bytes) -> int:
-    """Read the place that a command got."""
+    """Return a command's place in the list, as its answer gives it."""
     return int(_NUMBER.unpack(answer)[0])
 
 
@@ -67,17 +67,17 @@
 
 
 class Cluster:
-    """Recorders that can crash, be cut off and lose their folders."""
+    """Recorders that can crash, be partitioned and lose their folders."""
 
     def __init__(self, seed: int = 0, **sizes: int) -> None:
         self.rng = random.Random(seed)
         self.network = memory.MemoryNetwork(seed)
         self.sizes = sizes
-        # A disk takes so long, drawn anew for each write, in seconds.
+        # Bounds of the duration of each disk operation, in seconds.
         self.fsync_seconds = (0.001, 0.002)
         self.nodes: dict[ids.HostId, Node] = {}
         self.disks: dict[ids.HostId, memory_disk.MemoryDisk] = {}
-        # Who led in which term, and what was applied at which index.
+        # Identity of the leader by term, and command applied by index.
         self.leaders: dict[int, str] = {}
         self.applied: dict[int, bytes] = {}
         self.violations: list[str] = []
@@ -87,10 +87,10 @@
             await self.boot(host_id)
 
     async def boot(self, host_id: ids.HostId) -> Node:
-        """Start a recorder on what its disk holds."""
+        """Start a recorder on the content of its disk."""
         seed = self.rng.getrandbits(32)
         disk = self.disks.setdefault(host_id, memory_disk.MemoryDisk(seed))
-        way = self.network.join(host_id, address(host_id))
+        peer_layer = self.network.join(host_id, address(host_id))
         opened = await folder.open_folder(
             disk,
             self._disk_runner(),
@@ -98,23 +98,23 @@
             lambda: f'{host_id}-{seed}',
         )
         machine = ListMachine()
-        surroundings = core.Surroundings(
+        environment = core.Environment(
             settings.Settings(host_id, **self.sizes),
-            way,
+            peer_layer,
             machine,
             random.Random(seed),
             self._report_of(opened.identity),
         )
         first = {name: address(name) for name in HOSTS}
-        started = recorder.Recorder(surroundings, opened, first)
-        started.changes.subscribe(self._note_change)
+        started = recorder.Recorder(environment, opened, first)
+        started.changes.subscribe(self._record_change)
         started.start()
         node = Node(started, machine, disk, opened.identity)
         self.nodes[host_id] = node
         return node
 
     def crash(self, host_id: ids.HostId) -> None:
-        """Cut a host's power; one that is down stays so."""
+        """Simulate a power failure of a host; do nothing when it is down."""
         if host_id not in self.nodes:
             return
         node = self.nodes.pop(host_id)
@@ -123,32 +123,35 @@
         node.recorder.kill()
 
     def empty(self, host_id: ids.HostId) -> None:
-        """Lose the folder of a host that is down."""
+        """Remove the data folder of a host that is down."""
         self.disks.pop(host_id)
 
-    def cut_off(self, host_id: ids.HostId) -> None:
-        """Lose everything from and to a host."""
+    def partition(self, host_id: ids.HostId) -> None:
+        """Discard all messages from and to a host."""
         for other in list(self.disks):
             if other != host_id:
                 self.network.cut(host_id, other)
                 self.network.cut(other, host_id)
 
     def client(self, name: str = 'eel') -> client.LogClient:
-        """Give a client on a host without a disk."""
+        """Return a client on a host without a disk."""
         host_id = ids.HostId(name)
-        way = self.network.join(host_id, address(host_id))
-        return client.LogClient(way, HOSTS)
+        peer_layer = self.network.join(host_id, address(host_id))
+        return client.LogClient(peer_layer, HOSTS)
 
     async def leader(self) -> ids.HostId:
-        """Wait until one recorder leads and a majority knows it."""
+        """Wait for a leader that a majority confirms, and return its host."""
         while True:
             for host_id, node in list(self.nodes.items()):
-                if await _leads(node.recorder):
+                if await _is_confirmed_leader(node.recorder):
                     return host_id
             await asyncio.sleep(0.05)
 
-    async def settled(self) -> list[list[bytes]]:
-        """Wait until all live recorders have applied the same, give it."""
+    async def wait_until_applied(self) -> list[list[bytes]]:
+        """Wait until all running recorders have applied what is committed.
+
+        :returns: the commands applied by each of them.
+        """
         while True:
             leading = await self.leader()
             goal = self.nodes[leading].recorder.status().commit
@@ -166,7 +169,7 @@
 
     def _report_of(self, identity: str) -> core.Report:
         def report(event: object, **fields: object) -> None:
-            if event is not logevents.LEADS:
+            if event is not logevents.BECAME_LEADER:
                 return
             known = self.leaders.setdefault(fields['term'], identity)
             if known != identity:
@@ -174,7 +177,7 @@
 
         return report
 
-    def _note_change(self, change: machines.Change) -> None:
+    def _record_change(self, change: machines.Change) -> None:
         if not isinstance(change, machines.Applied):
             return
         known = self.applied.setdefault(change.index, change.command)
@@ -182,23 +185,23 @@
             self.violations.append(f'two commands at {change.index}')
 
 
-async def _leads(asked: recorder.Recorder) -> bool:
-    if asked.status().role is not core.Role.leader:
+async def _is_confirmed_leader(queried: recorder.Recorder) -> bool:
+    if queried.status().role is not core.Role.leader:
         return False
     try:
-        await asked.read_barrier(1)
+        await queried.read_barrier(1)
     except errors.ConsensusError:
         return False
     return True
 
 
 def address(host_id: ids.HostId) -> ids.Address:
-    """Give the address of a host in the tests."""
+    """Return the address of a host in the tests."""
     return ids.Address('127.0.0.1', sum(host_id.encode()))
 
 
 async def started(seed: int = 0, **sizes: int) -> Cluster:
-    """Start recorders; sizes are those of the log."""
+    """Start a cluster; ``sizes`` are settings of the log."""
     cluster = Cluster(seed, **sizes)
     await cluster.start()
     return cluster
@@ -209,7 +212,7 @@
     count: int,
     prefix: str = 'x',
 ) -> list[bytes]:
-    """Propose commands at once and give them."""
+    """Propose commands concurrently and return them."""
     leading = cluster.nodes[await cluster.leader()].recorder
     commands = [f'{prefix}{number}'.encode() for number in range(count)]
     await asyncio.gather(*(leading.propose(command) for command in commands))
--- a/libs/consensus/geraniumweir/consensus/tests/test_recorders.py
+++ b/libs/consensus/geraniumweir/consensus/tests/test_recorders.py
@@ -1,4 +1,4 @@
-"""What the recorders do about each single failure."""
+"""Behaviour of the recorders at single failures."""
 
 import asyncio
 import errno
@@ -11,19 +11,19 @@
 
 
 def test_commands_are_applied_by_all_in_one_order() -> None:
-    """Proposals made at once come out the same everywhere."""
+    """Concurrent proposals are applied in the same order everywhere."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
         commands = await clusters.fill(cluster, 200)
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied == commands
 
     clusters.run(scenario())
 
 
 def test_proposals_share_syncs() -> None:
-    """A hundred proposals at once cost a recorder a few fsyncs."""
+    """A hundred concurrent proposals cost a recorder only a few fsyncs."""
 
     async def scenario() -> int:
         cluster = await clusters.started()
@@ -35,57 +35,57 @@
     assert clusters.run(scenario()) <= 3
 
 
-def test_silently_cut_leader_says_so_within_two_seconds() -> None:
-    """It takes nothing, says so, and what it answered before stays true."""
+def test_partitioned_leader_steps_down_within_two_seconds() -> None:
+    """It rejects proposals and reads; what it answered before is kept."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
         before = await clusters.fill(cluster, 5)
-        cut = await cluster.leader()
-        node = cluster.nodes[cut]
-        cluster.cut_off(cut)
+        partitioned = await cluster.leader()
+        node = cluster.nodes[partitioned]
+        cluster.partition(partitioned)
         loop = asyncio.get_running_loop()
-        cut_at = loop.time()
+        partitioned_at = loop.time()
         with pytest.raises(errors.UncertainError):
             await node.recorder.propose(b'into the void', 5)
-        assert loop.time() - cut_at < 2
+        assert loop.time() - partitioned_at < 2
         with pytest.raises(errors.NoQuorumError):
             await node.recorder.propose(b'refused')
         with pytest.raises(errors.NoQuorumError):
             await node.recorder.read_barrier()
         assert not node.recorder.status().leader
-        lost = cluster.nodes.pop(cut)
+        lost = cluster.nodes.pop(partitioned)
         after = await clusters.fill(cluster, 5, 'y')
         cluster.network.heal()
-        cluster.nodes[cut] = lost
-        for applied in await cluster.settled():
+        cluster.nodes[partitioned] = lost
+        for applied in await cluster.wait_until_applied():
             assert applied == before + after
 
     clusters.run(scenario())
 
 
-def test_cut_leader_answers_no_barrier() -> None:
-    """Right after the cut, before it stepped down, it confirms no read."""
+def test_partitioned_leader_answers_no_barrier() -> None:
+    """It confirms no read, even before it has stepped down."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
-        cut = await cluster.leader()
-        cluster.cut_off(cut)
+        partitioned = await cluster.leader()
+        cluster.partition(partitioned)
         with pytest.raises(errors.NoQuorumError):
-            await cluster.nodes[cut].recorder.read_barrier(5)
+            await cluster.nodes[partitioned].recorder.read_barrier(5)
 
     clusters.run(scenario())
 
 
 def test_returning_recorder_disturbs_nobody() -> None:
-    """One that was cut off for long raises no term and ends no reign."""
+    """A recorder that was partitioned for long deposes no leader."""
 
     async def scenario() -> tuple[int, int]:
         cluster = await clusters.started()
         leading = await cluster.leader()
         follower = next(name for name in clusters.HOSTS if name != leading)
         term = cluster.nodes[leading].recorder.status().term
-        cluster.cut_off(follower)
+        cluster.partition(follower)
         await asyncio.sleep(30)
         cluster.network.heal()
         await asyncio.sleep(5)
@@ -95,8 +95,8 @@
     assert before == after
 
 
-def test_follower_that_is_not_heard_disturbs_nobody() -> None:
-    """One-way loss towards a follower doesn't end the reign."""
+def test_one_way_loss_to_a_follower_raises_no_term() -> None:
+    """A follower that receives nothing of the leader doesn't depose it."""
 
     async def scenario() -> tuple[int, int]:
         cluster = await clusters.started()
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize('failure', [errno.EIO, errno.ENOSPC])
 def test_leader_with_a_failing_disk_steps_down(failure: int) -> None:
-    """It answers nothing, leads no more and votes no more."""
+    """It answers nothing, is no longer leader and votes no more."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
@@ -130,10 +130,10 @@
         assert node.recorder.status().failure
         cluster.nodes.pop(failed)
         after = await clusters.fill(cluster, 3, 'y')
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied[:3] == before
             assert applied[-3:] == after
-        # Of three, one failed and one is down: its vote must not help.
+        # Of three, one failed and one is down: the failed one must not vote.
         cluster.crash(await cluster.leader())
         await asyncio.sleep(30)
         left = next(iter(cluster.nodes.values()))
@@ -143,7 +143,7 @@
 
 
 def test_graceful_stop_costs_no_election_timeout() -> None:
-    """Another one leads before the shortest election timeout is over."""
+    """Another leader is elected within the minimum election timeout."""
 
     async def scenario() -> float:
         cluster = await clusters.started()
@@ -160,7 +160,7 @@
 
 
 def test_stopped_recorder_answers_nothing() -> None:
-    """It neither votes nor takes entries, though the host is still there."""
+    """It neither votes nor accepts entries, though its host is reachable."""
 
     async def scenario() -> None:
         cluster = await clusters.started()
--- a/libs/consensus/geraniumweir/consensus/tests/test_rules.py
+++ b/libs/consensus/geraniumweir/consensus/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Single rules of agreement, shown to a recorder by scripted peers."""
+"""Single rules of the consensus algorithm, tested with scripted peers."""
 
 import asyncio
 import copy
@@ -13,10 +13,10 @@
 
 
 class Script:
-    """The two other recorders of a cluster, played by the test."""
+    """The two other recorders of a cluster, scripted by the test."""
 
     def __init__(self, cluster: clusters.Cluster, played: ids.HostId) -> None:
-        """Take the place of all recorders but one."""
+        """Replace all recorders but one."""
         self.votes = False
         self.holds = 0
         self.host = played
@@ -26,21 +26,23 @@
         for host_id in clusters.HOSTS:
             if host_id != played:
                 cluster.crash(host_id)
-                way = cluster.network.join(host_id, clusters.address(host_id))
-                way.handle(ttypes.AskVote, self._vote)
-                way.handle(ttypes.AppendEntries, self._append)
-                self.peers.append(way)
+                peer_layer = cluster.network.join(
+                    host_id, clusters.address(host_id)
+                )
+                peer_layer.handle(ttypes.AskVote, self._vote)
+                peer_layer.handle(ttypes.AppendEntries, self._append)
+                self.peers.append(peer_layer)
 
     def other(self) -> str:
-        """Give the identity of the first played recorder."""
+        """Return the identity of the first scripted recorder."""
         host_id = self.peers[0].host_id
         rows = self.node.recorder.status().recorders
         return next(
             row.member.identity for row in rows if row.member.host_id == host_id
         )
 
-    def ask_vote(self, last: entries.Position, term: int) -> ttypes.AskVote:
-        """Make an ask of the first played recorder."""
+    def vote_request(self, last: entries.Position, term: int) -> ttypes.AskVote:
+        """Return a vote request of the first scripted recorder."""
         return ttypes.AskVote(
             self.cluster_name(),
             self.node.identity,
@@ -59,7 +61,7 @@
         term: int,
         commit: int = 0,
     ) -> ttypes.AppendEntries:
-        """Make a message of the first played recorder."""
+        """Return an append message of the first scripted recorder."""
         rows = [
             ttypes.LogEntry(one.index, one.term, one.kind, one.payload)
             for one in new
@@ -76,14 +78,14 @@
         )
 
     def cluster_name(self) -> str:
-        """Give the name of the log."""
+        """Return the identity of the log."""
         core = self.node.recorder.core
         return core.history.current.cluster
 
     async def _vote(
         self,
         _sender: ids.HostId,
-        ask: ttypes.AskVote,
+        request: ttypes.AskVote,
     ) -> ttypes.VoteAnswer:
         return ttypes.VoteAnswer(0, self.votes)
 
@@ -104,7 +106,7 @@
     await cluster.start()
     leading = await cluster.leader()
     await cluster.nodes[leading].recorder.propose(b'first')
-    await cluster.settled()
+    await cluster.wait_until_applied()
     return Script(cluster, leading)
 
 
@@ -114,7 +116,7 @@
 
 
 def test_old_entries_are_not_committed_by_counting() -> None:
-    """A copy of an older term counts only with one of the leader's own."""
+    """Entries of older terms are committed only by one of the own term."""
 
     async def scenario() -> None:
         script = await _scripted(batch_entries=1)
@@ -136,7 +138,7 @@
 
 
 def test_vote_is_for_an_up_to_date_log_only() -> None:
-    """An older last term or a shorter log gets no vote, an equal one does."""
+    """An older last term or a shorter log gets no vote; an equal one does."""
 
     async def scenario() -> list[bool]:
         script = await _scripted()
@@ -150,8 +152,8 @@
         granted = []
         for place, (index, term) in enumerate(asks):
             position = entries.Position(index, term)
-            ask = script.ask_vote(position, last.term + 1 + place)
-            answer = await script.peers[0].call(script.host, ask, 1)
+            request = script.vote_request(position, last.term + 1 + place)
+            answer = await script.peers[0].call(script.host, request, 1)
             granted.append(answer.granted)
         return granted
 
@@ -159,7 +161,7 @@
 
 
 def test_one_vote_in_a_term_also_after_a_crash() -> None:
-    """The vote is durable before it is given."""
+    """The vote is durable before it is answered."""
 
     async def scenario() -> list[bool]:
         cluster = clusters.Cluster()
@@ -168,22 +170,22 @@
         script = Script(cluster, leading)
         await asyncio.sleep(3)
         last = _last(script)
-        ask = script.ask_vote(last, last.term + 1)
-        first = await script.peers[0].call(leading, ask, 1)
+        request = script.vote_request(last, last.term + 1)
+        first = await script.peers[0].call(leading, request, 1)
         cluster.crash(leading)
         script.node = await cluster.boot(leading)
-        ask = script.ask_vote(last, last.term + 1)
-        rival = copy.copy(ask)
+        request = script.vote_request(last, last.term + 1)
+        rival = copy.copy(request)
         rival.candidate = 'another'
         other = await script.peers[1].call(leading, rival, 1)
-        again = await script.peers[0].call(leading, ask, 1)
+        again = await script.peers[0].call(leading, request, 1)
         return [first.granted, other.granted, again.granted]
 
     assert clusters.run(scenario()) == [True, False, True]
 
 
 def test_entries_of_a_leader_that_was_voted_out_are_not_acknowledged() -> None:
-    """A vote given while an append is being synced takes back the append."""
+    """A vote in a newer term, given during a sync, makes the append stale."""
 
     async def scenario() -> int:
         script = await _scripted()
@@ -191,15 +193,15 @@
         last = _last(script)
         entry = entries.Entry(last.index + 1, last.term + 1, 0, b'late')
         message = script.append(last, [entry], last.term + 1)
-        ask = script.ask_vote(
+        request = script.vote_request(
             entries.Position(last.index + 9, last.term + 2),
             last.term + 2,
         )
-        ask.transfer = True
+        request.transfer = True
         first, second = script.peers
         answer, vote = await asyncio.gather(
             first.call(script.host, message, 1),
-            second.call(script.host, ask, 1),
+            second.call(script.host, request, 1),
         )
         assert vote.granted
         return answer.outcome
@@ -207,8 +209,8 @@
     assert clusters.run(scenario()) == ttypes.Outcome.stale_term
 
 
-def test_late_message_cuts_off_nothing() -> None:
-    """A repeat of older entries leaves newer ones in place."""
+def test_late_message_truncates_nothing() -> None:
+    """A repeated message with older entries keeps newer ones."""
 
     async def scenario() -> None:
         script = await _scripted()
@@ -219,10 +221,10 @@
             entries.Entry(last.index + 1 + place, term, 0, b'%d' % place)
             for place in range(3)
         ]
-        way = script.peers[0]
-        await way.call(script.host, script.append(last, new, term), 1)
+        peer_layer = script.peers[0]
+        await peer_layer.call(script.host, script.append(last, new, term), 1)
         repeat = script.append(last, new[:1], term)
-        answer = await way.call(script.host, repeat, 1)
+        answer = await peer_layer.call(script.host, repeat, 1)
         assert answer.index == last.index + 1
         assert _last(script).index == last.index + 3
 
@@ -230,7 +232,7 @@
 
 
 def test_only_what_matches_is_committed() -> None:
-    """A commit index beyond what the message shows is not believed."""
+    """A commit index beyond the entries that match is not adopted."""
 
     async def scenario() -> None:
         script = await _scripted()
@@ -238,10 +240,12 @@
         last = _last(script)
         term = last.term + 1
         stale = entries.Entry(last.index + 1, term, 0, b'stale')
-        way = script.peers[0]
-        await way.call(script.host, script.append(last, [stale], term), 1)
+        peer_layer = script.peers[0]
+        await peer_layer.call(
+            script.host, script.append(last, [stale], term), 1
+        )
         beyond = script.append(last, [], term + 1, last.index + 1)
-        await way.call(script.host, beyond, 1)
+        await peer_layer.call(script.host, beyond, 1)
         assert script.node.recorder.status().commit == last.index
         assert b'stale' not in script.node.machine.commands
 
@@ -249,7 +253,7 @@
 
 
 def test_leader_counts_its_own_copy_only_once_synced() -> None:
-    """With one follower's copy a commit waits for the leader's fsync."""
+    """With one follower's copy, a commit waits for the leader's fsync."""
 
     async def scenario() -> tuple[bool, bool]:
         script = await _scripted()
--- a/libs/consensus/geraniumweir/consensus/tests/test_snapshots.py
+++ b/libs/consensus/geraniumweir/consensus/tests/test_snapshots.py
@@ -1,4 +1,4 @@
-"""The log stays small, and nobody misses what was cut off it."""
+"""Snapshots, log compaction and followers that need compacted entries."""
 
 import asyncio
 import contextlib
@@ -11,12 +11,13 @@
 _COW = clusters.HOSTS[2]
 _BIG = b'd' * 1000
 _MANY = 1000
-# The bounds of the test, and what comes in while a snapshot is written.
-_MOST_HELD = 8000 + 3000 + 4 * 1004
+# Snapshot and trailing bytes of the test, and the entries that arrive while a
+# snapshot is written.
+_MAX_HELD_BYTES = 8000 + 3000 + 4 * 1004
 
 
 def test_late_follower_catches_up_by_snapshot() -> None:
-    """Pieces, a compacted log, and entries behind the snapshot."""
+    """A follower gets the snapshot in chunks, then the entries after it."""
 
     async def scenario() -> None:
         cluster = await clusters.started(
@@ -36,7 +37,7 @@
             cluster.nodes[leading].recorder.read_entries(0, 10)
         cluster.network.loss = 0.05
         await cluster.boot(late)
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied == commands
         assert cluster.nodes[late].recorder.snapshot().index > 0
 
@@ -44,7 +45,7 @@
 
 
 def test_log_of_big_commands_stays_small() -> None:
-    """Cut by bytes long before the number of entries would cut it."""
+    """The log is compacted by bytes long before the limit of entries."""
 
     async def scenario() -> None:
         cluster = await clusters.started(
@@ -57,28 +58,28 @@
         for number in range(40):
             commands.append(b'%d:' % number + _BIG)
             await cluster.nodes[leading].recorder.propose(commands[-1])
-            assert _held(cluster, leading) < _MOST_HELD
+            assert _held(cluster, leading) < _MAX_HELD_BYTES
         with pytest.raises(errors.CompactedError):
             cluster.nodes[leading].recorder.read_entries(0, 10)
         await cluster.boot(late)
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied == commands
         assert cluster.nodes[late].recorder.snapshot().index > 0
-        # The one that took the snapshot in cuts its log by itself, too.
+        # The recorder that installed the snapshot compacts its own log, too.
         for number in range(40, 60):
             commands.append(b'%d:' % number + _BIG)
             await cluster.nodes[leading].recorder.propose(commands[-1])
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied == commands
         await asyncio.sleep(1)
         for host_id in clusters.HOSTS:
-            assert 0 < _held(cluster, host_id) < _MOST_HELD
+            assert 0 < _held(cluster, host_id) < _MAX_HELD_BYTES
 
     clusters.run(scenario())
 
 
-def test_tail_fits_its_bytes_or_is_empty() -> None:
-    """A single entry above the bound isn't kept, and nothing is lost."""
+def test_retained_entries_fit_their_bytes_or_none_are_retained() -> None:
+    """A single entry above the limit isn't retained, and none is lost."""
 
     async def scenario() -> None:
         cluster = await clusters.started(
@@ -88,7 +89,7 @@
         leading = cluster.nodes[await cluster.leader()].recorder
         for command in commands:
             await leading.propose(command)
-        await cluster.settled()
+        await cluster.wait_until_applied()
         index = await leading.take_snapshot()
         assert not leading.read_entries(index, 10)
         with pytest.raises(errors.CompactedError):
@@ -96,14 +97,14 @@
         for host_id in clusters.HOSTS:
             cluster.crash(host_id)
         await cluster.start()
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied == commands
 
     clusters.run(scenario())
 
 
 def _held(cluster: clusters.Cluster, host_id: ids.HostId) -> int:
-    """Give the bytes of the entries that a recorder still has in its log."""
+    """Return the bytes of the entries that a recorder has in its log."""
     asked = cluster.nodes[host_id].recorder
     after = asked.status().applied
     held = 0
@@ -118,15 +119,15 @@
 
 
 def test_client_reads_snapshot_and_entries() -> None:
-    """A host without a disk gets everything from any recorder."""
+    """A host without a disk can read the complete log from any recorder."""
 
     async def scenario() -> None:
         cluster = await clusters.started(piece_bytes=7)
         before = await clusters.fill(cluster, 10)
-        await cluster.settled()
+        await cluster.wait_until_applied()
         index = await cluster.nodes[_COW].recorder.take_snapshot()
         after = await clusters.fill(cluster, 3, 'y')
-        await cluster.settled()
+        await cluster.wait_until_applied()
         reader = cluster.client()
         covered, state = await reader.fetch_snapshot(_COW)
         assert covered == index
@@ -138,8 +139,8 @@
     clusters.run(scenario())
 
 
-def test_all_restart_with_everything() -> None:
-    """After a power cut of all, all that was answered is there."""
+def test_answered_commands_survive_a_restart_of_all() -> None:
+    """After a power failure of all hosts no answered command is lost."""
 
     async def scenario() -> None:
         cluster = await clusters.started(
@@ -149,16 +150,14 @@
         for host_id in clusters.HOSTS:
             cluster.crash(host_id)
         await cluster.start()
-        for applied in await cluster.settled():
+        for applied in await cluster.wait_until_applied():
             assert applied == commands
 
     clusters.run(scenario())
 
 
-def test_snapshot_of_a_leader_that_hears_no_answer_makes_nobody_current() -> (
-    None
-):
-    """It is sent again and again, and is older than what is committed."""
+def test_snapshot_of_a_leader_without_answers_makes_no_one_current() -> None:
+    """It is sent repeatedly, and is older than the commit index."""
 
     async def scenario() -> None:
         cluster = await clusters.started(
--- a/libs/daemon/geraniumweir/daemon/joined.py
+++ b/libs/daemon/geraniumweir/daemon/joined.py
@@ -231,7 +231,7 @@
     subscriptions = (
         joined.members.happenings.subscribe(member_reports.log),
         joined.members.changes.subscribe(
-            lambda _: joined.log.know(joined.neighbours.recorders()),
+            lambda _: joined.log.add_hosts(joined.neighbours.recorders()),
         ),
         joined.members.registry.changes.subscribe(
             lambda event: _notify_leader(host, event),
