--- a/libs/daemon/geraniumweir/daemon/joined.py
+++ b/libs/daemon/geraniumweir/daemon/joined.py
@@ -30,7 +30,7 @@
     settings,
 )
 from geraniumweir.daemon import host as entry_host
-from geraniumweir.membership import hosts, knowledge, membership, servers
+from geraniumweir.membership import hosts, membership, servers, shared_state
 from geraniumweir.membership import reports as member_reports
 from geraniumweir.scheduling import (
     broker,
@@ -165,7 +165,7 @@
     )
     others = (*cfg.peers, *cfg.recorders.values())
     seeds = tuple(one for one in others if one != cfg.peer_address)
-    options = knowledge.Options(seeds=seeds)
+    options = shared_state.Options(seeds=seeds)
     return membership.Membership(me, peer_layer, host.timers, options)
 
 
--- a/libs/fakes/geraniumweir/fakes/bench_membership.py
+++ b/libs/fakes/geraniumweir/fakes/bench_membership.py
@@ -18,10 +18,10 @@
 from geraniumweir.fakes import countingpeers
 from geraniumweir.membership import (
     hosts,
-    knowledge,
     membership,
     poolsummaries,
     servers,
+    shared_state,
     suspicion,
 )
 from geraniumweir.wire import memory, peers
@@ -173,7 +173,7 @@
         network.join(host.host_id, address), weigh
     )
     seeds = (ids.Address('10.0.0.1', 1),)
-    options = knowledge.Options(seeds, timing, number)
+    options = shared_state.Options(seeds, timing, number)
     member = membership.Membership(
         host,
         layer,
--- a/libs/membership/geraniumweir/membership/digests.py
+++ b/libs/membership/geraniumweir/membership/digests.py
@@ -7,7 +7,13 @@
 """
 
 from geraniumweir.common import ids
-from geraniumweir.membership import delegates, hosts, knowledge, pools, rosters
+from geraniumweir.membership import (
+    delegates,
+    hosts,
+    pools,
+    rosters,
+    shared_state,
+)
 from geraniumweir.wire.gen.membership import ttypes
 
 DIGEST_SECONDS = 1.0
@@ -18,7 +24,7 @@
 
     def __init__(
         self,
-        known: knowledge.Knowledge,
+        known: shared_state.SharedState,
         lists: rosters.Rosters,
         summaries: pools.Pools,
     ) -> None:
@@ -26,9 +32,9 @@
         self._known = known
         self._lists = lists
         self._pools = summaries
-        self._answers = knowledge.Limiter(DIGEST_SECONDS)
-        self._introductions = knowledge.Limiter(2 * DIGEST_SECONDS)
-        self._pulls = knowledge.Limiter(DIGEST_SECONDS)
+        self._answers = shared_state.Limiter(DIGEST_SECONDS)
+        self._introductions = shared_state.Limiter(2 * DIGEST_SECONDS)
+        self._pulls = shared_state.Limiter(DIGEST_SECONDS)
         known.peers.handle(ttypes.Digest, self._on_digest)
 
     def tick(self, count: int) -> None:
--- a/libs/membership/geraniumweir/membership/heartbeats.py
+++ b/libs/membership/geraniumweir/membership/heartbeats.py
@@ -13,9 +13,9 @@
 from geraniumweir.membership import (
     cards,
     hosts,
-    knowledge,
     members,
     rosters,
+    shared_state,
 )
 from geraniumweir.wire.gen.membership import ttypes
 
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        known: knowledge.Knowledge,
+        known: shared_state.SharedState,
         lists: rosters.Rosters,
         seed: int,
     ) -> None:
@@ -52,7 +52,7 @@
         self._known = known
         self._lists = lists
         self._random = random.Random(seed)  # noqa: S311
-        self._pulls = knowledge.Limiter(known.timing.period)
+        self._pulls = shared_state.Limiter(known.timing.period)
         self._last = known.now()
         self.leases: LeaseCarrier | None = None
         known.peers.handle(ttypes.Heartbeat, self._on_heartbeat)
--- a/libs/membership/geraniumweir/membership/membership.py
+++ b/libs/membership/geraniumweir/membership/membership.py
@@ -17,11 +17,11 @@
     digests,
     heartbeats,
     hosts,
-    knowledge,
     pools,
     reports,
     rosters,
     seeds,
+    shared_state,
     sharing,
     spreading,
 )
@@ -44,11 +44,11 @@
         me: hosts.Host,
         peer_layer: peers.Peers,
         timer_service: timers.TimerService,
-        options: knowledge.Options | None = None,
+        options: shared_state.Options | None = None,
     ) -> None:
         """Build the parts; nothing is sent before :meth:`start`."""
-        self._options = options or knowledge.Options()
-        self._known = knowledge.Knowledge(
+        self._options = options or shared_state.Options()
+        self._known = shared_state.SharedState(
             me,
             peer_layer,
             timer_service,
--- a/libs/membership/geraniumweir/membership/pools.py
+++ b/libs/membership/geraniumweir/membership/pools.py
@@ -9,7 +9,7 @@
 import typing
 
 from geraniumweir.common import ids
-from geraniumweir.membership import knowledge, poolsummaries
+from geraniumweir.membership import poolsummaries, shared_state
 from geraniumweir.wire.gen.membership import ttypes
 
 REFRESH_TICKS = 10
@@ -25,7 +25,7 @@
     :ivar beyond: of the other domains.
     """
 
-    def __init__(self, known: knowledge.Knowledge) -> None:
+    def __init__(self, known: shared_state.SharedState) -> None:
         """Register the handlers."""
         self._known = known
         self.inside = poolsummaries.Board(known.me.incarnation)
@@ -33,7 +33,7 @@
         self._published: dict[ids.PoolName, poolsummaries.PoolSummary] = {}
         self._due: set[ids.PoolName] = set()
         self._got: dict[tuple[ids.HostId, bool], tuple[int, int]] = {}
-        self._pulls = knowledge.Limiter(PULL_SECONDS)
+        self._pulls = shared_state.Limiter(PULL_SECONDS)
         self._wanted_until = float(0)
         known.peers.handle(ttypes.SummaryUpdate, self._on_update)
         known.peers.handle(ttypes.SummariesRequest, self._on_request)
--- a/libs/membership/geraniumweir/membership/rosters.py
+++ b/libs/membership/geraniumweir/membership/rosters.py
@@ -8,7 +8,7 @@
 import typing
 
 from geraniumweir.common import ids
-from geraniumweir.membership import cards, hosts, knowledge
+from geraniumweir.membership import cards, hosts, shared_state
 from geraniumweir.wire.gen.membership import ttypes
 
 MAX_CARDS = 4096
@@ -17,11 +17,11 @@
 class Rosters:
     """Answers and takes in lists of hosts."""
 
-    def __init__(self, known: knowledge.Knowledge) -> None:
+    def __init__(self, known: shared_state.SharedState) -> None:
         """Register the handlers."""
         self._known = known
-        self._repairs = knowledge.Limiter(4 * known.timing.period)
-        self._cards = knowledge.Limiter(known.timing.period)
+        self._repairs = shared_state.Limiter(4 * known.timing.period)
+        self._cards = shared_state.Limiter(known.timing.period)
         known.peers.handle(ttypes.RosterRequest, self._on_request)
         known.peers.handle(ttypes.Roster, self._on_roster)
         known.peers.handle(ttypes.Greeting, self._on_greeting)
--- a/libs/membership/geraniumweir/membership/seeds.py
+++ b/libs/membership/geraniumweir/membership/seeds.py
@@ -10,7 +10,7 @@
 import dataclasses
 
 from geraniumweir.common import ids
-from geraniumweir.membership import errors, knowledge, rosters
+from geraniumweir.membership import errors, rosters, shared_state
 from geraniumweir.wire import errors as wire_errors
 from reactivex import subject
 
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        known: knowledge.Knowledge,
+        known: shared_state.SharedState,
         lists: rosters.Rosters,
         addresses: tuple[ids.Address, ...],
     ) -> None:
--- a/libs/membership/geraniumweir/membership/knowledge.py
+++ b/libs/membership/geraniumweir/membership/shared_state.py
@@ -94,7 +94,7 @@
         return True
 
 
-class Knowledge:
+class SharedState:
     """One host's peers, clock and what it knows of others."""
 
     def __init__(
--- a/libs/membership/geraniumweir/membership/sharing.py
+++ b/libs/membership/geraniumweir/membership/sharing.py
@@ -15,11 +15,11 @@
 from geraniumweir.common import ids
 from geraniumweir.membership import (
     hosts,
-    knowledge,
     limits,
     members,
     servercards,
     servers,
+    shared_state,
 )
 from geraniumweir.wire.gen.membership import ttypes
 
@@ -48,7 +48,7 @@
     :ivar registry: the servers of the domain.
     """
 
-    def __init__(self, known: knowledge.Knowledge) -> None:
+    def __init__(self, known: shared_state.SharedState) -> None:
         """Register the handlers."""
         self._known = known
         self.registry = servers.Registry(known.me.failure_domain)
--- a/libs/membership/geraniumweir/membership/spreading.py
+++ b/libs/membership/geraniumweir/membership/spreading.py
@@ -6,14 +6,14 @@
 """
 
 from geraniumweir.common import ids
-from geraniumweir.membership import delegates, knowledge, members, notices
+from geraniumweir.membership import delegates, members, notices, shared_state
 from geraniumweir.wire.gen.membership import ttypes
 
 
 class Spreading:
     """Sends notices and takes them in."""
 
-    def __init__(self, known: knowledge.Knowledge) -> None:
+    def __init__(self, known: shared_state.SharedState) -> None:
         """Register the handlers."""
         self._known = known
         known.peers.handle(ttypes.NoticesRequest, self._on_request)
--- a/libs/membership/geraniumweir/membership/tests/cluster.py
+++ b/libs/membership/geraniumweir/membership/tests/cluster.py
@@ -7,7 +7,7 @@
 
 import reactivex
 from geraniumweir.common import ids, timers
-from geraniumweir.membership import hosts, knowledge, membership, servers
+from geraniumweir.membership import hosts, membership, servers, shared_state
 from geraniumweir.wire import memory, peers
 from reactivex import disposable
 
@@ -121,7 +121,7 @@
             self.network.join(ids.HostId(name), address),
         )
         clock = StallingTimers()
-        options = knowledge.Options(
+        options = shared_state.Options(
             seeds=tuple(self._addresses[seed] for seed in seeds),
             seed=number,
         )
--- a/libs/membership/geraniumweir/membership/tests/test_tcp.py
+++ b/libs/membership/geraniumweir/membership/tests/test_tcp.py
@@ -6,9 +6,9 @@
 from geraniumweir.common import ids, logevents, timers
 from geraniumweir.membership import (
     hosts,
-    knowledge,
     membership,
     reports,
+    shared_state,
     suspicion,
 )
 from geraniumweir.wire import tcp
@@ -34,7 +34,7 @@
         host,
         layer,
         timers.TimerService(),
-        knowledge.Options(seeds, _FAST),
+        shared_state.Options(seeds, _FAST),
     )
     await member.start()
     return layer, member
