--- a/libs/daemon/geraniumweir/daemon/joined.py
+++ b/libs/daemon/geraniumweir/daemon/joined.py
@@ -227,7 +227,7 @@
     stack.callback(publisher.close)
     _follow(joined, stack)
     subscriptions = (
-        joined.members.happenings.subscribe(member_reports.log),
+        joined.members.reported_events.subscribe(member_reports.log),
         joined.members.changes.subscribe(
             lambda _: joined.log.know(joined.neighbours.recorders()),
         ),
--- a/libs/daemon/geraniumweir/daemon/publishing.py
+++ b/libs/daemon/geraniumweir/daemon/publishing.py
@@ -79,7 +79,7 @@
     def _spread(self, cases: typing.Sequence[suspects.Case]) -> None:
         seconds = max(case.seconds for case in cases)
         try:
-            self._members.spread(case_encoding.write(cases), seconds)
+            self._members.broadcast(case_encoding.write(cases), seconds)
         except member_errors.NoticeError as exc:
             # They stay new, and are tried again.
             eventlog.emit(logevents.CASES_NOT_SPREAD, reason=exc.message)
--- a/libs/fakes/geraniumweir/fakes/bench_detection.py
+++ b/libs/fakes/geraniumweir/fakes/bench_detection.py
@@ -71,7 +71,7 @@
     for node in nodes:
         note = functools.partial(_note, heard, node.peers.host_id)
         node.member.notices.subscribe(note)
-    nodes[_VICTIM].member.spread(b'fingerprint', _LONGEST)
+    nodes[_VICTIM].member.broadcast(b'fingerprint', _LONGEST)
     return await _until(lambda: len(heard) == len(nodes))
 
 
--- a/libs/membership/geraniumweir/membership/membership.py
+++ b/libs/membership/geraniumweir/membership/membership.py
@@ -88,7 +88,7 @@
         )
 
     @property
-    def happenings(self) -> reactivex.Observable[reports.Reported]:
+    def reported_events(self) -> reactivex.Observable[reports.Reported]:
         """Give all that is worth a line in the log."""
         return reactivex.merge(
             self.changes,
@@ -132,13 +132,13 @@
             return True
         return self._known.outside.is_live(host_id)
 
-    def spread(self, payload: bytes, seconds: float) -> None:
+    def broadcast(self, payload: bytes, seconds: float) -> None:
         """Let every host hear of some opaque bytes within a second or two.
 
         :param seconds: how long they count.
         :raises errors.NoticeError: when they are too many.
         """
-        self._spreading.spread(payload, seconds)
+        self._spreading.broadcast(payload, seconds)
 
     def set_roles(self, roles: hosts.Role) -> None:
         """Change this host's roles, such as draining; told at once."""
--- a/libs/membership/geraniumweir/membership/spreading.py
+++ b/libs/membership/geraniumweir/membership/spreading.py
@@ -19,7 +19,7 @@
         known.peers.handle(ttypes.NoticesRequest, self._on_request)
         known.peers.handle(ttypes.Notices, self._on_notices)
 
-    def spread(self, payload: bytes, seconds: float) -> None:
+    def broadcast(self, payload: bytes, seconds: float) -> None:
         """Let every host hear of some bytes.
 
         :param payload: opaque; at most ``notices.MAX_PAYLOAD`` bytes.
--- a/libs/membership/geraniumweir/membership/tests/test_domains.py
+++ b/libs/membership/geraniumweir/membership/tests/test_domains.py
@@ -143,7 +143,7 @@
         for process in found.processes.values():
             heard.append([])
             process.member.notices.subscribe(heard[-1].append)
-        found['b3'].spread(b'fingerprint', 60)
+        found['b3'].broadcast(b'fingerprint', 60)
         await asyncio.sleep(1)
         return heard
 
@@ -162,7 +162,7 @@
             process.member.notices.subscribe(heard[-1].append)
         found.cut(_names(found, 'a'), _names(found, 'b'))
         found.network.loss = 0.5
-        found['a1'].spread(b'one', 60)
+        found['a1'].broadcast(b'one', 60)
         await asyncio.sleep(5)
         found.network.loss = 0
         found.network.heal()
@@ -182,7 +182,7 @@
     async def main() -> list[bytes]:
         found = await cluster.domains_of('a', 'b', count=3)
         await asyncio.sleep(5)
-        found['a1'].spread(b'one', 4)
+        found['a1'].broadcast(b'one', 4)
         await asyncio.sleep(6)
         late = await found.start('b3', 'b0')
         heard: list[bytes] = []
--- a/libs/membership/geraniumweir/membership/tests/test_tcp.py
+++ b/libs/membership/geraniumweir/membership/tests/test_tcp.py
@@ -59,7 +59,7 @@
         rest = [await _start(name, seeds) for name in ('a1', 'a2', 'b0')]
         members = [first[1], *(member for _, member in rest)]
         logged: list[logevents.Event] = []
-        first[1].happenings.subscribe(
+        first[1].reported_events.subscribe(
             lambda happened: logged.append(reports.describe(happened)[0]),
         )
         await _until(lambda: _sizes(members) == {4})
