--- a/libs/membership/geraniumweir/membership/cards.py
+++ b/libs/membership/geraniumweir/membership/cards.py
@@ -7,8 +7,8 @@
 from geraniumweir.membership import errors, hosts
 from geraniumweir.wire.gen.membership import ttypes
 
-_SIGN = 0x80000000
-_WRAP = 0x100000000
+_SIGN_BIT = 0x80000000
+_MODULUS = 0x100000000
 _MAX_NAME = 256
 
 
@@ -49,17 +49,17 @@
         f'{host.host_id} {host.incarnation} {host.roles.value} {host.address}'
         for host in members
     )
-    return hash_of('\n'.join(lines))
+    return signed_crc32('\n'.join(lines))
 
 
-def hash_of(text: str) -> int:
+def signed_crc32(text: str) -> int:
     """Give the CRC-32 of a text as a signed number that is not 0.
 
-    >>> hash_of('')
+    >>> signed_crc32('')
     1
     """
     crc = zlib.crc32(text.encode()) or 1
-    return crc - _WRAP if crc >= _SIGN else crc
+    return crc - _MODULUS if crc >= _SIGN_BIT else crc
 
 
 def _read(card: ttypes.HostCard) -> hosts.Host:
--- a/libs/membership/geraniumweir/membership/digests.py
+++ b/libs/membership/geraniumweir/membership/digests.py
@@ -24,53 +24,53 @@
 
     def __init__(
         self,
-        known: shared_state.SharedState,
-        lists: rosters.Rosters,
+        shared: shared_state.SharedState,
+        roster_exchange: rosters.RosterExchange,
         summaries: pools.Pools,
     ) -> None:
         """Register the handler."""
-        self._known = known
-        self._lists = lists
+        self._shared = shared
+        self._roster_exchange = roster_exchange
         self._pools = summaries
-        self._answers = shared_state.Limiter(DIGEST_SECONDS)
-        self._introductions = shared_state.Limiter(2 * DIGEST_SECONDS)
-        self._pulls = shared_state.Limiter(DIGEST_SECONDS)
-        known.peers.handle(ttypes.Digest, self._on_digest)
+        self._reply_limiter = shared_state.Limiter(DIGEST_SECONDS)
+        self._introduction_limiter = shared_state.Limiter(2 * DIGEST_SECONDS)
+        self._pull_limiter = shared_state.Limiter(DIGEST_SECONDS)
+        shared.peers.handle(ttypes.Digest, self._on_digest)
 
     def tick(self, count: int) -> None:
         """Tell the other domains; delegates only.
 
         :param count: of ticks.
         """
-        if not self._known.is_delegate():
+        if not self._shared.is_delegate():
             return
         message = self._message()
-        for domain in self._known.outside.domains():
+        for domain in self._shared.outside.domains():
             for host in self._targets(domain, count):
-                self._known.peers.send(host.host_id, message)
+                self._shared.peers.send(host.host_id, message)
 
     def _targets(
         self,
         domain: ids.FailureDomain,
         count: int,
     ) -> tuple[hosts.Host, ...]:
-        live = self._known.outside.live(domain)
+        live = self._shared.outside.live(domain)
         if live:
             return delegates.delegates(live)
-        contacts = self._known.outside.domain(domain).contacts
+        contacts = self._shared.outside.domain(domain).contacts
         if not contacts:
             return ()
         return (contacts[count % len(contacts)],)
 
     def _message(self) -> ttypes.Digest:
-        newest = self._known.progress.newest
+        newest = self._shared.progress.newest
         return ttypes.Digest(
-            failure_domain=self._known.me.failure_domain,
-            roster=self._known.members.roster,
-            pools=self._pools.inside.version,
+            failure_domain=self._shared.me.failure_domain,
+            roster=self._shared.members.roster,
+            pools=self._pools.own_domain.version,
             log_index=newest.log_index or None,
             version=newest.version or None,
-            notices=self._known.notices.fingerprint(self._known.now()),
+            notices=self._shared.notices.fingerprint(self._shared.now()),
         )
 
     async def _on_digest(
@@ -79,18 +79,20 @@
         message: ttypes.Digest,
     ) -> None:
         domain = ids.FailureDomain(message.failure_domain)
-        if domain == self._known.me.failure_domain:
+        if domain == self._shared.me.failure_domain:
             return
-        now = self._known.now()
-        if self._known.outside.fresh(domain, sender, message.roster, now):
-            self._lists.ask(sender, domain)
-        self._known.progress.raise_to(message.log_index, message.version)
+        now = self._shared.now()
+        if self._shared.outside.refresh(domain, sender, message.roster, now):
+            self._roster_exchange.request_roster(sender, domain)
+        self._shared.progress.raise_to(message.log_index, message.version)
         self._introduce(sender, domain, message.roster)
         self._compare(sender, message)
         # The sender's view of this domain is old where it took this host for
         # a delegate; the answer tells it so.
-        if not self._known.is_delegate() and self._answers.allows(sender, now):
-            self._known.peers.send(sender, self._message())
+        if not self._shared.is_delegate() and self._reply_limiter.allows(
+            sender, now
+        ):
+            self._shared.peers.send(sender, self._message())
 
     def _introduce(
         self,
@@ -102,25 +104,25 @@
 
         So hosts of one domain find each other that joined by seeds elsewhere.
         """
-        if self._known.outside.domain(domain).roster == roster:
+        if self._shared.outside.domain(domain).roster == roster:
             return
-        if self._introductions.allows(sender, self._known.now()):
-            self._lists.tell(sender, domain)
+        if self._introduction_limiter.allows(sender, self._shared.now()):
+            self._roster_exchange.send_roster(sender, domain)
 
     def _compare(self, sender: ids.HostId, message: ttypes.Digest) -> None:
-        now = self._known.now()
-        noticed = self._known.notices.fingerprint(now)
-        if message.notices and message.notices != noticed:
-            if self._pulls.allows(sender, now):
-                self._known.peers.send(sender, ttypes.NoticesRequest())
+        now = self._shared.now()
+        own_notices = self._shared.notices.fingerprint(now)
+        if message.notices and message.notices != own_notices:
+            if self._pull_limiter.allows(sender, now):
+                self._shared.peers.send(sender, ttypes.NoticesRequest())
         domain = ids.FailureDomain(message.failure_domain)
         if sender == self._preferred(domain):
             self._pools.compare(sender, message.pools)
 
     def _preferred(self, domain: ids.FailureDomain) -> ids.HostId | None:
         """Choose which delegate of a domain to get its summaries from."""
-        sources = sorted(self._known.outside.domain(domain).sources)
-        chosen = [host.host_id for host in self._known.delegates()]
-        me = self._known.me.host_id
+        sources = sorted(self._shared.outside.domain(domain).sources)
+        chosen = [host.host_id for host in self._shared.delegates()]
+        me = self._shared.me.host_id
         rank = chosen.index(me) if me in chosen else 0
         return sources[rank % len(sources)] if sources else None
--- a/libs/membership/geraniumweir/membership/heartbeats.py
+++ b/libs/membership/geraniumweir/membership/heartbeats.py
@@ -19,8 +19,8 @@
 )
 from geraniumweir.wire.gen.membership import ttypes
 
-_DEAD_EVERY = 10
-_MILLIS = 1000
+_DEAD_HEARTBEAT_TICKS = 10
+_MS_PER_SECOND = 1000
 _MAX_AGE_MS = 60_000
 
 Renewals = list[ttypes.Renewal]
@@ -41,40 +41,40 @@
 
     def __init__(
         self,
-        known: shared_state.SharedState,
-        lists: rosters.Rosters,
+        shared: shared_state.SharedState,
+        roster_exchange: rosters.RosterExchange,
         seed: int,
     ) -> None:
         """Register the handlers.
 
         :param seed: of the choice of witnesses.
         """
-        self._known = known
-        self._lists = lists
+        self._shared = shared
+        self._roster_exchange = roster_exchange
         self._random = random.Random(seed)  # noqa: S311
-        self._pulls = shared_state.Limiter(known.timing.period)
-        self._last = known.now()
+        self._pull_limiter = shared_state.Limiter(shared.timing.period)
+        self._last_tick_at = shared.now()
         self.leases: LeaseCarrier | None = None
-        known.peers.handle(ttypes.Heartbeat, self._on_heartbeat)
-        known.peers.handle(ttypes.Inquiry, self._on_inquiry)
-        known.peers.handle(ttypes.Voucher, self._on_voucher)
-        known.peers.handle(ttypes.Farewell, self._on_farewell)
-        known.peers.handle(ttypes.OutsideRequest, self._on_outside_request)
-        known.peers.handle(ttypes.OutsideList, self._on_outside_list)
+        shared.peers.handle(ttypes.Heartbeat, self._on_heartbeat)
+        shared.peers.handle(ttypes.Inquiry, self._on_inquiry)
+        shared.peers.handle(ttypes.Voucher, self._on_voucher)
+        shared.peers.handle(ttypes.Farewell, self._on_farewell)
+        shared.peers.handle(ttypes.OutsideRequest, self._on_outside_request)
+        shared.peers.handle(ttypes.OutsideList, self._on_outside_list)
 
     def tick(self, count: int) -> None:
         """Judge the others, then send to them.
 
         :param count: of ticks; the long dead are sent to only now and then.
         """
-        now = self._known.now()
+        now = self._shared.now()
         self._notice_stall(now)
-        self._known.members.judge(now)
-        self._known.outside.sweep(now)
-        self.beat(with_dead=count % _DEAD_EVERY == 0)
-        self._inquire()
+        self._shared.members.evaluate(now)
+        self._shared.outside.sweep(now)
+        self.send_heartbeats(with_dead=count % _DEAD_HEARTBEAT_TICKS == 0)
+        self._send_inquiries()
 
-    def beat(self, *, with_dead: bool = False) -> None:
+    def send_heartbeats(self, *, with_dead: bool = False) -> None:
         """Send one heartbeat to all hosts of the domain."""
         states = [
             members.State.candidate,
@@ -84,52 +84,52 @@
         if with_dead:
             states.append(members.State.dead)
         message = self._message()
-        for host in self._known.members.others(*states):
-            self._known.peers.send(host.host_id, message)
+        for host in self._shared.members.others(*states):
+            self._shared.peers.send(host.host_id, message)
 
-    def farewell(self) -> None:
+    def send_farewell(self) -> None:
         """Tell the domain that this host stops."""
-        message = ttypes.Farewell(self._known.me.incarnation)
-        counted = (members.State.live, members.State.suspected)
-        for host in self._known.members.others(*counted):
-            self._known.peers.send(host.host_id, message)
+        message = ttypes.Farewell(self._shared.me.incarnation)
+        view_states = (members.State.live, members.State.suspected)
+        for host in self._shared.members.others(*view_states):
+            self._shared.peers.send(host.host_id, message)
 
     def _message(self) -> ttypes.Heartbeat:
-        known = self._known
+        shared = self._shared
         outside = None
-        if known.is_delegate():
-            outside = _fingerprint(known.outside.entries())
+        if shared.is_delegate():
+            outside = _fingerprint(shared.outside.entries())
         return ttypes.Heartbeat(
-            incarnation=known.me.incarnation,
-            hears=known.members.hears,
-            roster=known.members.roster,
-            roles=known.me.roles.value or None,
+            incarnation=shared.me.incarnation,
+            hears=shared.members.reachable_count,
+            roster=shared.members.roster,
+            roles=shared.me.roles.value or None,
             outside=outside,
-            log_index=known.progress.newest.log_index or None,
-            version=known.progress.newest.version or None,
-            notices=known.notices.fingerprint(known.now()),
+            log_index=shared.progress.newest.log_index or None,
+            version=shared.progress.newest.version or None,
+            notices=shared.notices.fingerprint(shared.now()),
             renewed=(self.leases and self.leases.renewals()) or None,
         )
 
     def _notice_stall(self, now: float) -> None:
-        gap = now - self._last - self._known.timing.period
-        self._last = now
-        if gap < self._known.timing.stall:
+        gap = now - self._last_tick_at - self._shared.timing.period
+        self._last_tick_at = now
+        if gap < self._shared.timing.stall:
             return
-        self._known.members.suspicion.excuse(gap, now)
-        self._known.outside.excuse(gap, now)
-        self._known.members.changes.on_next(
-            hosts.SelfStalled(self._known.me, gap),
+        self._shared.members.suspicion.shift_forward(gap, now)
+        self._shared.outside.shift_forward(gap, now)
+        self._shared.members.changes.on_next(
+            hosts.SelfStalled(self._shared.me, gap),
         )
 
-    def _inquire(self) -> None:
-        live = self._known.members.others(members.State.live)
-        for suspect in self._known.members.others(members.State.suspected):
+    def _send_inquiries(self) -> None:
+        live = self._shared.members.others(members.State.live)
+        for suspect in self._shared.members.others(members.State.suspected):
             message = ttypes.Inquiry(suspect.host_id, suspect.incarnation)
-            count = min(self._known.timing.witnesses, len(live))
-            asked = self._random.sample(live, count)
-            for witness in asked:
-                self._known.peers.send(witness.host_id, message)
+            count = min(self._shared.timing.witnesses, len(live))
+            chosen = self._random.sample(live, count)
+            for witness in chosen:
+                self._shared.peers.send(witness.host_id, message)
 
     async def _on_heartbeat(
         self,
@@ -137,45 +137,49 @@
         message: ttypes.Heartbeat,
     ) -> None:
         incarnation = ids.Incarnation(message.incarnation)
-        member = self._known.members.beat(
+        member = self._shared.members.record_heartbeat(
             sender,
             incarnation,
-            self._known.now(),
+            self._shared.now(),
         )
         if member is None:
-            self._ask_who(sender, incarnation)
+            self._request_card(sender, incarnation)
             return
         roles = hosts.Role(message.roles or 0)
-        self._known.members.update(member, roles, message.hears)
-        self._known.progress.raise_to(message.log_index, message.version)
+        self._shared.members.update(member, roles, message.hears)
+        self._shared.progress.raise_to(message.log_index, message.version)
         if self.leases and message.renewed:
             self.leases.take_renewals(sender, message.renewed)
         self._compare(sender, message)
 
-    def _ask_who(self, sender: ids.HostId, incarnation: int) -> None:
-        member = self._known.members.member(sender)
+    def _request_card(self, sender: ids.HostId, incarnation: int) -> None:
+        member = self._shared.members.member(sender)
         if member is None or member.host.incarnation < incarnation:
-            self._lists.ask(sender, self._known.me.failure_domain)
+            self._roster_exchange.request_roster(
+                sender, self._shared.me.failure_domain
+            )
 
     def _compare(self, sender: ids.HostId, message: ttypes.Heartbeat) -> None:
-        if message.roster != self._known.members.roster:
-            self._lists.repair(sender)
-        now = self._known.now()
-        noticed = self._known.notices.fingerprint(now)
-        if message.notices and message.notices != noticed:
-            if self._pulls.allows(ttypes.NoticesRequest, now):
-                self._known.peers.send(sender, ttypes.NoticesRequest())
-        if message.outside and sender == self._known.followed():
-            self._follow(sender, message.outside)
+        if message.roster != self._shared.members.roster:
+            self._roster_exchange.request_own_roster(sender)
+        now = self._shared.now()
+        own_notices = self._shared.notices.fingerprint(now)
+        if message.notices and message.notices != own_notices:
+            if self._pull_limiter.allows(ttypes.NoticesRequest, now):
+                self._shared.peers.send(sender, ttypes.NoticesRequest())
+        if message.outside and sender == self._shared.followed():
+            self._compare_followed(sender, message.outside)
 
-    def _follow(self, sender: ids.HostId, fingerprint: int) -> None:
-        outside = self._known.outside
+    def _compare_followed(self, sender: ids.HostId, fingerprint: int) -> None:
+        outside = self._shared.outside
         entries = outside.entries(sender)
         if _fingerprint(entries) == fingerprint:
             for domain, roster in entries:
-                outside.fresh(domain, sender, roster, self._known.now())
-        elif self._pulls.allows(ttypes.OutsideRequest, self._known.now()):
-            self._known.peers.send(sender, ttypes.OutsideRequest())
+                outside.refresh(domain, sender, roster, self._shared.now())
+        elif self._pull_limiter.allows(
+            ttypes.OutsideRequest, self._shared.now()
+        ):
+            self._shared.peers.send(sender, ttypes.OutsideRequest())
 
     async def _on_outside_request(
         self,
@@ -184,26 +188,26 @@
     ) -> None:
         entries = [
             ttypes.OutsideEntry(domain, roster)
-            for domain, roster in self._known.outside.entries()
+            for domain, roster in self._shared.outside.entries()
         ]
-        self._known.peers.send(sender, ttypes.OutsideList(entries))
+        self._shared.peers.send(sender, ttypes.OutsideList(entries))
 
     async def _on_outside_list(
         self,
         sender: ids.HostId,
         message: ttypes.OutsideList,
     ) -> None:
-        if sender != self._known.followed():
+        if sender != self._shared.followed():
             return
-        outside = self._known.outside
+        outside = self._shared.outside
         named = {
             ids.FailureDomain(entry.failure_domain): entry.roster
             for entry in message.entries
         }
-        outside.keep_only(sender, named)
+        outside.retain_only(sender, named)
         for domain, roster in named.items():
-            if outside.fresh(domain, sender, roster, self._known.now()):
-                self._lists.ask(sender, domain)
+            if outside.refresh(domain, sender, roster, self._shared.now()):
+                self._roster_exchange.request_roster(sender, domain)
 
     async def _on_inquiry(
         self,
@@ -211,17 +215,17 @@
         message: ttypes.Inquiry,
     ) -> None:
         subject = ids.HostId(message.host_id)
-        member = self._known.members.member(subject)
-        age = self._known.members.suspicion.direct_age(
+        member = self._shared.members.member(subject)
+        age = self._shared.members.suspicion.direct_silence_seconds(
             subject,
-            self._known.now(),
+            self._shared.now(),
         )
         if member is None or age is None:
             return
         if member.host.incarnation != message.incarnation:
             return
-        age_ms = min(int(age * _MILLIS), _MAX_AGE_MS)
-        self._known.peers.send(
+        age_ms = min(int(age * _MS_PER_SECOND), _MAX_AGE_MS)
+        self._shared.peers.send(
             sender,
             ttypes.Voucher(subject, message.incarnation, age_ms),
         )
@@ -232,25 +236,25 @@
         message: ttypes.Voucher,
     ) -> None:
         subject = ids.HostId(message.host_id)
-        member = self._known.members.member(subject)
+        member = self._shared.members.member(subject)
         if member is None or member.host.incarnation != message.incarnation:
             return
-        when = self._known.now() - max(message.age_ms, 0) / _MILLIS
-        self._known.members.suspicion.vouched(subject, when)
+        when = self._shared.now() - max(message.age_ms, 0) / _MS_PER_SECOND
+        self._shared.members.suspicion.record_indirect(subject, when)
 
     async def _on_farewell(
         self,
         sender: ids.HostId,
         message: ttypes.Farewell,
     ) -> None:
-        self._known.members.farewell(
+        self._shared.members.record_farewell(
             sender,
             ids.Incarnation(message.incarnation),
-            self._known.now(),
+            self._shared.now(),
         )
 
 
 def _fingerprint(entries: list[tuple[ids.FailureDomain, int]]) -> int:
-    return cards.hash_of(
+    return cards.signed_crc32(
         ' '.join(f'{domain} {roster}' for domain, roster in entries),
     )
--- a/libs/membership/geraniumweir/membership/limits.py
+++ b/libs/membership/geraniumweir/membership/limits.py
@@ -6,7 +6,7 @@
 
 from geraniumweir.membership import errors, servers
 
-MAX_NAME = 128
+MAX_NAME_CHARACTERS = 128
 MAX_NAMES = 256
 MAX_COUNT = 0x10000000000
 MAX_INCARNATION = 0x7FFFFFFFFFFFFFFF
@@ -21,9 +21,9 @@
     """
     _check_names(announcement)
     if announcement.kind not in KINDS:
-        _refuse('kind', f'{announcement.kind!r} is none of engine, service')
+        _reject('kind', f'{announcement.kind!r} is none of engine, service')
     if announcement.address.port == 0:
-        _refuse('address', 'the port is 0')
+        _reject('address', 'the port is 0')
     _check_number('incarnation', announcement.incarnation, 0, MAX_INCARNATION)
     _check_number('slots', announcement.slots, 1, MAX_SLOTS)
     _check_number('kv_tokens', announcement.kv_tokens, 0, MAX_COUNT)
@@ -32,27 +32,30 @@
 
 def _check_names(announcement: servers.Announcement) -> None:
     for field in ('server_id', 'pool', 'failure_domain'):
-        _check_name(field, getattr(announcement, field), least=1)
-    _check_name('hardware', announcement.hardware, least=0)
+        _check_name(field, getattr(announcement, field), lower=1)
+    _check_name('hardware', announcement.hardware, lower=0)
     for field in ('models', 'adapters'):
         names = getattr(announcement, field)
         if len(names) > MAX_NAMES:
-            _refuse(field, f'{len(names)} names; at most {MAX_NAMES}')
+            _reject(field, f'{len(names)} names; at most {MAX_NAMES}')
         for name in names:
-            _check_name(field, name, least=1)
+            _check_name(field, name, lower=1)
 
 
-def _check_name(field: str, name: object, *, least: int) -> None:
+def _check_name(field: str, name: object, *, lower: int) -> None:
     if not isinstance(name, str):
-        _refuse(field, 'not a string')
-    elif not least <= len(name) <= MAX_NAME:
-        _refuse(field, f'{len(name)} characters; from {least} to {MAX_NAME}')
+        _reject(field, 'not a string')
+    elif not lower <= len(name) <= MAX_NAME_CHARACTERS:
+        _reject(
+            field,
+            f'{len(name)} characters; from {lower} to {MAX_NAME_CHARACTERS}',
+        )
 
 
-def _check_number(field: str, number: int, least: int, most: int) -> None:
-    if not least <= number <= most:
-        _refuse(field, f'{number} is not from {least} to {most}')
+def _check_number(field: str, number: int, lower: int, upper: int) -> None:
+    if not lower <= number <= upper:
+        _reject(field, f'{number} is not from {lower} to {upper}')
 
 
-def _refuse(field: str, reason: str) -> None:
+def _reject(field: str, reason: str) -> None:
     raise errors.AnnouncementError(f'the field {field!r}: {reason}')
--- a/libs/membership/geraniumweir/membership/logevents.py
+++ b/libs/membership/geraniumweir/membership/logevents.py
@@ -29,7 +29,7 @@
     _Level.warning,
     'this host did nothing for {seconds} s; it suspects nobody for that',
 )
-SEED_SILENT = logevents.Event(
+SEED_FAILED = logevents.Event(
     606,
     _Level.notice,
     'the seed at {address} did not answer: {reason}',
--- a/libs/membership/geraniumweir/membership/members.py
+++ b/libs/membership/geraniumweir/membership/members.py
@@ -15,11 +15,11 @@
 from geraniumweir.membership import cards, hosts, suspicion
 from reactivex import subject
 
-FORGET_SECONDS = 600.0
-FORGET_CANDIDATE_SECONDS = 60.0
-FLAP_SECONDS = 60.0
+DEAD_RETENTION_SECONDS = 600.0
+CANDIDATE_RETENTION_SECONDS = 60.0
+FLAP_RESET_SECONDS = 60.0
 MAX_MEMBERS = 256
-MAX_BEATS_OWED = 16
+MAX_HEARTBEATS_REQUIRED = 16
 
 
 class State(enum.Enum):
@@ -36,21 +36,21 @@
 class Member:
     """A host of the domain and what is known of it.
 
-    :ivar since: when it came into its state, in seconds.
-    :ivar deaths: how often it died and returned lately.
-    :ivar owed: heartbeats it still owes before it is live again.
-    :ivar hears: how many hosts it hears, itself included.
+    :ivar entered_at: when it came into its state, in seconds.
+    :ivar failure_count: how often it died and returned lately.
+    :ivar heartbeats_required: heartbeats it still owes before it is live again.
+    :ivar reachable_count: how many hosts it hears, itself included.
     """
 
     host: hosts.Host
     state: State
-    since: float
-    deaths: int = 0
-    owed: int = 0
-    hears: int = 0
+    entered_at: float
+    failure_count: int = 0
+    heartbeats_required: int = 0
+    reachable_count: int = 0
 
     @property
-    def counts(self) -> bool:
+    def in_view(self) -> bool:
         """Tell whether it is in the view."""
         return self.state in {State.live, State.suspected}
 
@@ -77,7 +77,7 @@
         return self._roster
 
     @property
-    def hears(self) -> int:
+    def reachable_count(self) -> int:
         """Count the hosts that are heard directly, this one included."""
         states = [member.state for member in self._members.values()]
         return states.count(State.live) + 1
@@ -85,14 +85,14 @@
     def live(self) -> tuple[hosts.Host, ...]:
         """List the live hosts, this one among them, by id."""
         found = [
-            member.host for member in self._members.values() if member.counts
+            member.host for member in self._members.values() if member.in_view
         ]
         return tuple(sorted([*found, self.me], key=host_key))
 
     def is_live(self, host_id: ids.HostId) -> bool:
         """Tell whether a host is this one or a live one."""
         member = self._members.get(host_id)
-        return host_id == self.me.host_id or bool(member and member.counts)
+        return host_id == self.me.host_id or bool(member and member.in_view)
 
     def others(self, *states: State) -> list[hosts.Host]:
         """List the other hosts in given states, by id."""
@@ -113,7 +113,7 @@
         self._roster = None
         self.changes.on_next(hosts.HostChanged(self.me))
 
-    def tell_of(self, host: hosts.Host, now: float) -> bool:
+    def add_candidate(self, host: hosts.Host, now: float) -> bool:
         """Take in a host that somebody told of.
 
         :returns: whether it is new here, or in a new incarnation.
@@ -128,11 +128,11 @@
             return False
         else:
             self._depart(known, hosts.Departure.restarted, now)
-        self.suspicion.forget(host.host_id)
+        self.suspicion.discard(host.host_id)
         self._members[host.host_id] = Member(host, State.candidate, now)
         return True
 
-    def beat(
+    def record_heartbeat(
         self,
         host_id: ids.HostId,
         incarnation: ids.Incarnation,
@@ -148,25 +148,27 @@
             return None
         if member.state is State.gone:
             return None
-        self.suspicion.heard(host_id, now)
+        self.suspicion.record_direct(host_id, now)
         match member.state:
             case State.suspected:
-                _enter(member, State.live, now)
+                _set_state(member, State.live, now)
             case State.candidate | State.dead:
-                self._return(member, now)
+                self._rejoin(member, now)
         return member
 
-    def update(self, member: Member, roles: hosts.Role, hears: int) -> None:
+    def update(
+        self, member: Member, roles: hosts.Role, reachable_count: int
+    ) -> None:
         """Take in what a heartbeat says of its sender."""
-        member.hears = hears
+        member.reachable_count = reachable_count
         if roles == member.host.roles:
             return
         member.host = dataclasses.replace(member.host, roles=roles)
         self._roster = None
-        if member.counts:
+        if member.in_view:
             self.changes.on_next(hosts.HostChanged(member.host))
 
-    def farewell(
+    def record_farewell(
         self,
         host_id: ids.HostId,
         incarnation: ids.Incarnation,
@@ -177,33 +179,33 @@
         if member is None or member.host.incarnation != incarnation:
             return
         self._depart(member, hosts.Departure.announced, now)
-        _enter(member, State.gone, now)
+        _set_state(member, State.gone, now)
 
-    def judge(self, now: float) -> None:
+    def evaluate(self, now: float) -> None:
         """Judge every host from its silence; forget those long dead."""
         for member in list(self._members.values()):
-            if member.counts:
-                self._judge(member, now)
-            elif now - member.since >= _patience(member):
+            if member.in_view:
+                self._evaluate(member, now)
+            elif now - member.entered_at >= _retention_seconds(member):
                 self._members.pop(member.host.host_id)
-                self.suspicion.forget(member.host.host_id)
+                self.suspicion.discard(member.host.host_id)
 
-    def _judge(self, member: Member, now: float) -> None:
-        verdict = self.suspicion.judge(member.host.host_id, now)
+    def _evaluate(self, member: Member, now: float) -> None:
+        verdict = self.suspicion.evaluate(member.host.host_id, now)
         match verdict:
             case suspicion.Verdict.dead:
                 self._depart(member, hosts.Departure.silent, now)
             case suspicion.Verdict.suspected if member.state is State.live:
-                _enter(member, State.suspected, now)
+                _set_state(member, State.suspected, now)
                 self.changes.on_next(hosts.HostSuspected(member.host))
 
-    def _return(self, member: Member, now: float) -> None:
-        if member.owed > 0:
-            member.owed -= 1
+    def _rejoin(self, member: Member, now: float) -> None:
+        if member.heartbeats_required > 0:
+            member.heartbeats_required -= 1
             return
-        if now - member.since >= FLAP_SECONDS:
-            member.deaths = 0
-        _enter(member, State.live, now)
+        if now - member.entered_at >= FLAP_RESET_SECONDS:
+            member.failure_count = 0
+        _set_state(member, State.live, now)
         self._roster = None
         self.changes.on_next(hosts.HostJoined(member.host))
 
@@ -213,15 +215,17 @@
         reason: hosts.Departure,
         now: float,
     ) -> None:
-        counted = member.counts
-        if counted and now - member.since >= FLAP_SECONDS:
-            member.deaths = 0
-        if counted:
-            member.deaths += 1
-            member.owed = min(1 << member.deaths, MAX_BEATS_OWED)
-        _enter(member, State.dead, now)
+        was_in_view = member.in_view
+        if was_in_view and now - member.entered_at >= FLAP_RESET_SECONDS:
+            member.failure_count = 0
+        if was_in_view:
+            member.failure_count += 1
+            member.heartbeats_required = min(
+                1 << member.failure_count, MAX_HEARTBEATS_REQUIRED
+            )
+        _set_state(member, State.dead, now)
         self._roster = None
-        if counted:
+        if was_in_view:
             self.changes.on_next(hosts.HostLeft(member.host, reason))
 
 
@@ -235,7 +239,7 @@
     return tuple(
         host
         for host in live
-        if not host.draining and 2 * _hears(domain, host) >= len(live)
+        if not host.draining and 2 * _reachable_count(domain, host) >= len(live)
     )
 
 
@@ -244,7 +248,7 @@
     return host.host_id
 
 
-def newest(found: typing.Iterable[hosts.Host]) -> list[hosts.Host]:
+def newest_incarnations(found: typing.Iterable[hosts.Host]) -> list[hosts.Host]:
     """Keep the newest life of each host, by id."""
     kept: dict[ids.HostId, hosts.Host] = {}
     for host in found:
@@ -254,20 +258,20 @@
     return sorted(kept.values(), key=host_key)
 
 
-def _enter(member: Member, state: State, now: float) -> None:
+def _set_state(member: Member, state: State, now: float) -> None:
     # A short suspicion doesn't restart the time that a host has lived.
-    within = member.counts and state in {State.live, State.suspected}
+    within = member.in_view and state in {State.live, State.suspected}
     if not within:
-        member.since = now
+        member.entered_at = now
     member.state = state
 
 
-def _hears(domain: Members, host: hosts.Host) -> int:
+def _reachable_count(domain: Members, host: hosts.Host) -> int:
     member = domain.member(host.host_id)
-    return domain.hears if member is None else member.hears
+    return domain.reachable_count if member is None else member.reachable_count
 
 
-def _patience(member: Member) -> float:
+def _retention_seconds(member: Member) -> float:
     if member.state is State.candidate:
-        return FORGET_CANDIDATE_SECONDS
-    return FORGET_SECONDS
+        return CANDIDATE_RETENTION_SECONDS
+    return DEAD_RETENTION_SECONDS
--- a/libs/membership/geraniumweir/membership/membership.py
+++ b/libs/membership/geraniumweir/membership/membership.py
@@ -23,7 +23,7 @@
     seeds,
     shared_state,
     sharing,
-    spreading,
+    dissemination,
 )
 from geraniumweir.wire import peers
 from reactivex import operators
@@ -48,47 +48,49 @@
     ) -> None:
         """Build the parts; nothing is sent before :meth:`start`."""
         self._options = options or shared_state.Options()
-        self._known = shared_state.SharedState(
+        self._shared = shared_state.SharedState(
             me,
             peer_layer,
             timer_service,
             self._options.timing,
         )
-        self.progress = self._known.progress
-        self._lists = rosters.Rosters(self._known)
-        self._beats = heartbeats.Heartbeats(
-            self._known,
-            self._lists,
+        self.progress = self._shared.progress
+        self._roster_exchange = rosters.RosterExchange(self._shared)
+        self._heartbeats = heartbeats.Heartbeats(
+            self._shared,
+            self._roster_exchange,
             self._options.seed,
         )
-        self._spreading = spreading.Spreading(self._known)
-        self.pools = pools.Pools(self._known)
-        self._digests = digests.Digests(self._known, self._lists, self.pools)
-        self.sharing = sharing.Sharing(self._known)
+        self._dissemination = dissemination.Dissemination(self._shared)
+        self.pools = pools.Pools(self._shared)
+        self._digests = digests.Digests(
+            self._shared, self._roster_exchange, self.pools
+        )
+        self.sharing = sharing.Sharing(self._shared)
         self.registry = self.sharing.registry
-        self._beats.leases = self.sharing
-        self._running: list[typing.Any] = []
+        self._heartbeats.leases = self.sharing
+        self._subscriptions: list[typing.Any] = []
         self.seeds = seeds.Seeds(
-            self._known,
-            self._lists,
+            self._shared,
+            self._roster_exchange,
             self._options.seeds,
         )
 
     @property
     def me(self) -> hosts.Host:
         """Give this host."""
-        return self._known.me
+        return self._shared.me
 
     @property
     def changes(self) -> reactivex.Observable[hosts.HostEvent]:
         """Give the stream of typed events of hosts in all domains."""
         return reactivex.merge(
-            self._known.members.changes,
-            self._known.outside.changes,
+            self._shared.members.changes,
+            self._shared.outside.changes,
         )
 
     @property
-    def reported_events(self) -> reactivex.Observable[reports.Reported]:
+    def reported_events(self) -> reactivex.Observable[reports.ReportedEvent]:
         """Give all that is worth a line in the log."""
         return reactivex.merge(
             self.changes,
@@ -99,38 +101,38 @@
     @property
     def notices(self) -> reactivex.Observable[bytes]:
         """Give the stream of notices that arrive, as opaque bytes."""
-        return self._known.notices.arrivals.pipe(
+        return self._shared.notices.arrivals.pipe(
             operators.map(lambda notice: notice.payload),
         )
 
     @property
-    def speaks_for_domain(self) -> bool:
+    def is_domain_delegate(self) -> bool:
         """Tell whether this host is a delegate of its domain."""
-        return self._known.is_delegate()
+        return self._shared.is_delegate()
 
     def live(self, domain: ids.FailureDomain) -> tuple[hosts.Host, ...]:
         """List the live hosts of a failure domain, by id."""
         if domain == self.me.failure_domain:
-            return self._known.members.live()
-        return self._known.outside.live(domain)
+            return self._shared.members.live()
+        return self._shared.outside.live(domain)
 
     def eligible(self, domain: ids.FailureDomain) -> tuple[hosts.Host, ...]:
         """List the live hosts of a domain that may lead pools."""
         if domain == self.me.failure_domain:
-            return self._known.eligible()
-        found = self._known.outside.live(domain)
+            return self._shared.eligible()
+        found = self._shared.outside.live(domain)
         return tuple(host for host in found if not host.draining)
 
     def all_live(self) -> tuple[hosts.Host, ...]:
         """List the live hosts of all reachable domains."""
-        own = self._known.members.live()
-        return (*own, *self._known.outside.all_live())
+        own = self._shared.members.live()
+        return (*own, *self._shared.outside.all_live())
 
     def is_live(self, host_id: ids.HostId) -> bool:
         """Tell whether a host is live."""
-        if self._known.members.is_live(host_id):
+        if self._shared.members.is_live(host_id):
             return True
-        return self._known.outside.is_live(host_id)
+        return self._shared.outside.is_live(host_id)
 
     def broadcast(self, payload: bytes, seconds: float) -> None:
         """Let every host hear of some opaque bytes within a second or two.
@@ -138,12 +140,12 @@
         :param seconds: how long they count.
         :raises errors.NoticeError: when they are too many.
         """
-        self._spreading.broadcast(payload, seconds)
+        self._dissemination.broadcast(payload, seconds)
 
     def set_roles(self, roles: hosts.Role) -> None:
         """Change this host's roles, such as draining; told at once."""
-        self._known.members.set_roles(roles)
-        self._beats.beat()
+        self._shared.members.set_roles(roles)
+        self._heartbeats.send_heartbeats()
 
     async def start(self) -> None:
         """Greet the seeds and begin to send.
@@ -152,31 +154,31 @@
         alone.
         """
         period = self._options.timing.period
-        self._every(period, self._beats.tick)
-        self._every(digests.DIGEST_SECONDS, self._digests.tick)
-        self._every(digests.DIGEST_SECONDS, self.pools.tick)
-        self._every(seeds.RETRY_SECONDS, self.seeds.tick)
+        self._schedule(period, self._heartbeats.tick)
+        self._schedule(digests.DIGEST_SECONDS, self._digests.tick)
+        self._schedule(digests.DIGEST_SECONDS, self.pools.tick)
+        self._schedule(seeds.RETRY_SECONDS, self.seeds.tick)
         await self.seeds.greet_all()
-        self._beats.beat()
+        self._heartbeats.send_heartbeats()
 
     async def leave(self) -> None:
         """Say farewell twice and stop."""
-        self._beats.farewell()
+        self._heartbeats.send_farewell()
         await asyncio.sleep(self._options.timing.period)
-        self._beats.farewell()
+        self._heartbeats.send_farewell()
         self.stop()
 
     def stop(self) -> None:
         """Send no more, without a farewell."""
-        for subscription in self._running:
+        for subscription in self._subscriptions:
             subscription.dispose()
-        self._running.clear()
+        self._subscriptions.clear()
         self.seeds.stop()
 
-    def _every(
+    def _schedule(
         self,
         period: float,
         action: typing.Callable[[int], None],
     ) -> None:
-        ticks = self._known.timers.every(period)
-        self._running.append(ticks.subscribe(action))
+        ticks = self._shared.timers.every(period)
+        self._subscriptions.append(ticks.subscribe(action))
--- a/libs/membership/geraniumweir/membership/notices.py
+++ b/libs/membership/geraniumweir/membership/notices.py
@@ -17,8 +17,8 @@
 MAX_ACTIVE = 1024
 MAX_SECONDS = 3600.0
 MAX_IN_MESSAGE = 256
-_SETTLED_SECONDS = 2.0
-_MILLIS = 1000
+_EXPIRY_SLACK_SECONDS = 2.0
+_MS_PER_SECOND = 1000
 _ID_MASK = 0x7FFFFFFFFFFFFFFF
 _HASH_MASK = 0x7FFFFFFF
 
@@ -29,10 +29,10 @@
 
     notice_id: int
     payload: bytes
-    until: float
+    expires_at: float
 
 
-class NoticeBoard:
+class NoticeStore:
     """The notices that count at the moment."""
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
         """Give the stream of notices that are new to this host."""
         return self._arrivals
 
-    def post(self, payload: bytes, seconds: float, now: float) -> Notice | None:
+    def add(self, payload: bytes, seconds: float, now: float) -> Notice | None:
         """Put up a notice.
 
         :param seconds: how long it counts from now.
@@ -58,25 +58,27 @@
                 f'a notice of {len(payload)} bytes; at most {MAX_PAYLOAD}',
             )
         notice_id = xxhash.xxh3_64_intdigest(payload) & _ID_MASK
-        until = now + min(seconds, MAX_SECONDS)
+        expires_at = now + min(seconds, MAX_SECONDS)
         known = self._active.get(notice_id)
-        if seconds <= 0 or (known and until < known.until + _SETTLED_SECONDS):
+        if seconds <= 0 or (
+            known and expires_at < known.expires_at + _EXPIRY_SLACK_SECONDS
+        ):
             return None
-        notice = Notice(notice_id, payload, until)
+        notice = Notice(notice_id, payload, expires_at)
         self._active[notice_id] = notice
-        self._bound()
+        self._evict()
         if known is None:
             self._arrivals.on_next(notice)
         return notice
 
     def active(self, now: float) -> list[Notice]:
         """List the notices that count, by id, and drop the others."""
-        over = [
+        expired = [
             notice.notice_id
             for notice in self._active.values()
-            if notice.until <= now
+            if notice.expires_at <= now
         ]
-        for notice_id in over:
+        for notice_id in expired:
             self._active.pop(notice_id)
         return sorted(self._active.values(), key=_key)
 
@@ -88,13 +90,13 @@
         """
         mixed = 0
         for notice in self.active(now):
-            if notice.until - now > _SETTLED_SECONDS:
+            if notice.expires_at - now > _EXPIRY_SLACK_SECONDS:
                 mixed ^= notice.notice_id
         return mixed & _HASH_MASK or None
 
-    def _bound(self) -> None:
+    def _evict(self) -> None:
         if len(self._active) > MAX_ACTIVE:
-            first = min(self._active.values(), key=_until)
+            first = min(self._active.values(), key=_expiry)
             self._active.pop(first.notice_id)
 
 
@@ -105,7 +107,7 @@
             ttypes.Notice(
                 notice.notice_id,
                 notice.payload,
-                int((notice.until - now) * _MILLIS),
+                int((notice.expires_at - now) * _MS_PER_SECOND),
             )
             for notice in notices[:MAX_IN_MESSAGE]
         ],
@@ -114,23 +116,23 @@
 
 def read(
     message: ttypes.Notices,
-    board: NoticeBoard,
+    store: NoticeStore,
     now: float,
 ) -> list[Notice]:
     """Put up the notices of a message.
 
     :returns: those that were new here.
     """
-    posted = [
-        board.post(bytes(entry.payload), entry.left_ms / _MILLIS, now)
+    added = [
+        store.add(bytes(entry.payload), entry.left_ms / _MS_PER_SECOND, now)
         for entry in message.notices[:MAX_IN_MESSAGE]
     ]
-    return [notice for notice in posted if notice is not None]
+    return [notice for notice in added if notice is not None]
 
 
 def _key(notice: Notice) -> int:
     return notice.notice_id
 
 
-def _until(notice: Notice) -> float:
-    return notice.until
+def _expiry(notice: Notice) -> float:
+    return notice.expires_at
--- a/libs/membership/geraniumweir/membership/outside.py
+++ b/libs/membership/geraniumweir/membership/outside.py
@@ -15,8 +15,8 @@
 from geraniumweir.membership import cards, hosts, members
 from reactivex import subject
 
-STALE_SECONDS = 5.0
-FORGET_SECONDS = 3600.0
+SOURCE_TIMEOUT_SECONDS = 5.0
+CONTACT_RETENTION_SECONDS = 3600.0
 MAX_DOMAINS = 64
 MAX_SOURCES = 4
 MAX_HOSTS_PER_DOMAIN = 256
@@ -28,7 +28,7 @@
 
     roster: int
     hosts: tuple[hosts.Host, ...]
-    heard: float
+    last_seen_at: float
 
 
 @dataclasses.dataclass(slots=True)
@@ -42,13 +42,13 @@
     contacts: tuple[hosts.Host, ...] = ()
     live: tuple[hosts.Host, ...] = ()
     roster: int = 0
-    heard: float = 0
+    last_seen_at: float = 0
     sources: dict[ids.HostId, Source] = dataclasses.field(
         default_factory=dict,
     )
 
 
-class Outside:
+class OtherDomains:
     """All other failure domains."""
 
     def __init__(self, own: ids.FailureDomain) -> None:
@@ -56,7 +56,7 @@
         self._own = own
         self.changes: subject.Subject[hosts.HostEvent] = subject.Subject()
         self._domains: dict[ids.FailureDomain, Domain] = {}
-        self._where: dict[ids.HostId, ids.FailureDomain] = {}
+        self._domain_by_host: dict[ids.HostId, ids.FailureDomain] = {}
 
     def domains(self) -> list[ids.FailureDomain]:
         """List the domains that are known, reachable or not."""
@@ -81,7 +81,7 @@
 
     def is_live(self, host_id: ids.HostId) -> bool:
         """Tell whether a host of another domain is live."""
-        return host_id in self._where
+        return host_id in self._domain_by_host
 
     def entries(
         self,
@@ -103,14 +103,16 @@
             if source in self._domains[name].sources
         ]
 
-    def hint(self, host: hosts.Host, now: float) -> None:
+    def add_contact(self, host: hosts.Host, now: float) -> None:
         """Remember a host as a way to its domain."""
         domain = self._domain(host.failure_domain, now)
         if domain is None or len(domain.contacts) >= MAX_HOSTS_PER_DOMAIN:
             return
-        domain.contacts = tuple(members.newest([*domain.contacts, host]))
+        domain.contacts = tuple(
+            members.newest_incarnations([*domain.contacts, host])
+        )
 
-    def fresh(
+    def refresh(
         self,
         domain: ids.FailureDomain,
         source: ids.HostId,
@@ -125,11 +127,11 @@
         known = found.sources.get(source) if found else None
         if found is None or known is None or known.roster != roster:
             return True
-        known.heard = now
-        found.heard = now
+        known.last_seen_at = now
+        found.last_seen_at = now
         return False
 
-    def take(
+    def apply_roster(
         self,
         domain: ids.FailureDomain,
         source: ids.HostId,
@@ -148,10 +150,10 @@
         if source not in found.sources and len(found.sources) >= MAX_SOURCES:
             return
         found.sources[source] = Source(fingerprint, kept, now)
-        found.heard = now
-        self._settle(found)
+        found.last_seen_at = now
+        self._recompute(found)
 
-    def keep_only(
+    def retain_only(
         self,
         source: ids.HostId,
         named: typing.Container[ids.FailureDomain],
@@ -159,7 +161,7 @@
         """Drop what a source told of domains that it no longer names."""
         for name, domain in self._domains.items():
             if name not in named and domain.sources.pop(source, None):
-                self._settle(domain)
+                self._recompute(domain)
 
     def sweep(self, now: float) -> None:
         """Drop sources that fell silent, and domains long unreachable."""
@@ -167,42 +169,42 @@
             silent = [
                 source
                 for source, told in domain.sources.items()
-                if now - told.heard >= STALE_SECONDS
+                if now - told.last_seen_at >= SOURCE_TIMEOUT_SECONDS
             ]
             for source in silent:
                 domain.sources.pop(source)
             if silent:
-                self._settle(domain)
-            if now - domain.heard >= FORGET_SECONDS:
+                self._recompute(domain)
+            if now - domain.last_seen_at >= CONTACT_RETENTION_SECONDS:
                 self._domains.pop(name)
 
-    def excuse(self, gap: float, now: float) -> None:
+    def shift_forward(self, gap: float, now: float) -> None:
         """Move all ages forward by a time this host stood still."""
         for domain in self._domains.values():
             for told in domain.sources.values():
-                told.heard = min(now, told.heard + gap)
+                told.last_seen_at = min(now, told.last_seen_at + gap)
 
     def _domain(self, name: ids.FailureDomain, now: float) -> Domain | None:
         if name == self._own:
             return None
         found = self._domains.get(name)
         if found is None and len(self._domains) < MAX_DOMAINS:
-            found = Domain(heard=now)
+            found = Domain(last_seen_at=now)
             self._domains[name] = found
         return found
 
-    def _settle(self, domain: Domain) -> None:
+    def _recompute(self, domain: Domain) -> None:
         before = {host.host_id: host for host in domain.live}
         told = [
             host for source in domain.sources.values() for host in source.hosts
         ]
-        domain.live = tuple(members.newest(told))
+        domain.live = tuple(members.newest_incarnations(told))
         domain.contacts = domain.live or domain.contacts
         domain.roster = cards.roster_hash(domain.live)
         for host_id in before:
-            self._where.pop(host_id, None)
+            self._domain_by_host.pop(host_id, None)
         for host in domain.live:
-            self._where[host.host_id] = host.failure_domain
+            self._domain_by_host[host.host_id] = host.failure_domain
         for event in _differences(before, domain.live):
             self.changes.on_next(event)
 
--- a/libs/membership/geraniumweir/membership/pools.py
+++ b/libs/membership/geraniumweir/membership/pools.py
@@ -15,41 +15,41 @@
 REFRESH_TICKS = 10
 FOLLOW_TICKS = 30
 PULL_SECONDS = 2.0
-WANTED_SECONDS = 10.0
+DEMAND_SECONDS = 10.0
 
 
 class Pools:
     """Publishes and gathers pool summaries.
 
     :ivar inside: of the own domain, complete at its delegates only.
-    :ivar beyond: of the other domains.
+    :ivar other_domains: of the other domains.
     """
 
-    def __init__(self, known: shared_state.SharedState) -> None:
+    def __init__(self, shared: shared_state.SharedState) -> None:
         """Register the handlers."""
-        self._known = known
-        self.inside = poolsummaries.Board(known.me.incarnation)
-        self.beyond = poolsummaries.Board(known.me.incarnation)
+        self._shared = shared
+        self.own_domain = poolsummaries.SummaryTable(shared.me.incarnation)
+        self.other_domains = poolsummaries.SummaryTable(shared.me.incarnation)
         self._published: dict[ids.PoolName, poolsummaries.PoolSummary] = {}
-        self._due: set[ids.PoolName] = set()
-        self._got: dict[tuple[ids.HostId, bool], tuple[int, int]] = {}
-        self._pulls = shared_state.Limiter(PULL_SECONDS)
-        self._wanted_until = float(0)
-        known.peers.handle(ttypes.SummaryUpdate, self._on_update)
-        known.peers.handle(ttypes.SummariesRequest, self._on_request)
-        known.peers.handle(ttypes.Summaries, self._on_summaries)
+        self._pending: set[ids.PoolName] = set()
+        self._received: dict[tuple[ids.HostId, bool], tuple[int, int]] = {}
+        self._pull_limiter = shared_state.Limiter(PULL_SECONDS)
+        self._in_demand_until = float(0)
+        shared.peers.handle(ttypes.SummaryUpdate, self._on_update)
+        shared.peers.handle(ttypes.SummariesRequest, self._on_request)
+        shared.peers.handle(ttypes.Summaries, self._on_summaries)
 
     def publish(self, summary: poolsummaries.PoolSummary) -> None:
         """Say how a pool stands that is led here; sent within a second."""
         before = self._published.get(summary.pool)
-        if before is None or poolsummaries.matters(before, summary):
+        if before is None or poolsummaries.is_significant(before, summary):
             self._published[summary.pool] = summary
-            self._due.add(summary.pool)
+            self._pending.add(summary.pool)
 
     def withdraw(self, pool: ids.PoolName) -> None:
         """Stop speaking for a pool, as another host leads it now."""
         self._published.pop(pool, None)
-        self._due.discard(pool)
+        self._pending.discard(pool)
 
     def summaries(
         self,
@@ -60,14 +60,14 @@
 
         Those whose leader isn't live, as far as is known here, are left out.
         """
-        now = self._known.now()
-        if now >= self._wanted_until:
-            self._pull_now()
-        self._wanted_until = now + WANTED_SECONDS
+        now = self._shared.now()
+        if now >= self._in_demand_until:
+            self._pull()
+        self._in_demand_until = now + DEMAND_SECONDS
         found = [
             summary
-            for summary in self.beyond.of_pool(pool)
-            if self._known.outside.is_live(summary.leader)
+            for summary in self.other_domains.of_pool(pool)
+            if self._shared.outside.is_live(summary.leader)
         ]
         return poolsummaries.best_first(found, tier)
 
@@ -77,81 +77,84 @@
         :param count: of ticks.
         """
         if count % REFRESH_TICKS == 0:
-            self._due.update(self._published)
-        due = sorted(self._due)
-        self._due.clear()
-        if due:
-            self._send([self._published[pool] for pool in due])
-        wanted = self._known.now() < self._wanted_until
-        first = (self._known.followed(), False) not in self._got
-        if wanted or first or count % FOLLOW_TICKS == 0:
-            self._pull_now()
+            self._pending.update(self._published)
+        pending = sorted(self._pending)
+        self._pending.clear()
+        if pending:
+            self._send([self._published[pool] for pool in pending])
+        in_demand = self._shared.now() < self._in_demand_until
+        first = (self._shared.followed(), False) not in self._received
+        if in_demand or first or count % FOLLOW_TICKS == 0:
+            self._pull()
 
     def compare(self, source: ids.HostId, version: int) -> None:
         """Ask the delegate of another domain for what is new there."""
-        if self._got.get((source, True), (0, 0))[1] == version:
+        if self._received.get((source, True), (0, 0))[1] == version:
             return
-        if self._pulls.allows(source, self._known.now()):
-            self._ask(source, inside=True)
+        if self._pull_limiter.allows(source, self._shared.now()):
+            self._request_summaries(source, inside=True)
 
     def _send(self, found: list[poolsummaries.PoolSummary]) -> None:
         message = ttypes.SummaryUpdate(list(map(poolsummaries.write, found)))
-        for host in self._known.delegates():
-            if host.host_id == self._known.me.host_id:
-                self._put_inside(found)
+        for host in self._shared.delegates():
+            if host.host_id == self._shared.me.host_id:
+                self._update_own_domain(found)
             else:
-                self._known.peers.send(host.host_id, message)
+                self._shared.peers.send(host.host_id, message)
 
-    def _put_inside(
+    def _update_own_domain(
         self,
         found: typing.Iterable[poolsummaries.PoolSummary],
     ) -> None:
         for summary in found:
-            if summary.failure_domain == self._known.me.failure_domain:
-                self.inside.put(summary)
+            if summary.failure_domain == self._shared.me.failure_domain:
+                self.own_domain.record(summary)
 
-    def _pull_now(self) -> None:
-        followed = self._known.followed()
+    def _pull(self) -> None:
+        followed = self._shared.followed()
         if followed is not None:
-            self._ask(followed, inside=False)
+            self._request_summaries(followed, inside=False)
 
-    def _ask(self, to: ids.HostId, *, inside: bool) -> None:
-        epoch, version = self._got.get((to, inside), (0, 0))
+    def _request_summaries(self, to: ids.HostId, *, inside: bool) -> None:
+        epoch, version = self._received.get((to, inside), (0, 0))
         message = ttypes.SummariesRequest(inside, epoch, version)
-        self._known.peers.send(to, message)
+        self._shared.peers.send(to, message)
 
     async def _on_update(
         self,
         sender: ids.HostId,
         message: ttypes.SummaryUpdate,
     ) -> None:
-        self._put_inside(map(poolsummaries.read, message.summaries))
+        self._update_own_domain(map(poolsummaries.read, message.summaries))
 
     async def _on_request(
         self,
         sender: ids.HostId,
         message: ttypes.SummariesRequest,
     ) -> None:
-        board = self.inside if message.inside else self.beyond
+        table = self.own_domain if message.inside else self.other_domains
         answer = ttypes.Summaries(
             message.inside,
-            board.epoch,
-            board.version,
-            board.since(message.epoch, message.since),
+            table.epoch,
+            table.version,
+            table.changes_since(message.epoch, message.since),
         )
-        self._known.peers.send(sender, answer)
+        self._shared.peers.send(sender, answer)
 
     async def _on_summaries(
         self,
         sender: ids.HostId,
         message: ttypes.Summaries,
     ) -> None:
-        if len(self._got) >= poolsummaries.MAX_POOLS:
-            self._got.clear()
-        self._got[(sender, message.inside)] = (message.epoch, message.version)
+        if len(self._received) >= poolsummaries.MAX_POOLS:
+            self._received.clear()
+        self._received[(sender, message.inside)] = (
+            message.epoch,
+            message.version,
+        )
         for entry in message.changed:
-            summary = self.beyond.merge(entry)
+            summary = self.other_domains.merge(entry)
             if summary is None:
-                self._got.pop((sender, message.inside), None)
-            elif summary.failure_domain != self._known.me.failure_domain:
-                self.beyond.put(summary)
+                self._received.pop((sender, message.inside), None)
+            elif summary.failure_domain != self._shared.me.failure_domain:
+                self.other_domains.record(summary)
--- a/libs/membership/geraniumweir/membership/poolsummaries.py
+++ b/libs/membership/geraniumweir/membership/poolsummaries.py
@@ -52,7 +52,7 @@
     return summary.failure_domain, summary.pool
 
 
-def matters(before: PoolSummary, after: PoolSummary) -> bool:
+def is_significant(before: PoolSummary, after: PoolSummary) -> bool:
     """Tell whether a change is worth sending.
 
     Waits and free slots must change by half; whether there is a free
@@ -61,11 +61,11 @@
     exact = ('leader', 'capacity', 'lowest_tier')
     if any(getattr(before, name) != getattr(after, name) for name in exact):
         return True
-    if _any_moved(before.free, after.free, _SLOT_STEP):
+    if _any_changed(before.free, after.free, _SLOT_STEP):
         return True
     if list(map(bool, before.free)) != list(map(bool, after.free)):
         return True
-    return _any_moved(before.wait_ms, after.wait_ms, _WAIT_STEP_MS)
+    return _any_changed(before.wait_ms, after.wait_ms, _WAIT_STEP_MS)
 
 
 def best_first(
@@ -84,15 +84,15 @@
 class _Entry:
     """A summary and the numbers of its last changes.
 
-    :ivar settled: of the last change of leader or capacity.
+    :ivar full_version: of the last change of leader or capacity.
     """
 
     summary: PoolSummary
     version: int
-    settled: int
+    full_version: int
 
 
-class Board:
+class SummaryTable:
     """Summaries with a number for each change.
 
     :ivar epoch: of this board's life; numbers of another one mean nothing.
@@ -104,7 +104,7 @@
         self.version = 0
         self._entries: dict[PoolKey, _Entry] = {}
 
-    def put(self, summary: PoolSummary) -> bool:
+    def record(self, summary: PoolSummary) -> bool:
         """Take in a summary.
 
         :returns: whether it matters and got a new number.
@@ -112,21 +112,25 @@
         known = self._entries.get(key_of(summary))
         if known is None and len(self._entries) >= MAX_POOLS:
             return False
-        if known is not None and not matters(known.summary, summary):
+        if known is not None and not is_significant(known.summary, summary):
             return False
         self.version += 1
-        settled = self.version
-        if known is not None and _same_standing(known.summary, summary):
-            settled = known.settled
-        entry = _Entry(summary, self.version, settled)
+        full_version = self.version
+        if known is not None and _same_leader_and_capacity(
+            known.summary, summary
+        ):
+            full_version = known.full_version
+        entry = _Entry(summary, self.version, full_version)
         self._entries[key_of(summary)] = entry
         return True
 
-    def since(self, epoch: int, version: int) -> list[ttypes.PoolSummary]:
+    def changes_since(
+        self, epoch: int, version: int
+    ) -> list[ttypes.PoolSummary]:
         """Give as messages what changed after a number of an epoch."""
         after = version if epoch == self.epoch else 0
         return [
-            write(entry.summary, whole=entry.settled > after)
+            write(entry.summary, complete=entry.full_version > after)
             for entry in self._entries.values()
             if entry.version > after
         ]
@@ -161,11 +165,11 @@
 def write(
     summary: PoolSummary,
     *,
-    whole: bool = True,
+    complete: bool = True,
 ) -> ttypes.PoolSummary:
     """Turn a summary into a message.
 
-    :param whole: with leader and capacity, which seldom change.
+    :param complete: with leader and capacity, which seldom change.
     """
     capacity = [
         ttypes.ModelCapacity(model, slots)
@@ -177,8 +181,8 @@
         wait_ms=list(summary.wait_ms),
         free=list(summary.free),
         lowest_tier=summary.lowest_tier,
-        leader=summary.leader if whole else None,
-        capacity=capacity if whole else None,
+        leader=summary.leader if complete else None,
+        capacity=capacity if complete else None,
     )
 
 
@@ -202,19 +206,19 @@
     )
 
 
-def _same_standing(before: PoolSummary, after: PoolSummary) -> bool:
+def _same_leader_and_capacity(before: PoolSummary, after: PoolSummary) -> bool:
     return before.leader == after.leader and before.capacity == after.capacity
 
 
-def _any_moved(
+def _any_changed(
     before: tuple[int, ...],
     after: tuple[int, ...],
-    least: int,
+    min_step: int,
 ) -> bool:
     if len(before) != len(after):
         return True
     return any(
-        abs(new - old) >= max(least, int(old * _RELATIVE_STEP))
+        abs(new - old) >= max(min_step, int(old * _RELATIVE_STEP))
         for old, new in zip(before, after, strict=True)
     )
 
--- a/libs/membership/geraniumweir/membership/reports.py
+++ b/libs/membership/geraniumweir/membership/reports.py
@@ -6,20 +6,20 @@
 from geraniumweir.common import logevents as catalogue
 from geraniumweir.membership import hosts, logevents, seeds, servers
 
-Reported = hosts.HostEvent | servers.ServerEvent | seeds.SeedSilent
+ReportedEvent = hosts.HostEvent | servers.ServerEvent | seeds.SeedFailed
 Report = tuple[catalogue.Event, dict[str, typing.Any]]
 
 
-def describe(happened: Reported) -> Report:
+def describe(change: ReportedEvent) -> Report:
     """Give the event to log and its fields.
 
-    >>> silent = seeds.SeedSilent(hosts.ids.Address('127.0.0.1', 1), 'refused')
+    >>> silent = seeds.SeedFailed(hosts.ids.Address('127.0.0.1', 1), 'refused')
     >>> describe(silent)[0].number
     606
     """
-    match happened:
-        case seeds.SeedSilent(address, reason):
-            return logevents.SEED_SILENT, {
+    match change:
+        case seeds.SeedFailed(address, reason):
+            return logevents.SEED_FAILED, {
                 'address': str(address),
                 'reason': reason,
             }
@@ -30,25 +30,25 @@
             | hosts.HostSuspected()
             | hosts.SelfStalled()
         ):
-            return _describe_host(happened)
+            return _describe_host(change)
         case _:
-            return _describe_server(happened)
+            return _describe_server(change)
 
 
-def log(happened: Reported) -> None:
+def log(change: ReportedEvent) -> None:
     """Log what happened; to be subscribed to ``Membership.happenings``."""
-    event, fields = describe(happened)
+    event, fields = describe(change)
     eventlog.emit(event, **fields)
 
 
-def _describe_host(happened: hosts.HostEvent) -> Report:
-    host = happened.host
+def _describe_host(change: hosts.HostEvent) -> Report:
+    host = change.host
     fields: dict[str, typing.Any] = {
         'host_id': host.host_id,
         'failure_domain': host.failure_domain,
         'incarnation': host.incarnation,
     }
-    match happened:
+    match change:
         case hosts.HostJoined():
             return logevents.HOST_JOINED, fields
         case hosts.HostSuspected():
@@ -62,20 +62,23 @@
             return logevents.HOST_CHANGED, {**fields, 'roles': roles}
 
 
-def _describe_server(happened: servers.ServerEvent) -> Report:
-    match happened:
+def _describe_server(change: servers.ServerEvent) -> Report:
+    match change:
         case servers.ServerCrashed(before, after):
             return logevents.SERVER_CRASHED, {
                 'server_id': after.server_id,
                 'before': before.incarnation,
                 'after': after.incarnation,
             }
-        case servers.ServerAppeared(said):
+        case servers.ServerAppeared(announcement):
             event = logevents.SERVER_APPEARED
-        case servers.ServerChanged(said):
+        case servers.ServerChanged(announcement):
             event = logevents.SERVER_CHANGED
-        case servers.ServerLeaving(said):
+        case servers.ServerLeaving(announcement):
             event = logevents.SERVER_LEAVING
-        case servers.ServerExpired(said):
+        case servers.ServerExpired(announcement):
             event = logevents.SERVER_EXPIRED
-    return event, {'server_id': said.server_id, 'pool': said.pool}
+    return event, {
+        'server_id': announcement.server_id,
+        'pool': announcement.pool,
+    }
--- a/libs/membership/geraniumweir/membership/rosters.py
+++ b/libs/membership/geraniumweir/membership/rosters.py
@@ -14,40 +14,40 @@
 MAX_CARDS = 4096
 
 
-class Rosters:
+class RosterExchange:
     """Answers and takes in lists of hosts."""
 
-    def __init__(self, known: shared_state.SharedState) -> None:
+    def __init__(self, shared: shared_state.SharedState) -> None:
         """Register the handlers."""
-        self._known = known
-        self._repairs = shared_state.Limiter(4 * known.timing.period)
-        self._cards = shared_state.Limiter(known.timing.period)
-        known.peers.handle(ttypes.RosterRequest, self._on_request)
-        known.peers.handle(ttypes.Roster, self._on_roster)
-        known.peers.handle(ttypes.Greeting, self._on_greeting)
-
-    def ask(self, to: ids.HostId, domain: ids.FailureDomain) -> None:
+        self._shared = shared
+        self._repair_limiter = shared_state.Limiter(4 * shared.timing.period)
+        self._request_limiter = shared_state.Limiter(shared.timing.period)
+        shared.peers.handle(ttypes.RosterRequest, self._on_request)
+        shared.peers.handle(ttypes.Roster, self._on_roster)
+        shared.peers.handle(ttypes.Greeting, self._on_greeting)
+
+    def request_roster(self, to: ids.HostId, domain: ids.FailureDomain) -> None:
         """Ask a host for the list of a domain, unless just done."""
-        if self._cards.allows((to, domain), self._known.now()):
-            self._known.peers.send(to, ttypes.RosterRequest(domain))
+        if self._request_limiter.allows((to, domain), self._shared.now()):
+            self._shared.peers.send(to, ttypes.RosterRequest(domain))
 
-    def repair(self, to: ids.HostId) -> None:
+    def request_own_roster(self, to: ids.HostId) -> None:
         """Ask a host of the own domain whose list differs; seldom."""
-        if self._repairs.allows('roster', self._known.now()):
-            self.ask(to, self._known.me.failure_domain)
+        if self._repair_limiter.allows('roster', self._shared.now()):
+            self.request_roster(to, self._shared.me.failure_domain)
 
-    def tell(self, to: ids.HostId, domain: ids.FailureDomain) -> None:
+    def send_roster(self, to: ids.HostId, domain: ids.FailureDomain) -> None:
         """Send a host the list of a domain."""
-        if domain == self._known.me.failure_domain:
-            live = self._known.members.live()
+        if domain == self._shared.me.failure_domain:
+            live = self._shared.members.live()
         else:
-            live = self._known.outside.live(domain)
+            live = self._shared.outside.live(domain)
         roster = ttypes.Roster(
             domain,
             cards.roster_hash(live),
             [cards.write_host(host) for host in live],
         )
-        self._known.peers.send(to, roster)
+        self._shared.peers.send(to, roster)
 
     async def greet(self, seed: ids.Address, timeout: float) -> None:
         """Join by a seed.
@@ -55,15 +55,15 @@
         :param timeout: in seconds.
         :raises wire.errors.PeerError: when it doesn't answer.
         """
-        to = await self._known.peers.introduce(seed)
-        card = cards.write_host(self._known.me)
-        welcome = await self._known.peers.call(
+        to = await self._shared.peers.introduce(seed)
+        card = cards.write_host(self._shared.me)
+        welcome = await self._shared.peers.call(
             to,
             ttypes.Greeting(card),
             timeout,
         )
         for entry in welcome.cards[:MAX_CARDS]:
-            self._meet(cards.read_host(entry))
+            self._add_host(cards.read_host(entry))
 
     async def _on_greeting(
         self,
@@ -71,8 +71,8 @@
         message: ttypes.Greeting,
     ) -> ttypes.Welcome:
         host = cards.read_host(message.card)
-        known = [*self._known.members.live(), *self._known.outside.contacts()]
-        self._meet(host)
+        known = [*self._shared.members.live(), *self._shared.outside.contacts()]
+        self._add_host(host)
         return ttypes.Welcome([cards.write_host(one) for one in known])
 
     async def _on_request(
@@ -80,7 +80,7 @@
         sender: ids.HostId,
         message: ttypes.RosterRequest,
     ) -> None:
-        self.tell(sender, ids.FailureDomain(message.failure_domain))
+        self.send_roster(sender, ids.FailureDomain(message.failure_domain))
 
     async def _on_roster(
         self,
@@ -88,38 +88,38 @@
         message: ttypes.Roster,
     ) -> None:
         domain = ids.FailureDomain(message.failure_domain)
-        told = [cards.read_host(card) for card in message.cards[:MAX_CARDS]]
-        told = [host for host in told if host.failure_domain == domain]
-        if domain == self._known.me.failure_domain:
-            self._take_own(sender, told)
+        listed = [cards.read_host(card) for card in message.cards[:MAX_CARDS]]
+        listed = [host for host in listed if host.failure_domain == domain]
+        if domain == self._shared.me.failure_domain:
+            self._apply_own_roster(sender, listed)
             return
-        for host in told:
-            self._known.learn(host)
-        self._known.outside.take(
+        for host in listed:
+            self._shared.record_address(host)
+        self._shared.outside.apply_roster(
             domain,
             sender,
-            (message.roster, told),
-            self._known.now(),
+            (message.roster, listed),
+            self._shared.now(),
         )
 
-    def _take_own(
+    def _apply_own_roster(
         self,
         sender: ids.HostId,
-        told: typing.Iterable[hosts.Host],
+        listed: typing.Iterable[hosts.Host],
     ) -> None:
-        for host in told:
-            self._meet(host)
+        for host in listed:
+            self._add_host(host)
             if host.host_id == sender:
-                self._known.members.beat(
+                self._shared.members.record_heartbeat(
                     sender,
                     host.incarnation,
-                    self._known.now(),
+                    self._shared.now(),
                 )
 
-    def _meet(self, host: hosts.Host) -> None:
-        now = self._known.now()
-        if host.failure_domain != self._known.me.failure_domain:
-            self._known.learn(host)
-            self._known.outside.hint(host, now)
-        elif self._known.members.tell_of(host, now):
-            self._known.learn(host)
+    def _add_host(self, host: hosts.Host) -> None:
+        now = self._shared.now()
+        if host.failure_domain != self._shared.me.failure_domain:
+            self._shared.record_address(host)
+            self._shared.outside.add_contact(host, now)
+        elif self._shared.members.add_candidate(host, now):
+            self._shared.record_address(host)
--- a/libs/membership/geraniumweir/membership/seeds.py
+++ b/libs/membership/geraniumweir/membership/seeds.py
@@ -16,12 +16,12 @@
 
 RETRY_SECONDS = 0.5
 # Of the ticks, one in so many is used by a host that isn't alone.
-_SELDOM = 20
-TIMEOUT = 2.0
+_CONNECTED_TICKS = 20
+GREETING_TIMEOUT_SECONDS = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SeedSilent:
+class SeedFailed:
     """A seed could not be joined."""
 
     address: ids.Address
@@ -36,16 +36,16 @@
 
     def __init__(
         self,
-        known: shared_state.SharedState,
-        lists: rosters.Rosters,
+        shared: shared_state.SharedState,
+        roster_exchange: rosters.RosterExchange,
         addresses: tuple[ids.Address, ...],
     ) -> None:
         """Greet nobody yet."""
-        self._known = known
-        self._lists = lists
+        self._shared = shared
+        self._roster_exchange = roster_exchange
         self._addresses = addresses
-        self._joining: asyncio.Task[None] | None = None
-        self.failures: subject.Subject[SeedSilent] = subject.Subject()
+        self._join_task: asyncio.Task[None] | None = None
+        self.failures: subject.Subject[SeedFailed] = subject.Subject()
 
     async def greet_all(self) -> None:
         """Greet all seeds at a time."""
@@ -56,31 +56,35 @@
 
         :param count: of ticks.
         """
-        near = self._known.members.live()
-        far = self._known.outside.all_live()
-        alone = len(near) == 1 or not far
-        if count % _SELDOM and not alone:
+        own_live = self._shared.members.live()
+        others_live = self._shared.outside.all_live()
+        isolated = len(own_live) == 1 or not others_live
+        if count % _CONNECTED_TICKS and not isolated:
             return
-        known = {host.address for host in (*near, *far)}
-        missing = [seed for seed in self._addresses if seed not in known]
-        if missing and (self._joining is None or self._joining.done()):
-            turn = count if alone else count // _SELDOM
+        live_addresses = {host.address for host in (*own_live, *others_live)}
+        missing = [
+            seed for seed in self._addresses if seed not in live_addresses
+        ]
+        if missing and (self._join_task is None or self._join_task.done()):
+            turn = count if isolated else count // _CONNECTED_TICKS
             seed = missing[turn % len(missing)]
-            quiet = bool(count % _SELDOM)
-            greeting = self._greet(seed, quiet=quiet)
-            self._joining = asyncio.create_task(greeting)
+            ignore_failure = bool(count % _CONNECTED_TICKS)
+            greeting = self._greet(seed, ignore_failure=ignore_failure)
+            self._join_task = asyncio.create_task(greeting)
 
     def stop(self) -> None:
         """Give up an attempt under way."""
-        if self._joining is not None:
-            self._joining.cancel()
+        if self._join_task is not None:
+            self._join_task.cancel()
 
-    async def _greet(self, seed: ids.Address, *, quiet: bool = False) -> None:
-        if seed == self._known.me.address:
+    async def _greet(
+        self, seed: ids.Address, *, ignore_failure: bool = False
+    ) -> None:
+        if seed == self._shared.me.address:
             return
         try:
-            await self._lists.greet(seed, TIMEOUT)
+            await self._roster_exchange.greet(seed, GREETING_TIMEOUT_SECONDS)
         except (wire_errors.PeerError, errors.CardError) as exc:
-            if quiet:
+            if ignore_failure:
                 return
-            self.failures.on_next(SeedSilent(seed, str(exc)))
+            self.failures.on_next(SeedFailed(seed, str(exc)))
--- a/libs/membership/geraniumweir/membership/servercards.py
+++ b/libs/membership/geraniumweir/membership/servercards.py
@@ -4,29 +4,29 @@
 from geraniumweir.membership import limits, servers
 from geraniumweir.wire.gen.membership import ttypes
 
-MILLIS = 1000
+MS_PER_SECOND = 1000
 
 
 def write(lease: servers.Lease, now: float) -> ttypes.ServerCard:
     """Turn a lease into a card that says how much of it is left."""
-    said = lease.announcement
+    announced = lease.announcement
     return ttypes.ServerCard(
-        server_id=said.server_id,
-        incarnation=said.incarnation,
-        address=str(said.address),
-        kind=said.kind,
-        pool=said.pool,
-        failure_domain=said.failure_domain,
-        models=list(said.models),
-        adapters=list(said.adapters),
-        hardware=said.hardware,
-        slots=said.slots,
-        kv_tokens=said.kv_tokens,
-        max_context=said.max_context,
-        fences=said.fences,
-        can_cancel=said.can_cancel,
-        can_resume=said.can_resume,
-        leaving=said.state is servers.ServerState.leaving,
+        server_id=announced.server_id,
+        incarnation=announced.incarnation,
+        address=str(announced.address),
+        kind=announced.kind,
+        pool=announced.pool,
+        failure_domain=announced.failure_domain,
+        models=list(announced.models),
+        adapters=list(announced.adapters),
+        hardware=announced.hardware,
+        slots=announced.slots,
+        kv_tokens=announced.kv_tokens,
+        max_context=announced.max_context,
+        fences=announced.fences,
+        can_cancel=announced.can_cancel,
+        can_resume=announced.can_resume,
+        leaving=announced.state is servers.ServerState.leaving,
         left_ms=left_ms(lease, now),
     )
 
@@ -62,4 +62,4 @@
 
 def left_ms(lease: servers.Lease, now: float) -> int:
     """Tell how much of a lease is left, in milliseconds."""
-    return max(int((lease.until - now) * MILLIS), 0)
+    return max(int((lease.expires_at - now) * MS_PER_SECOND), 0)
--- a/libs/membership/geraniumweir/membership/servers.py
+++ b/libs/membership/geraniumweir/membership/servers.py
@@ -24,7 +24,7 @@
 from reactivex import subject
 
 LEASE_SECONDS = 3.0
-REMEMBER_SECONDS = 600.0
+RETENTION_SECONDS = 600.0
 MAX_SERVERS = 4096
 _KEY_SHIFT = 23
 
@@ -74,12 +74,12 @@
 class Lease:
     """An announcement and how long it counts.
 
-    :ivar until: on the timer service's clock, in seconds.
+    :ivar expires_at: on the timer service's clock, in seconds.
     :ivar key: of the announcement's content.
     """
 
     announcement: Announcement
-    until: float
+    expires_at: float
     key: int
 
     @property
@@ -152,7 +152,7 @@
         self._by_key: dict[int, ids.ServerId] = {}
         self._expired: set[ids.ServerId] = set()
         # Before this time no lease runs out and none is forgotten.
-        self._quiet_until = math.inf
+        self._next_sweep_at = math.inf
         self._changes: subject.Subject[ServerEvent] = subject.Subject()
 
     @property
@@ -171,17 +171,17 @@
         :raises errors.OtherDomainError: when it belongs elsewhere.
         :raises errors.RegistryFullError: when there are too many.
         """
-        return self.take(announcement, LEASE_SECONDS, now)
+        return self.apply(announcement, LEASE_SECONDS, now)
 
-    def take(
+    def apply(
         self,
         announcement: Announcement,
-        left: float,
+        left_seconds: float,
         now: float,
     ) -> bool:
         """Take an announcement that may have come by another host.
 
-        :param left: of the lease, in seconds.
+        :param left_seconds: of the lease, in seconds.
         :param now: time in seconds.
         :returns: as :meth:`announce`.
         :raises errors.AnnouncementError: as :meth:`announce`.
@@ -193,30 +193,30 @@
             self._make_room(announcement)
         elif announcement.incarnation < known.announcement.incarnation:
             return False
-        settled = _settle(announcement, known)
-        until = now + min(left, LEASE_SECONDS)
-        if known and settled.incarnation == known.announcement.incarnation:
-            until = max(until, known.until)
-        if until <= now:
+        effective = _keep_leaving(announcement, known)
+        expires_at = now + min(left_seconds, LEASE_SECONDS)
+        if known and effective.incarnation == known.announcement.incarnation:
+            expires_at = max(expires_at, known.expires_at)
+        if expires_at <= now:
             return False
-        if known and settled is known.announcement:
+        if known and effective is known.announcement:
             key = known.key
         else:
-            key = key_of(settled)
-        self._keep(Lease(settled, until, key))
-        return self._tell(known, settled)
+            key = key_of(effective)
+        self._store(Lease(effective, expires_at, key))
+        return self._emit_changes(known, effective)
 
-    def renew(self, key: int, left: float, now: float) -> bool:
+    def renew(self, key: int, left_seconds: float, now: float) -> bool:
         """Lengthen the lease of a content that another host heard again.
 
         :param key: of the announcement's content.
-        :param left: of the lease, in seconds.
+        :param left_seconds: of the lease, in seconds.
         :returns: whether the content is known here.
         """
         server_id = self._by_key.get(key)
         if server_id is None:
             return False
-        self.take(self._leases[server_id].announcement, left, now)
+        self.apply(self._leases[server_id].announcement, left_seconds, now)
         return True
 
     def get(self, server_id: ids.ServerId) -> Announcement | None:
@@ -229,7 +229,7 @@
         return [
             lease.announcement
             for _, lease in sorted(self._leases.items())
-            if lease.until > now
+            if lease.expires_at > now
         ]
 
     def lease(self, server_id: ids.ServerId) -> Lease | None:
@@ -243,26 +243,28 @@
 
     def sweep(self, now: float) -> None:
         """Tell of leases that ran out and forget what is long over."""
-        if now < self._quiet_until:
+        if now < self._next_sweep_at:
             return
         self._expire(now)
-        self._quiet_until = min(map(self._due, self._leases), default=math.inf)
+        self._next_sweep_at = min(
+            map(self._due_at, self._leases), default=math.inf
+        )
 
     def _expire(self, now: float) -> None:
         for server_id, lease in list(self._leases.items()):
-            if lease.until > now:
+            if lease.expires_at > now:
                 continue
             if server_id not in self._expired:
                 self._expired.add(server_id)
                 self._changes.on_next(ServerExpired(lease.announcement))
-            if now - lease.until >= REMEMBER_SECONDS:
-                self._forget(lease)
+            if now - lease.expires_at >= RETENTION_SECONDS:
+                self._remove(lease)
 
-    def _due(self, server_id: ids.ServerId) -> float:
-        until = self._leases[server_id].until
+    def _due_at(self, server_id: ids.ServerId) -> float:
+        expires_at = self._leases[server_id].expires_at
         if server_id in self._expired:
-            return until + REMEMBER_SECONDS
-        return until
+            return expires_at + RETENTION_SECONDS
+        return expires_at
 
     def _check_domain(self, announcement: Announcement) -> None:
         domain = announcement.failure_domain
@@ -281,46 +283,46 @@
                 f'{len(self._leases)} servers are known, the most there may '
                 f'be; {announcement.server_id!r} is refused',
             )
-        over = [self._leases[server_id] for server_id in self._expired]
-        self._forget(min(over, key=_order))
+        expired = [self._leases[server_id] for server_id in self._expired]
+        self._remove(min(expired, key=_expiry_order))
 
-    def _keep(self, lease: Lease) -> None:
+    def _store(self, lease: Lease) -> None:
         known = self._leases.get(lease.server_id)
         if known is not None:
             self._by_key.pop(known.key, None)
-        self._quiet_until = min(self._quiet_until, lease.until)
+        self._next_sweep_at = min(self._next_sweep_at, lease.expires_at)
         self._leases[lease.server_id] = lease
         self._by_key[lease.key] = lease.server_id
 
-    def _forget(self, lease: Lease) -> None:
+    def _remove(self, lease: Lease) -> None:
         self._leases.pop(lease.server_id)
         self._by_key.pop(lease.key, None)
         self._expired.discard(lease.server_id)
 
-    def _tell(self, known: Lease | None, now_said: Announcement) -> bool:
+    def _emit_changes(self, known: Lease | None, current: Announcement) -> bool:
         before = known.announcement if known else None
-        returned = now_said.server_id in self._expired
-        self._expired.discard(now_said.server_id)
-        crashed = before and now_said.incarnation > before.incarnation
+        returned = current.server_id in self._expired
+        self._expired.discard(current.server_id)
+        crashed = before and current.incarnation > before.incarnation
         if before and crashed:
-            self._changes.on_next(ServerCrashed(before, now_said))
+            self._changes.on_next(ServerCrashed(before, current))
         if before is None or crashed or returned:
-            self._changes.on_next(ServerAppeared(now_said))
-        if before != now_said:
-            self._tell_change(before, now_said)
+            self._changes.on_next(ServerAppeared(current))
+        if before != current:
+            self._emit_state_change(before, current)
         return bool(crashed)
 
-    def _tell_change(
+    def _emit_state_change(
         self,
         before: Announcement | None,
-        now_said: Announcement,
+        current: Announcement,
     ) -> None:
-        same_life = before and before.incarnation == now_said.incarnation
-        was_leaving = same_life and before.state is ServerState.leaving
-        if now_said.state is ServerState.leaving and not was_leaving:
-            self._changes.on_next(ServerLeaving(now_said))
-        elif same_life:
-            self._changes.on_next(ServerChanged(now_said))
+        same_incarnation = before and before.incarnation == current.incarnation
+        was_leaving = same_incarnation and before.state is ServerState.leaving
+        if current.state is ServerState.leaving and not was_leaving:
+            self._changes.on_next(ServerLeaving(current))
+        elif same_incarnation:
+            self._changes.on_next(ServerChanged(current))
 
 
 def key_of(announcement: Announcement) -> int:
@@ -332,7 +334,9 @@
     return xxhash.xxh3_64_intdigest(repr(announcement).encode()) >> _KEY_SHIFT
 
 
-def _settle(announcement: Announcement, known: Lease | None) -> Announcement:
+def _keep_leaving(
+    announcement: Announcement, known: Lease | None
+) -> Announcement:
     """Let a server that is leaving stay so in its incarnation."""
     if known is None:
         return announcement
@@ -347,5 +351,5 @@
     return announcement
 
 
-def _order(lease: Lease) -> tuple[float, ids.ServerId]:
-    return lease.until, lease.server_id
+def _expiry_order(lease: Lease) -> tuple[float, ids.ServerId]:
+    return lease.expires_at, lease.server_id
--- a/libs/membership/geraniumweir/membership/shared_state.py
+++ b/libs/membership/geraniumweir/membership/shared_state.py
@@ -109,8 +109,8 @@
         self.timers = timer_service
         self.timing = timing
         self.members = members.Members(me, timing)
-        self.outside = outside.Outside(me.failure_domain)
-        self.notices = notices.NoticeBoard()
+        self.outside = outside.OtherDomains(me.failure_domain)
+        self.notices = notices.NoticeStore()
         self.progress = Progress()
 
     @property
@@ -140,7 +140,7 @@
         found = delegates.followed(self.delegates(), self.me.host_id)
         return None if found is None else found.host_id
 
-    def learn(self, host: hosts.Host) -> None:
+    def record_address(self, host: hosts.Host) -> None:
         """Let the peer layer know where a host listens."""
         if host.host_id != self.me.host_id:
             self.peers.learn(host.host_id, host.address)
--- a/libs/membership/geraniumweir/membership/sharing.py
+++ b/libs/membership/geraniumweir/membership/sharing.py
@@ -23,11 +23,11 @@
 )
 from geraniumweir.wire.gen.membership import ttypes
 
-NEXT_MS = 1000
-ANNOUNCE_TO = 3
+ANNOUNCE_PERIOD_MS = 1000
+MAX_ANNOUNCE_TO = 3
 MAX_IN_MESSAGE = 512
-_GATHER_SECONDS = 0.02
-_REPEATS = (0.4, 0.8, 1.2, 1.6)
+_BATCH_SECONDS = 0.02
+_LEAVING_REPEAT_SECONDS = (0.4, 0.8, 1.2, 1.6)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -48,15 +48,15 @@
     :ivar registry: the servers of the domain.
     """
 
-    def __init__(self, known: shared_state.SharedState) -> None:
+    def __init__(self, shared: shared_state.SharedState) -> None:
         """Register the handlers."""
-        self._known = known
-        self.registry = servers.Registry(known.me.failure_domain)
-        self._heard: set[ids.ServerId] = set()
-        self._news: set[ids.ServerId] = set()
-        self._gathering: asyncio.TimerHandle | None = None
-        known.peers.handle(ttypes.ServerLeases, self._on_leases)
-        known.peers.handle(ttypes.ServersRequest, self._on_request)
+        self._shared = shared
+        self.registry = servers.Registry(shared.me.failure_domain)
+        self._renewed: set[ids.ServerId] = set()
+        self._changed: set[ids.ServerId] = set()
+        self._update_timer: asyncio.TimerHandle | None = None
+        shared.peers.handle(ttypes.ServerLeases, self._on_leases)
+        shared.peers.handle(ttypes.ServersRequest, self._on_request)
 
     def announce(self, announcement: servers.Announcement) -> Reply:
         """Take an announcement from a server.
@@ -67,22 +67,22 @@
         limits.check(announcement)
         server_id = announcement.server_id
         before = self.registry.lease(server_id)
-        self.registry.announce(announcement, self._known.now())
+        self.registry.announce(announcement, self._shared.now())
         after = self.registry.lease(server_id)
-        self._heard.add(server_id)
+        self._renewed.add(server_id)
         if before is None or after is None or before.key != after.key:
-            self._tell(server_id, after)
-        return Reply(NEXT_MS, self._announce_to(server_id))
+            self._publish(server_id, after)
+        return Reply(ANNOUNCE_PERIOD_MS, self._announce_to(server_id))
 
     def renewals(self) -> list[ttypes.Renewal]:
         """Give the leases that were lengthened here since the last call."""
-        now = self._known.now()
+        now = self._shared.now()
         self.registry.sweep(now)
-        heard = sorted(self._heard)[:MAX_IN_MESSAGE]
-        self._heard.difference_update(heard)
+        renewed_ids = sorted(self._renewed)[:MAX_IN_MESSAGE]
+        self._renewed.difference_update(renewed_ids)
         return [
             ttypes.Renewal(lease.key, servercards.left_ms(lease, now))
-            for lease in self._leases(heard)
+            for lease in self._leases(renewed_ids)
         ]
 
     def take_renewals(
@@ -91,48 +91,48 @@
         renewed: list[ttypes.Renewal],
     ) -> None:
         """Lengthen leases; ask for the cards that aren't known."""
-        now = self._known.now()
+        now = self._shared.now()
         unknown = [
             renewal.key
             for renewal in renewed[:MAX_IN_MESSAGE]
             if not self.registry.renew(
                 renewal.key,
-                renewal.left_ms / servercards.MILLIS,
+                renewal.left_ms / servercards.MS_PER_SECOND,
                 now,
             )
         ]
         if unknown:
-            self._known.peers.send(sender, ttypes.ServersRequest(unknown))
+            self._shared.peers.send(sender, ttypes.ServersRequest(unknown))
 
-    def _tell(
+    def _publish(
         self, server_id: ids.ServerId, lease: servers.Lease | None
     ) -> None:
-        self._gather(server_id)
-        said = lease.announcement if lease else None
-        if said and said.state is servers.ServerState.leaving:
+        self._queue_update(server_id)
+        announced = lease.announcement if lease else None
+        if announced and announced.state is servers.ServerState.leaving:
             # Some may be lost, and this one must be known in two seconds.
-            for again in _REPEATS:
-                self._known.timers.after(
-                    again,
-                    functools.partial(self._gather, server_id),
+            for delay_seconds in _LEAVING_REPEAT_SECONDS:
+                self._shared.timers.after(
+                    delay_seconds,
+                    functools.partial(self._queue_update, server_id),
                 )
 
-    def _gather(self, server_id: ids.ServerId) -> None:
+    def _queue_update(self, server_id: ids.ServerId) -> None:
         # Servers that start together share a message.
-        self._news.add(server_id)
-        if self._gathering is None:
-            self._gathering = self._known.timers.after(
-                _GATHER_SECONDS,
-                self._send_news,
+        self._changed.add(server_id)
+        if self._update_timer is None:
+            self._update_timer = self._shared.timers.after(
+                _BATCH_SECONDS,
+                self._send_updates,
             )
 
-    def _send_news(self) -> None:
-        self._gathering = None
-        news = sorted(self._news)
-        self._news.clear()
-        now = self._known.now()
+    def _send_updates(self) -> None:
+        self._update_timer = None
+        pending = sorted(self._changed)
+        self._changed.clear()
+        now = self._shared.now()
         changed = [
-            servercards.write(lease, now) for lease in self._leases(news)
+            servercards.write(lease, now) for lease in self._leases(pending)
         ]
         self._send(ttypes.ServerLeases(changed))
 
@@ -144,21 +144,21 @@
         return [lease for lease in found if lease is not None]
 
     def _send(self, message: ttypes.ServerLeases) -> None:
-        counted = (members.State.live, members.State.suspected)
-        for host in self._known.members.others(*counted):
-            self._known.peers.send(host.host_id, message)
+        view_states = (members.State.live, members.State.suspected)
+        for host in self._shared.members.others(*view_states):
+            self._shared.peers.send(host.host_id, message)
 
     def _announce_to(
         self,
         server_id: ids.ServerId,
     ) -> tuple[ids.Address, ...]:
-        able = [
+        candidates = [
             host
-            for host in self._known.members.live()
+            for host in self._shared.members.live()
             if host.backend_address is not None and not host.draining
         ]
         weight = functools.partial(_weight, server_id)
-        chosen = sorted(able, key=weight)[:ANNOUNCE_TO]
+        chosen = sorted(candidates, key=weight)[:MAX_ANNOUNCE_TO]
         return tuple(
             host.backend_address
             for host in chosen
@@ -170,17 +170,17 @@
         sender: ids.HostId,
         message: ttypes.ServerLeases,
     ) -> None:
-        now = self._known.now()
+        now = self._shared.now()
         for card in message.changed[:MAX_IN_MESSAGE]:
-            left = card.left_ms / servercards.MILLIS
-            self.registry.take(servercards.read(card), left, now)
+            left = card.left_ms / servercards.MS_PER_SECOND
+            self.registry.apply(servercards.read(card), left, now)
 
     async def _on_request(
         self,
         sender: ids.HostId,
         message: ttypes.ServersRequest,
     ) -> None:
-        now = self._known.now()
+        now = self._shared.now()
         found = map(self.registry.by_key, message.keys[:MAX_IN_MESSAGE])
         changed = [
             servercards.write(lease, now)
@@ -188,7 +188,7 @@
             if lease is not None
         ]
         if changed:
-            self._known.peers.send(sender, ttypes.ServerLeases(changed))
+            self._shared.peers.send(sender, ttypes.ServerLeases(changed))
 
 
 def _weight(server_id: ids.ServerId, host: hosts.Host) -> int:
--- a/libs/membership/geraniumweir/membership/suspicion.py
+++ b/libs/membership/geraniumweir/membership/suspicion.py
@@ -59,59 +59,61 @@
     """The newest evidence of each host.
 
     >>> suspicion = Suspicion(Timing())
-    >>> suspicion.heard(ids.HostId('b'), 0)
-    >>> [suspicion.judge(ids.HostId('b'), at).value for at in (1, 2, 3)]
+    >>> suspicion.record_direct(ids.HostId('b'), 0)
+    >>> [suspicion.evaluate(ids.HostId('b'), at).value for at in (1, 2, 3)]
     ['live', 'suspected', 'dead']
-    >>> suspicion.vouched(ids.HostId('b'), 2)
-    >>> suspicion.judge(ids.HostId('b'), 3)
+    >>> suspicion.record_indirect(ids.HostId('b'), 2)
+    >>> suspicion.evaluate(ids.HostId('b'), 3)
     <Verdict.suspected: 'suspected'>
     """
 
     def __init__(self, timing: Timing) -> None:
         """Start without evidence."""
         self._timing = timing
-        self._direct: dict[ids.HostId, float] = {}
-        self._vouched: dict[ids.HostId, float] = {}
+        self._direct_at: dict[ids.HostId, float] = {}
+        self._indirect_at: dict[ids.HostId, float] = {}
 
-    def heard(self, host_id: ids.HostId, now: float) -> None:
+    def record_direct(self, host_id: ids.HostId, now: float) -> None:
         """Note a message from a host."""
-        self._direct[host_id] = now
+        self._direct_at[host_id] = now
 
-    def vouched(self, host_id: ids.HostId, when: float) -> None:
+    def record_indirect(self, host_id: ids.HostId, when: float) -> None:
         """Note that another host heard it.
 
         :param when: on this host's clock, in seconds.
         """
-        known = self._vouched.get(host_id, when)
-        self._vouched[host_id] = max(known, when)
+        known = self._indirect_at.get(host_id, when)
+        self._indirect_at[host_id] = max(known, when)
 
-    def direct_age(self, host_id: ids.HostId, now: float) -> float | None:
+    def direct_silence_seconds(
+        self, host_id: ids.HostId, now: float
+    ) -> float | None:
         """Tell how long a host hasn't been heard directly, in seconds."""
-        when = self._direct.get(host_id)
+        when = self._direct_at.get(host_id)
         return None if when is None else now - when
 
-    def judge(self, host_id: ids.HostId, now: float) -> Verdict:
+    def evaluate(self, host_id: ids.HostId, now: float) -> Verdict:
         """Judge a host; one without evidence is dead."""
-        direct = self._direct.get(host_id)
+        direct = self._direct_at.get(host_id)
         if direct is None:
             return Verdict.dead
-        newest = max(direct, self._vouched.get(host_id, direct))
+        newest = max(direct, self._indirect_at.get(host_id, direct))
         if now - newest >= self._timing.dead_after:
             return Verdict.dead
         if now - direct >= self._timing.suspect_after:
             return Verdict.suspected
         return Verdict.live
 
-    def excuse(self, gap: float, now: float) -> None:
+    def shift_forward(self, gap: float, now: float) -> None:
         """Move all evidence forward by a time this host stood still.
 
         :param gap: in seconds.
         """
-        for evidence in (self._direct, self._vouched):
+        for evidence in (self._direct_at, self._indirect_at):
             for host_id, when in evidence.items():
                 evidence[host_id] = min(now, when + gap)
 
-    def forget(self, host_id: ids.HostId) -> None:
+    def discard(self, host_id: ids.HostId) -> None:
         """Drop the evidence of a host."""
-        self._direct.pop(host_id, None)
-        self._vouched.pop(host_id, None)
+        self._direct_at.pop(host_id, None)
+        self._indirect_at.pop(host_id, None)
--- a/libs/membership/geraniumweir/membership/tests/cluster.py
+++ b/libs/membership/geraniumweir/membership/tests/cluster.py
@@ -96,14 +96,14 @@
         self.network = memory.MemoryNetwork(seed=seed)
         self.processes: dict[str, Process] = {}
         self._addresses: dict[str, ids.Address] = {}
-        self._lives = 0
+        self._incarnations = 0
 
     def __getitem__(self, name: str) -> membership.Membership:
         return self.processes[name].member
 
     async def start(self, name: str, *seeds: str) -> Process:
         """Start a host, or a new life of it."""
-        self._lives += 1
+        self._incarnations += 1
         number = len(self._addresses) + 1
         address = self._addresses.setdefault(
             name,
@@ -114,7 +114,7 @@
             ids.FailureDomain(name[0]),
             ids.Region('r'),
             address,
-            ids.Incarnation(self._lives),
+            ids.Incarnation(self._incarnations),
             ids.Address('127.0.0.2', number),
         )
         layer = StallingPeers(
@@ -138,7 +138,9 @@
         self.processes.pop(name).member.stop()
         self.network.leave(ids.HostId(name))
 
-    def cut(self, left: typing.Iterable[str], right: typing.Iterable[str]):
+    def partition(
+        self, left: typing.Iterable[str], right: typing.Iterable[str]
+    ):
         """Cut all links between two groups, both ways."""
         for one in left:
             for other in right:
@@ -148,19 +150,19 @@
     def views(self, domain: str) -> set[str]:
         """Give the views of a domain that its own hosts have, as texts."""
         return {
-            seen(process.member, domain)
+            live_names(process.member, domain)
             for name, process in self.processes.items()
             if name[0] == domain
         }
 
 
-def seen(member: membership.Membership, domain: str) -> str:
+def live_names(member: membership.Membership, domain: str) -> str:
     """Write the live hosts of a domain as one host sees them."""
     live = member.live(ids.FailureDomain(domain))
     return ' '.join(host.host_id for host in live)
 
 
-async def domain_of(count: int, seed: int = 0) -> Cluster:
+async def start_domain(count: int, seed: int = 0) -> Cluster:
     """Start one domain that is whole."""
     cluster = Cluster(seed)
     await cluster.start('a00')
@@ -170,13 +172,13 @@
     return cluster
 
 
-def forget_events(cluster: Cluster) -> None:
+def clear_events(cluster: Cluster) -> None:
     """Drop what happened so far."""
     for process in cluster.processes.values():
         process.events.clear()
 
 
-async def domains_of(*names: str, count: int = 2, seed: int = 0) -> Cluster:
+async def start_domains(*names: str, count: int = 2, seed: int = 0) -> Cluster:
     """Start some domains that know each other."""
     cluster = Cluster(seed)
     first = f'{names[0]}0'
--- a/libs/membership/geraniumweir/membership/tests/test_domains.py
+++ b/libs/membership/geraniumweir/membership/tests/test_domains.py
@@ -36,11 +36,11 @@
     """Every host sees every host, own domain first."""
 
     async def main() -> tuple[set[str], str]:
-        found = await cluster.domains_of('a', 'b', 'c', count=3)
+        found = await cluster.start_domains('a', 'b', 'c', count=3)
         await asyncio.sleep(5)
         return (
             {' '.join(sorted(view.split())) for view in _all(found)},
-            cluster.seen(found['a2'], 'c'),
+            cluster.live_names(found['a2'], 'c'),
         )
 
     views, of_c = virtual.run(main())
@@ -52,10 +52,10 @@
     """A cut-off domain goes on alone; afterwards the views join."""
 
     async def main() -> list[set[str]]:
-        found = await cluster.domains_of('a', 'b', 'c', count=3)
+        found = await cluster.start_domains('a', 'b', 'c', count=3)
         await asyncio.sleep(5)
         others = _names(found, 'a') + _names(found, 'b')
-        found.cut(_names(found, 'c'), others)
+        found.partition(_names(found, 'c'), others)
         await asyncio.sleep(15)
         apart = _all(found)
         await asyncio.sleep(600)
@@ -85,8 +85,8 @@
     """Hosts that never met, as their link was cut, meet by other domains."""
 
     async def main() -> tuple[set[str], set[str]]:
-        found = await cluster.domains_of('a', count=2)
-        found.cut(['b0'], ['b1'])
+        found = await cluster.start_domains('a', count=2)
+        found.partition(['b0'], ['b1'])
         await found.start('b0', 'a0')
         await found.start('b1', 'a0')
         await asyncio.sleep(90)
@@ -104,15 +104,19 @@
     """With both delegates of a domain gone its news still gets out."""
 
     async def main() -> tuple[set[str], set[str]]:
-        found = await cluster.domains_of('a', 'b', count=5)
+        found = await cluster.start_domains('a', 'b', count=5)
         await asyncio.sleep(5)
         chosen = [
-            name for name in _names(found, 'a') if found[name].speaks_for_domain
+            name
+            for name in _names(found, 'a')
+            if found[name].is_domain_delegate
         ]
         for delegate in chosen:
             found.crash(delegate)
         await asyncio.sleep(20)
-        seen = {cluster.seen(found[name], 'a') for name in _names(found, 'b')}
+        seen = {
+            cluster.live_names(found[name], 'a') for name in _names(found, 'b')
+        }
         return seen, {' '.join(_names(found, 'a'))}
 
     seen, left = virtual.run(main())
@@ -124,7 +128,7 @@
     """A draining host is not eligible in the eyes of other domains."""
 
     async def main() -> set[str]:
-        found = await cluster.domains_of('a', 'b', count=3)
+        found = await cluster.start_domains('a', 'b', count=3)
         found['a1'].set_roles(hosts.Role.draining)
         await asyncio.sleep(4)
         eligible = found['b2'].eligible(ids.FailureDomain('a'))
@@ -137,7 +141,7 @@
     """Quarantined fingerprints reach every host of every domain, once."""
 
     async def main() -> list[list[bytes]]:
-        found = await cluster.domains_of('a', 'b', 'c', count=4)
+        found = await cluster.start_domains('a', 'b', 'c', count=4)
         await asyncio.sleep(5)
         heard: list[list[bytes]] = []
         for process in found.processes.values():
@@ -154,13 +158,13 @@
     """Hosts that missed it get it: by loss, by a cut, by a later start."""
 
     async def main() -> list[list[bytes]]:
-        found = await cluster.domains_of('a', 'b', count=3, seed=2)
+        found = await cluster.start_domains('a', 'b', count=3, seed=2)
         await asyncio.sleep(5)
         heard: list[list[bytes]] = []
         for process in found.processes.values():
             heard.append([])
             process.member.notices.subscribe(heard[-1].append)
-        found.cut(_names(found, 'a'), _names(found, 'b'))
+        found.partition(_names(found, 'a'), _names(found, 'b'))
         found.network.loss = 0.5
         found['a1'].broadcast(b'one', 60)
         await asyncio.sleep(5)
@@ -180,7 +184,7 @@
     """No host passes a notice back after its time."""
 
     async def main() -> list[bytes]:
-        found = await cluster.domains_of('a', 'b', count=3)
+        found = await cluster.start_domains('a', 'b', count=3)
         await asyncio.sleep(5)
         found['a1'].broadcast(b'one', 4)
         await asyncio.sleep(6)
@@ -197,7 +201,7 @@
     """Any host gets the pools of the others, free slots before waits."""
 
     async def main() -> tuple[list[str], list[str]]:
-        found = await cluster.domains_of('a', 'b', 'c', 'd', count=3)
+        found = await cluster.start_domains('a', 'b', 'c', 'd', count=3)
         found['b0'].pools.publish(_summary('b', 900, 0))
         found['c0'].pools.publish(_summary('c', 100, 0))
         found['d0'].pools.publish(_summary('d', 0, 3))
@@ -205,7 +209,7 @@
         reader = next(
             found[name]
             for name in _names(found, 'a')
-            if not found[name].speaks_for_domain
+            if not found[name].is_domain_delegate
         )
         reader.pools.summaries(_POOL)
         await asyncio.sleep(0.01)
@@ -227,12 +231,12 @@
     """No ask is passed on to where nobody answers."""
 
     async def main() -> list[str]:
-        found = await cluster.domains_of('a', 'b', 'c', count=2)
+        found = await cluster.start_domains('a', 'b', 'c', count=2)
         found['b0'].pools.publish(_summary('b', 0, 3))
         found['c0'].pools.publish(_summary('c', 0, 3))
         await asyncio.sleep(10)
         others = _names(found, 'a') + _names(found, 'b')
-        found.cut(_names(found, 'c'), others)
+        found.partition(_names(found, 'c'), others)
         await asyncio.sleep(12)
         return [
             one.failure_domain for one in found['a0'].pools.summaries(_POOL)
@@ -245,7 +249,7 @@
     """A host of any domain hears how far the log has come."""
 
     async def main() -> set[int]:
-        found = await cluster.domains_of('a', 'b', 'c', count=3)
+        found = await cluster.start_domains('a', 'b', 'c', count=3)
         await asyncio.sleep(5)
         found['a1'].progress.raise_to(70, 12)
         await asyncio.sleep(3)
--- a/libs/membership/geraniumweir/membership/tests/test_heartbeats.py
+++ b/libs/membership/geraniumweir/membership/tests/test_heartbeats.py
@@ -20,7 +20,7 @@
     """Hosts that know one seed only all find each other."""
 
     async def main() -> set[str]:
-        found = await cluster.domain_of(6)
+        found = await cluster.start_domain(6)
         return found.views('a')
 
     assert virtual.run(main()) == {_whole(6)}
@@ -45,8 +45,8 @@
     """A crash is seen by all within the bound, and by none as a leave."""
 
     async def main() -> tuple[set[str], list[hosts.HostLeft]]:
-        found = await cluster.domain_of(6)
-        cluster.forget_events(found)
+        found = await cluster.start_domain(6)
+        cluster.clear_events(found)
         found.crash('a03')
         await asyncio.sleep(_BOUND + _SLACK)
         left = [one.left() for one in found.processes.values()]
@@ -62,10 +62,10 @@
     """A host that leaves is gone without a timeout, and stays so."""
 
     async def main() -> tuple[set[str], set[str]]:
-        found = await cluster.domain_of(4)
+        found = await cluster.start_domain(4)
         leaving = asyncio.create_task(found['a03'].leave())
         await asyncio.sleep(0.1)
-        early = cluster.seen(found['a00'], 'a')
+        early = cluster.live_names(found['a00'], 'a')
         await leaving
         found.processes.pop('a03')
         await asyncio.sleep(2)
@@ -79,11 +79,11 @@
     """After its own stall a host still holds all others for live."""
 
     async def main() -> tuple[list[hosts.HostEvent], set[str]]:
-        found = await cluster.domain_of(6)
+        found = await cluster.start_domain(6)
         process = found.processes['a02']
         process.stall()
         await asyncio.sleep(8)
-        cluster.forget_events(found)
+        cluster.clear_events(found)
         process.resume()
         await asyncio.sleep(5)
         return process.events, found.views('a')
@@ -97,8 +97,8 @@
     """What others vouch for stays live when one direction fails."""
 
     async def main() -> tuple[set[str], list[hosts.HostLeft]]:
-        found = await cluster.domain_of(5)
-        cluster.forget_events(found)
+        found = await cluster.start_domain(5)
+        cluster.clear_events(found)
         found.network.cut(ids.HostId('a01'), ids.HostId('a02'))
         await asyncio.sleep(30)
         left = [one.left() for one in found.processes.values()]
@@ -113,13 +113,13 @@
     """A host that hears nobody leads no pool, though it is heard."""
 
     async def main() -> tuple[str, list[str]]:
-        found = await cluster.domain_of(5)
+        found = await cluster.start_domain(5)
         for other in range(4):
             name = ids.HostId(f'a{other:02}')
             found.network.cut(name, ids.HostId('a04'))
         await asyncio.sleep(_BOUND)
         eligible = found['a00'].eligible(_DOMAIN)
-        live = cluster.seen(found['a00'], 'a')
+        live = cluster.live_names(found['a00'], 'a')
         return live, [host.host_id for host in eligible]
 
     live, eligible = virtual.run(main())
@@ -131,7 +131,7 @@
     """A draining host is live everywhere but eligible nowhere."""
 
     async def main() -> tuple[set[str], list[hosts.Host]]:
-        found = await cluster.domain_of(3)
+        found = await cluster.start_domain(3)
         found['a01'].set_roles(hosts.Role.draining)
         await asyncio.sleep(0.1)
         eligible = [
@@ -150,11 +150,11 @@
     """A host that keeps dying returns more and more slowly."""
 
     async def main() -> int:
-        found = await cluster.domain_of(4)
-        cluster.forget_events(found)
+        found = await cluster.start_domain(4)
+        cluster.clear_events(found)
         names = ['a00', 'a01', 'a02']
         for _ in range(12):
-            found.cut(['a03'], names)
+            found.partition(['a03'], names)
             await asyncio.sleep(4)
             found.network.heal()
             await asyncio.sleep(2)
@@ -168,8 +168,8 @@
     """With 30% loss for two minutes hardly a host is wrongly dead."""
 
     async def main() -> tuple[int, set[str]]:
-        found = await cluster.domain_of(12, seed=3)
-        cluster.forget_events(found)
+        found = await cluster.start_domain(12, seed=3)
+        cluster.clear_events(found)
         found.network.loss = 0.3
         await asyncio.sleep(120)
         left = sum(len(one.left()) for one in found.processes.values())
@@ -187,8 +187,8 @@
     """A new incarnation takes over and the older one never comes back."""
 
     async def main() -> tuple[set[int], list[hosts.Departure]]:
-        found = await cluster.domain_of(4)
-        cluster.forget_events(found)
+        found = await cluster.start_domain(4)
+        cluster.clear_events(found)
         found.processes['a02'].member.stop()
         await found.start('a02', 'a01')
         await asyncio.sleep(2)
@@ -210,8 +210,8 @@
     """Halves of a split domain go on alone and join after minutes."""
 
     async def main() -> tuple[set[str], set[str]]:
-        found = await cluster.domain_of(4)
-        found.cut(['a00', 'a01'], ['a02', 'a03'])
+        found = await cluster.start_domain(4)
+        found.partition(['a00', 'a01'], ['a02', 'a03'])
         await asyncio.sleep(120)
         apart = found.views('a')
         found.network.heal()
--- a/libs/membership/geraniumweir/membership/tests/test_members.py
+++ b/libs/membership/geraniumweir/membership/tests/test_members.py
@@ -38,21 +38,21 @@
     @stateful.rule(name=_NAMES, life=_LIVES)
     def tell_of(self, name: str, life: int) -> None:
         """Somebody tells of a host, maybe of an old life."""
-        self.members.tell_of(_host(name, life), self.now)
+        self.members.add_candidate(_host(name, life), self.now)
         self.told[name] = max(life, self.told.get(name, 0))
 
     @stateful.rule(name=_NAMES, life=_LIVES)
     def beat(self, name: str, life: int) -> None:
         """A heartbeat arrives, maybe of an old life."""
         incarnation = ids.Incarnation(life)
-        self.members.beat(ids.HostId(name), incarnation, self.now)
+        self.members.record_heartbeat(ids.HostId(name), incarnation, self.now)
         self.last_beat[(name, life)] = self.now
 
     @stateful.rule(name=_NAMES, life=_LIVES)
     def farewell(self, name: str, life: int) -> None:
         """A host says that it stops."""
         incarnation = ids.Incarnation(life)
-        self.members.farewell(ids.HostId(name), incarnation, self.now)
+        self.members.record_farewell(ids.HostId(name), incarnation, self.now)
         if self.told.get(name) == life:
             self.gone.add((name, life))
 
@@ -60,7 +60,7 @@
     def wait(self, seconds: float) -> None:
         """Time goes by and the hosts are judged."""
         self.now += seconds
-        self.members.judge(self.now)
+        self.members.evaluate(self.now)
 
     @stateful.invariant()
     def live_hosts_are_right(self) -> None:
--- a/libs/membership/geraniumweir/membership/tests/test_registry.py
+++ b/libs/membership/geraniumweir/membership/tests/test_registry.py
@@ -88,7 +88,7 @@
         """Take an announcement, maybe a late one."""
         before = self.registry.lease(ids.ServerId(name))
         said = announcement(name, life, state)
-        crashed = self.registry.take(said, left, self.now)
+        crashed = self.registry.apply(said, left, self.now)
         self.naive.take(said, left, self.now)
         newer = bool(before and life > before.announcement.incarnation)
         assert crashed is newer
--- a/libs/membership/geraniumweir/membership/tests/test_sharing.py
+++ b/libs/membership/geraniumweir/membership/tests/test_sharing.py
@@ -36,7 +36,7 @@
     """All hosts of the domain have the lease, also one that starts later."""
 
     async def main() -> tuple[dict[str, list[str]], dict[str, list[str]]]:
-        found = await cluster.domain_of(3)
+        found = await cluster.start_domain(3)
         announcing = asyncio.create_task(_announce(found, 'a01', 20))
         await asyncio.sleep(0.1)
         early = _states(found)
@@ -57,7 +57,7 @@
     """When a server falls silent no host lengthens its lease by echo."""
 
     async def main() -> dict[str, list[str]]:
-        found = await cluster.domain_of(4)
+        found = await cluster.start_domain(4)
         await _announce(found, 'a01', 5)
         await asyncio.sleep(servers.LEASE_SECONDS)
         return _states(found)
@@ -70,7 +70,7 @@
     """Also with lost messages, and though a late ready arrives elsewhere."""
 
     async def main() -> dict[str, list[str]]:
-        found = await cluster.domain_of(6, seed=5)
+        found = await cluster.start_domain(6, seed=5)
         await _announce(found, 'a01', 3)
         found.network.loss = loss
         leaving = test_registry.announcement(state=_LEAVING)
@@ -90,7 +90,7 @@
     """A new incarnation is a crash event on each host of the domain."""
 
     async def main() -> list[int]:
-        found = await cluster.domain_of(3)
+        found = await cluster.start_domain(3)
         await _announce(found, 'a01', 2)
         await _announce(found, 'a02', 2, incarnation=2)
         await _announce(found, 'a01', 1, incarnation=1)
@@ -106,7 +106,7 @@
     """A server hears of three hosts of its domain that aren't draining."""
 
     async def main() -> tuple[ids.Address, ...]:
-        found = await cluster.domain_of(5)
+        found = await cluster.start_domain(5)
         said = test_registry.announcement()
         return found['a01'].sharing.announce(said).announce_to
 
@@ -119,7 +119,7 @@
     """A server of another failure domain gets a clear error."""
 
     async def main() -> None:
-        found = await cluster.domain_of(1)
+        found = await cluster.start_domain(1)
         said = test_registry.announcement(failure_domain='b')
         found['a00'].sharing.announce(said)
 
