--- a/libs/membership/geraniumweir/membership/__init__.py
+++ b/libs/membership/geraniumweir/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is there: live entry hosts and leased backend servers.
+"""Cluster membership: live entry hosts and leased backend servers.
 
 See Also
 ========
--- a/libs/membership/geraniumweir/membership/cards.py
+++ b/libs/membership/geraniumweir/membership/cards.py
@@ -1,4 +1,4 @@
-"""Hosts as messages, and the fingerprint of a list of hosts."""
+"""Host cards: hosts as messages; fingerprints of rosters."""
 
 import typing
 import zlib
@@ -13,7 +13,7 @@
 
 
 def write_host(host: hosts.Host) -> ttypes.HostCard:
-    """Turn a host into its card."""
+    """Return the card of a host."""
     backend = host.backend_address
     return ttypes.HostCard(
         host_id=host.host_id,
@@ -27,9 +27,9 @@
 
 
 def read_host(card: ttypes.HostCard) -> hosts.Host:
-    """Turn a card into a host.
+    """Return the host that a card describes.
 
-    :raises errors.CardError: when a field is missing or nonsense.
+    :raises errors.CardError: when a field is missing or invalid.
     """
     try:
         return _read(card)
@@ -38,7 +38,7 @@
 
 
 def roster_hash(members: typing.Iterable[hosts.Host]) -> int:
-    """Give a fingerprint of a list of hosts that doesn't depend on order.
+    """Return a fingerprint of hosts that doesn't depend on their order.
 
     :returns: a signed 32-bit number, never 0.
 
@@ -53,7 +53,7 @@
 
 
 def signed_crc32(text: str) -> int:
-    """Give the CRC-32 of a text as a signed number that is not 0.
+    """Return the CRC-32 of a text as a signed 32-bit number, never 0.
 
     >>> signed_crc32('')
     1
--- a/libs/membership/geraniumweir/membership/delegates.py
+++ b/libs/membership/geraniumweir/membership/delegates.py
@@ -1,9 +1,9 @@
-"""The hosts that speak for their failure domain.
+"""Choice of the delegates: the hosts that represent their failure domain.
 
-Every host works out the delegates of a domain from the hosts it believes
-live there, by rendezvous hashing: the hosts with the highest weights. When
-one dies, only its own place moves. Hosts whose views differ for a moment
-choose different delegates; that costs a few messages and harms nothing.
+Every host computes the delegates of a domain from its view of the live hosts
+there, by rendezvous hashing: the hosts with the highest weights. When a
+delegate dies, only that one is replaced. Hosts whose views differ for a
+moment choose different delegates; that only costs a few messages.
 
 References
 ==========
@@ -29,8 +29,8 @@
     A draining host is chosen only when there are too few others.
 
     :param members: live hosts of one failure domain.
-    :param count: how many are wanted.
-    :returns: at most that many, the first in rank first.
+    :param count: number of delegates.
+    :returns: at most that many, highest rank first.
     """
     ranked = sorted(members, key=_rank)
     return tuple(ranked[:count])
@@ -40,11 +40,11 @@
     chosen: typing.Sequence[hosts.Host],
     me: ids.HostId,
 ) -> hosts.Host | None:
-    """Tell which delegate a host gets its news from.
+    """Return the delegate from which a host gets updates of other domains.
 
-    Half of a domain's hosts follow each delegate, so that the work is shared.
+    Each of the two delegates serves half of the hosts, which spreads load.
 
-    :returns: None where there is no delegate or the host is one itself.
+    :returns: None where there is no delegate or the host is a delegate.
     """
     if not chosen or any(host.host_id == me for host in chosen):
         return None
--- a/libs/membership/geraniumweir/membership/digests.py
+++ b/libs/membership/geraniumweir/membership/digests.py
@@ -1,9 +1,10 @@
-"""What delegates tell each other, once a second.
+"""Digests that delegates of different failure domains send once a second.
 
-A digest holds fingerprints and numbers only; what differs is asked for. Both
-delegates of a domain tell both of each other domain, so no single link or
-host cuts two domains off. A domain that isn't heard is tried by the hosts
-last known there, one after another.
+A digest holds only fingerprints and version numbers; a receiver requests what
+differs (anti-entropy). Both delegates of a domain send to both of every other
+domain, so that no single link or host can partition two domains. An
+unreachable domain is sent digests through its last known hosts, one after
+another.
 """
 
 from geraniumweir.common import ids
@@ -20,7 +21,7 @@
 
 
 class Digests:
-    """Sends and takes in digests."""
+    """Sender and receiver of digests."""
 
     def __init__(
         self,
@@ -38,7 +39,7 @@
         shared.peers.handle(ttypes.Digest, self._on_digest)
 
     def tick(self, count: int) -> None:
-        """Tell the other domains; delegates only.
+        """Send a digest to the other domains where this host is a delegate.
 
         :param count: of ticks.
         """
@@ -87,8 +88,8 @@
         self._shared.progress.raise_to(message.log_index, message.version)
         self._introduce(sender, domain, message.roster)
         self._compare(sender, message)
-        # The sender's view of this domain is old where it took this host for
-        # a delegate; the answer tells it so.
+        # A sender that takes this host for a delegate has an outdated view of
+        # this domain; the reply carries the fingerprint of the current one.
         if not self._shared.is_delegate() and self._reply_limiter.allows(
             sender, now
         ):
@@ -100,9 +101,10 @@
         domain: ids.FailureDomain,
         roster: int,
     ) -> None:
-        """Tell a delegate of hosts of its own domain that it may not know.
+        """Send a delegate the hosts of its own domain if its roster differs.
 
-        So hosts of one domain find each other that joined by seeds elsewhere.
+        Hosts of one domain that joined through seeds in other domains find
+        each other this way.
         """
         if self._shared.outside.domain(domain).roster == roster:
             return
@@ -120,7 +122,7 @@
             self._pools.compare(sender, message.pools)
 
     def _preferred(self, domain: ids.FailureDomain) -> ids.HostId | None:
-        """Choose which delegate of a domain to get its summaries from."""
+        """Choose the delegate of a domain to request its summaries from."""
         sources = sorted(self._shared.outside.domain(domain).sources)
         chosen = [host.host_id for host in self._shared.delegates()]
         me = self._shared.me.host_id
--- a/libs/membership/geraniumweir/membership/dissemination.py
+++ b/libs/membership/geraniumweir/membership/dissemination.py
@@ -1,8 +1,9 @@
-"""Sends notices on at once; see :mod:`geraniumweir.membership.notices`.
+"""Broadcast of notices; see :mod:`geraniumweir.membership.notices`.
 
-Where a notice starts, it goes to every host of the domain. A delegate that
-hears of one for the first time sends it to the delegates of the other
-domains, and to its own domain where it came from outside.
+The origin sends a notice to every host of its domain. A delegate that
+originates a notice, or receives it for the first time, sends it to the
+delegates of the other domains; where the sender is in another domain, also to
+every host of its own.
 """
 
 from geraniumweir.common import ids
@@ -11,7 +12,7 @@
 
 
 class Dissemination:
-    """Sends notices and takes them in."""
+    """Sender, forwarder and receiver of notices."""
 
     def __init__(self, shared: shared_state.SharedState) -> None:
         """Register the handlers."""
@@ -20,11 +21,11 @@
         shared.peers.handle(ttypes.Notices, self._on_notices)
 
     def broadcast(self, payload: bytes, seconds: float) -> None:
-        """Let every host hear of some bytes.
+        """Send a notice to every host.
 
         :param payload: opaque; at most ``notices.MAX_PAYLOAD`` bytes.
-        :param seconds: how long they count.
-        :raises errors.NoticeError: when they are too many.
+        :param seconds: time until the notice expires.
+        :raises errors.NoticeError: when the payload is too large.
         """
         notice = self._shared.notices.add(payload, seconds, self._shared.now())
         if notice is None:
--- a/libs/membership/geraniumweir/membership/errors.py
+++ b/libs/membership/geraniumweir/membership/errors.py
@@ -4,36 +4,36 @@
 
 
 class MembershipError(errors.GeraniumweirError):
-    """Something about hosts or servers can't be taken."""
+    """Base of the errors about hosts and backend servers."""
 
     code = 'GW-6000'
 
 
 class AnnouncementError(MembershipError, ValueError):
-    """An announcement is nonsense or beyond a limit."""
+    """An announcement with an invalid field, or one beyond a limit."""
 
     code = 'GW-6102'
 
 
 class OtherDomainError(AnnouncementError):
-    """A server announced itself to a host of another failure domain."""
+    """An announcement to a host of another failure domain."""
 
     code = 'GW-6103'
 
 
 class RegistryFullError(AnnouncementError):
-    """More servers are known than the limit allows."""
+    """An announcement of a new server while the registry is full."""
 
     code = 'GW-6104'
 
 
 class CardError(MembershipError):
-    """A message from another host can't be read."""
+    """A host card from another host that can't be decoded."""
 
     code = 'GW-6105'
 
 
 class NoticeError(MembershipError):
-    """A notice is larger than the limit."""
+    """A notice whose payload exceeds the size limit."""
 
     code = 'GW-6106'
--- a/libs/membership/geraniumweir/membership/heartbeats.py
+++ b/libs/membership/geraniumweir/membership/heartbeats.py
@@ -1,9 +1,9 @@
-"""Heartbeats inside a failure domain, each host to each other host.
+"""Heartbeats between all hosts of a failure domain.
 
-A heartbeat says that its sender lives and in which life, and carries
-fingerprints of what the sender knows, so that whoever knows something else
-asks for it. A silent host is asked about among three others before it is
-held for dead (:mod:`geraniumweir.membership.suspicion`).
+A heartbeat carries the incarnation of its sender and fingerprints of the
+sender's state; a receiver whose fingerprint differs requests the state
+(anti-entropy). Before a silent host counts as dead, inquiries about it go to
+three other hosts each period (:mod:`geraniumweir.membership.suspicion`).
 """
 
 import random
@@ -19,6 +19,8 @@
 )
 from geraniumweir.wire.gen.membership import ttypes
 
+# Dead hosts are sent a heartbeat every tenth tick, so that the views join
+# after a partition.
 _DEAD_HEARTBEAT_TICKS = 10
 _MS_PER_SECOND = 1000
 _MAX_AGE_MS = 60_000
@@ -27,17 +29,20 @@
 
 
 class LeaseCarrier(typing.Protocol):
-    """What has leases of backend servers carried by heartbeats."""
+    """Source and receiver of the lease renewals carried by heartbeats."""
 
     def renewals(self) -> Renewals:
-        """Give what the next heartbeat carries."""
+        """Return the renewals for the next heartbeat."""
 
-    def take_renewals(self, sender: ids.HostId, renewed: Renewals) -> None:
-        """Take what a heartbeat brought."""
+    def apply_renewals(self, sender: ids.HostId, renewed: Renewals) -> None:
+        """Apply the renewals of a received heartbeat."""
 
 
 class Heartbeats:
-    """Sends and takes in heartbeats."""
+    """Sender and receiver of heartbeats.
+
+    :ivar leases: carrier of lease renewals; None sends no renewals.
+    """
 
     def __init__(
         self,
@@ -47,7 +52,7 @@
     ) -> None:
         """Register the handlers.
 
-        :param seed: of the choice of witnesses.
+        :param seed: of the random choice of witnesses.
         """
         self._shared = shared
         self._roster_exchange = roster_exchange
@@ -63,19 +68,22 @@
         shared.peers.handle(ttypes.OutsideList, self._on_outside_list)
 
     def tick(self, count: int) -> None:
-        """Judge the others, then send to them.
+        """Detect failures, then send heartbeats and inquiries.
 
-        :param count: of ticks; the long dead are sent to only now and then.
+        :param count: of ticks; dead hosts get a heartbeat on some only.
         """
         now = self._shared.now()
-        self._notice_stall(now)
+        self._detect_stall(now)
         self._shared.members.evaluate(now)
         self._shared.outside.sweep(now)
         self.send_heartbeats(with_dead=count % _DEAD_HEARTBEAT_TICKS == 0)
         self._send_inquiries()
 
     def send_heartbeats(self, *, with_dead: bool = False) -> None:
-        """Send one heartbeat to all hosts of the domain."""
+        """Send one heartbeat to the other hosts of the domain.
+
+        :param with_dead: also to dead hosts.
+        """
         states = [
             members.State.candidate,
             members.State.live,
@@ -88,7 +96,7 @@
             self._shared.peers.send(host.host_id, message)
 
     def send_farewell(self) -> None:
-        """Tell the domain that this host stops."""
+        """Notify the domain that this host stops."""
         message = ttypes.Farewell(self._shared.me.incarnation)
         view_states = (members.State.live, members.State.suspected)
         for host in self._shared.members.others(*view_states):
@@ -111,7 +119,7 @@
             renewed=(self.leases and self.leases.renewals()) or None,
         )
 
-    def _notice_stall(self, now: float) -> None:
+    def _detect_stall(self, now: float) -> None:
         gap = now - self._last_tick_at - self._shared.timing.period
         self._last_tick_at = now
         if gap < self._shared.timing.stall:
@@ -149,7 +157,7 @@
         self._shared.members.update(member, roles, message.hears)
         self._shared.progress.raise_to(message.log_index, message.version)
         if self.leases and message.renewed:
-            self.leases.take_renewals(sender, message.renewed)
+            self.leases.apply_renewals(sender, message.renewed)
         self._compare(sender, message)
 
     def _request_card(self, sender: ids.HostId, incarnation: int) -> None:
--- a/libs/membership/geraniumweir/membership/hosts.py
+++ b/libs/membership/geraniumweir/membership/hosts.py
@@ -1,7 +1,7 @@
-"""Entry hosts as the rest of the product sees them.
+"""Entry hosts: their roles, membership events and the view of live hosts.
 
-A part asks a :class:`HostView` who is live and subscribes to its changes; it
-doesn't learn how that was found out.
+Other packages query a :class:`HostView` and subscribe to its changes; how
+failures are detected is hidden behind it.
 """
 
 import dataclasses
@@ -13,7 +13,7 @@
 
 
 class Role(enum.Flag):
-    """What a host does besides serving callers."""
+    """Roles of a host besides serving callers."""
 
     none = 0
     recorder = 1
@@ -22,11 +22,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Host:
-    """One entry host in one life.
+    """One incarnation of an entry host.
 
-    :ivar address: where other hosts reach it.
-    :ivar incarnation: grows at each start of the host.
-    :ivar backend_address: where backend servers announce themselves.
+    :ivar address: peer address for connections from other hosts.
+    :ivar incarnation: higher at each start of the host.
+    :ivar backend_address: address for announcements of backend servers.
 
     >>> host = Host(
     ...     ids.HostId('a'), ids.FailureDomain('d'), ids.Region('r'),
@@ -46,12 +46,12 @@
 
     @property
     def draining(self) -> bool:
-        """Tell whether it takes no new calls."""
+        """Return whether the host accepts no new requests."""
         return Role.draining in self.roles
 
 
 class Departure(enum.Enum):
-    """Why a host is no longer live."""
+    """Reason why a host is no longer live."""
 
     announced = 'announced'
     silent = 'silent'
@@ -61,28 +61,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostJoined:
-    """A host is live that wasn't."""
+    """Event: a host became live."""
 
     host: Host
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostChanged:
-    """A live host has other roles."""
+    """Event: the roles of a live host changed."""
 
     host: Host
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostSuspected:
-    """A host of the own domain isn't heard; it is live until confirmed."""
+    """Event: a host of the own domain is suspected; it still counts as live."""
 
     host: Host
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HostLeft:
-    """A host is no longer live."""
+    """Event: a host is no longer live."""
 
     host: Host
     reason: Departure
@@ -90,9 +90,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SelfStalled:
-    """This host did nothing for a while, and suspects nobody for that.
+    """Event: the process of this host stalled.
 
-    :ivar seconds: how long it stood still.
+    The gap doesn't count as silence of other hosts.
+
+    :ivar seconds: length of the stall.
     """
 
     host: Host
@@ -103,22 +105,22 @@
 
 
 class HostView(typing.Protocol):
-    """Who is live, as one entry host sees it."""
+    """Live hosts as one entry host sees them."""
 
     changes: reactivex.Observable[HostEvent]
 
     @property
     def me(self) -> Host:
-        """Give the host that looks."""
+        """Return the host that has this view."""
 
     def live(self, domain: ids.FailureDomain) -> tuple[Host, ...]:
-        """List the live hosts of a failure domain, by id."""
+        """Return the live hosts of a failure domain, sorted by id."""
 
     def eligible(self, domain: ids.FailureDomain) -> tuple[Host, ...]:
-        """List those of them that may lead pools."""
+        """Return the live hosts of a domain that may lead pools."""
 
     def all_live(self) -> tuple[Host, ...]:
-        """List the live hosts of all failure domains that are reached."""
+        """Return the live hosts of all reachable failure domains."""
 
     def is_live(self, host_id: ids.HostId) -> bool:
-        """Tell whether a host is live."""
+        """Return whether a host is live."""
--- a/libs/membership/geraniumweir/membership/limits.py
+++ b/libs/membership/geraniumweir/membership/limits.py
@@ -1,7 +1,7 @@
-"""Limits on what a backend server may say of itself.
+"""Limits on the announcements of backend servers.
 
-They bound memory and messages against nonsense; an honest server is far from
-all of them.
+They bound memory and the size of messages against invalid announcements; a
+correct server stays far below all of them.
 """
 
 from geraniumweir.membership import errors, servers
@@ -15,9 +15,9 @@
 
 
 def check(announcement: servers.Announcement) -> None:
-    """Check an announcement.
+    """Check an announcement against the limits.
 
-    :raises errors.AnnouncementError: with the field and the limit.
+    :raises errors.AnnouncementError: names the field and the limit.
     """
     _check_names(announcement)
     if announcement.kind not in KINDS:
--- a/libs/membership/geraniumweir/membership/logevents.py
+++ b/libs/membership/geraniumweir/membership/logevents.py
@@ -1,4 +1,4 @@
-"""The numbered events of membership; docs/EVENTS.md lists them."""
+"""Numbered log events of membership; docs/EVENTS.md lists them."""
 
 from geraniumweir.common import logevents
 
@@ -17,7 +17,7 @@
 HOST_SUSPECTED = logevents.Event(
     603,
     _Level.info,
-    'host {host_id} is not heard from; others are asked about it',
+    'host {host_id} is suspected: no heartbeat; sending inquiries to others',
 )
 HOST_CHANGED = logevents.Event(
     604,
@@ -27,12 +27,12 @@
 SELF_STALLED = logevents.Event(
     605,
     _Level.warning,
-    'this host did nothing for {seconds} s; it suspects nobody for that',
+    'this host stalled for {seconds} s; the gap counts against no host',
 )
 SEED_FAILED = logevents.Event(
     606,
     _Level.notice,
-    'the seed at {address} did not answer: {reason}',
+    'joining through the seed at {address} failed: {reason}',
 )
 SERVER_APPEARED = logevents.Event(
     611,
@@ -52,10 +52,10 @@
 SERVER_EXPIRED = logevents.Event(
     614,
     _Level.notice,
-    'backend server {server_id} stopped announcing itself',
+    'lease of backend server {server_id} expired: no announcement',
 )
 SERVER_CHANGED = logevents.Event(
     615,
     _Level.info,
-    'backend server {server_id} says something else of itself',
+    'backend server {server_id} changed its announcement',
 )
--- a/libs/membership/geraniumweir/membership/members.py
+++ b/libs/membership/geraniumweir/membership/members.py
@@ -1,10 +1,10 @@
 """The hosts of the own failure domain, as this host sees them.
 
-A host that is only told of is a candidate: it gets heartbeats, and is live
-once it was heard itself. A dead one gets a heartbeat now and then, so that a
-healed partition joins, and is forgotten after a time. A host of an older
-incarnation than a known one is never taken back. One that keeps dying and
-returning has to be heard longer each time before it counts as live again.
+A host of which only a card arrived is a candidate: it is sent heartbeats and
+becomes live with its own first heartbeat. A dead host is sent a heartbeat
+from time to time, so that the views join after a partition, and is removed
+after a retention time. An older incarnation never replaces a newer one. A
+flapping host needs more heartbeats each time before it is live again.
 """
 
 import dataclasses
@@ -23,7 +23,7 @@
 
 
 class State(enum.Enum):
-    """What this host holds a member for."""
+    """State of a member in the view of this host."""
 
     candidate = 'candidate'
     live = 'live'
@@ -34,12 +34,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """A host of the domain and what is known of it.
+    """Another host of the domain with its state.
 
-    :ivar entered_at: when it came into its state, in seconds.
-    :ivar failure_count: how often it died and returned lately.
-    :ivar heartbeats_required: heartbeats it still owes before it is live again.
-    :ivar reachable_count: how many hosts it hears, itself included.
+    :ivar entered_at: when it entered its state, in seconds on the clock.
+    :ivar failure_count: times it left the view since it was last stable.
+    :ivar heartbeats_required: heartbeats still needed before it is live.
+    :ivar reachable_count: hosts it receives from, itself included.
     """
 
     host: hosts.Host
@@ -51,18 +51,19 @@
 
     @property
     def in_view(self) -> bool:
-        """Tell whether it is in the view."""
+        """Return whether the member counts as live."""
         return self.state in {State.live, State.suspected}
 
 
 class Members:
-    """The own failure domain.
+    """Membership table of the own failure domain.
 
-    :ivar changes: typed events of other hosts.
+    :ivar me: this host.
+    :ivar changes: typed events of the hosts of the domain.
     """
 
     def __init__(self, me: hosts.Host, timing: suspicion.Timing) -> None:
-        """Start alone."""
+        """Initialize with this host only."""
         self.me = me
         self.suspicion = suspicion.Suspicion(timing)
         self.changes: subject.Subject[hosts.HostEvent] = subject.Subject()
@@ -71,31 +72,31 @@
 
     @property
     def roster(self) -> int:
-        """Give the fingerprint of the live hosts."""
+        """Return the fingerprint of the live hosts."""
         if self._roster is None:
             self._roster = cards.roster_hash(self.live())
         return self._roster
 
     @property
     def reachable_count(self) -> int:
-        """Count the hosts that are heard directly, this one included."""
+        """Return the number of unsuspected hosts, this one included."""
         states = [member.state for member in self._members.values()]
         return states.count(State.live) + 1
 
     def live(self) -> tuple[hosts.Host, ...]:
-        """List the live hosts, this one among them, by id."""
+        """Return the live hosts, this one included, sorted by id."""
         found = [
             member.host for member in self._members.values() if member.in_view
         ]
         return tuple(sorted([*found, self.me], key=host_key))
 
     def is_live(self, host_id: ids.HostId) -> bool:
-        """Tell whether a host is this one or a live one."""
+        """Return whether a host is live; this one always is."""
         member = self._members.get(host_id)
         return host_id == self.me.host_id or bool(member and member.in_view)
 
     def others(self, *states: State) -> list[hosts.Host]:
-        """List the other hosts in given states, by id."""
+        """Return the other hosts in any of the states, sorted by id."""
         found = [
             member.host
             for member in self._members.values()
@@ -104,19 +105,19 @@
         return sorted(found, key=host_key)
 
     def member(self, host_id: ids.HostId) -> Member | None:
-        """Give what is known of another host, live or not."""
+        """Return the entry of another host, live or not."""
         return self._members.get(host_id)
 
     def set_roles(self, roles: hosts.Role) -> None:
-        """Change this host's own roles."""
+        """Set the roles of this host."""
         self.me = dataclasses.replace(self.me, roles=roles)
         self._roster = None
         self.changes.on_next(hosts.HostChanged(self.me))
 
     def add_candidate(self, host: hosts.Host, now: float) -> bool:
-        """Take in a host that somebody told of.
+        """Add a host from a card as a candidate.
 
-        :returns: whether it is new here, or in a new incarnation.
+        :returns: whether the host or its incarnation is new here.
         """
         known = self._members.get(host.host_id)
         if host.host_id == self.me.host_id:
@@ -138,10 +139,10 @@
         incarnation: ids.Incarnation,
         now: float,
     ) -> Member | None:
-        """Note that a host was heard.
+        """Record a heartbeat.
 
-        :returns: the member, or None when its card must be asked for or the
-            message comes from an older life.
+        :returns: the member, or None when there is no card of this
+            incarnation or the host has sent a farewell in it.
         """
         member = self._members.get(host_id)
         if member is None or member.host.incarnation != incarnation:
@@ -159,7 +160,7 @@
     def update(
         self, member: Member, roles: hosts.Role, reachable_count: int
     ) -> None:
-        """Take in what a heartbeat says of its sender."""
+        """Apply what a heartbeat reports about its sender."""
         member.reachable_count = reachable_count
         if roles == member.host.roles:
             return
@@ -174,7 +175,7 @@
         incarnation: ids.Incarnation,
         now: float,
     ) -> None:
-        """Note that a host stops; it is not taken back in this life."""
+        """Record that a host stops; this incarnation stays out of the view."""
         member = self._members.get(host_id)
         if member is None or member.host.incarnation != incarnation:
             return
@@ -182,7 +183,7 @@
         _set_state(member, State.gone, now)
 
     def evaluate(self, now: float) -> None:
-        """Judge every host from its silence; forget those long dead."""
+        """Detect failures; remove dead hosts and candidates after a time."""
         for member in list(self._members.values()):
             if member.in_view:
                 self._evaluate(member, now)
@@ -230,10 +231,10 @@
 
 
 def eligible(domain: Members) -> tuple[hosts.Host, ...]:
-    """List the live hosts of the own domain that may lead pools.
+    """Return the live hosts of the own domain that may lead pools.
 
-    A draining one may not, nor one that hears less than half of those that
-    this host holds for live: it is cut off on its way in.
+    A draining host may not. Neither may one that receives heartbeats from
+    less than half of the hosts that are live here: its inbound links fail.
     """
     live = domain.live()
     return tuple(
@@ -244,12 +245,12 @@
 
 
 def host_key(host: hosts.Host) -> ids.HostId:
-    """Give what hosts are sorted by."""
+    """Return the sort key of hosts."""
     return host.host_id
 
 
 def newest_incarnations(found: typing.Iterable[hosts.Host]) -> list[hosts.Host]:
-    """Keep the newest life of each host, by id."""
+    """Return the newest incarnation of each host, sorted by id."""
     kept: dict[ids.HostId, hosts.Host] = {}
     for host in found:
         known = kept.get(host.host_id)
@@ -259,7 +260,8 @@
 
 
 def _set_state(member: Member, state: State, now: float) -> None:
-    # A short suspicion doesn't restart the time that a host has lived.
+    # A short suspicion doesn't restart the time for which a host has been
+    # stable.
     within = member.in_view and state in {State.live, State.suspected}
     if not within:
         member.entered_at = now
--- a/libs/membership/geraniumweir/membership/membership.py
+++ b/libs/membership/geraniumweir/membership/membership.py
@@ -1,6 +1,6 @@
-"""Membership of one entry host: its parts together, with one face.
+"""Membership of one entry host: failure detection, leases, pool summaries.
 
-Weighed in docs/design/membership.md.
+Design: docs/design/membership.md.
 
 References
 ==========
@@ -30,13 +30,14 @@
 
 
 class Membership:
-    """A :class:`hosts.HostView` that is kept up to date.
+    """A :class:`hosts.HostView` backed by the membership protocol.
 
-    :ivar progress: newest log index and version heard of; raise it here.
-    :ivar pools: summaries of pools, to publish and to read.
+    :ivar progress: newest log index and version of any host; the local ones
+        are recorded here.
+    :ivar pools: publisher and reader of pool summaries.
     :ivar registry: backend servers of the domain.
-    :ivar sharing: takes announcements and shares leases.
-    :ivar seeds: tells of seeds that don't answer.
+    :ivar sharing: applies announcements and shares leases.
+    :ivar seeds: joins through seeds and reports failed attempts.
     """
 
     def __init__(
@@ -46,7 +47,7 @@
         timer_service: timers.TimerService,
         options: shared_state.Options | None = None,
     ) -> None:
-        """Build the parts; nothing is sent before :meth:`start`."""
+        """Initialize; nothing is sent before :meth:`start`."""
         self._options = options or shared_state.Options()
         self._shared = shared_state.SharedState(
             me,
@@ -78,12 +79,12 @@
 
     @property
     def me(self) -> hosts.Host:
-        """Give this host."""
+        """Return this host."""
         return self._shared.me
 
     @property
     def changes(self) -> reactivex.Observable[hosts.HostEvent]:
-        """Give the stream of typed events of hosts in all domains."""
+        """Return the stream of typed events of hosts in all domains."""
         return reactivex.merge(
             self._shared.members.changes,
             self._shared.outside.changes,
@@ -91,7 +92,7 @@
 
     @property
     def reported_events(self) -> reactivex.Observable[reports.ReportedEvent]:
-        """Give all that is worth a line in the log."""
+        """Return the stream of events that are logged."""
         return reactivex.merge(
             self.changes,
             self.registry.changes,
@@ -100,58 +101,59 @@
 
     @property
     def notices(self) -> reactivex.Observable[bytes]:
-        """Give the stream of notices that arrive, as opaque bytes."""
+        """Return the stream of new notices, as opaque bytes."""
         return self._shared.notices.arrivals.pipe(
             operators.map(lambda notice: notice.payload),
         )
 
     @property
     def is_domain_delegate(self) -> bool:
-        """Tell whether this host is a delegate of its domain."""
+        """Return whether this host is a delegate of its domain."""
         return self._shared.is_delegate()
 
     def live(self, domain: ids.FailureDomain) -> tuple[hosts.Host, ...]:
-        """List the live hosts of a failure domain, by id."""
+        """Return the live hosts of a failure domain, sorted by id."""
         if domain == self.me.failure_domain:
             return self._shared.members.live()
         return self._shared.outside.live(domain)
 
     def eligible(self, domain: ids.FailureDomain) -> tuple[hosts.Host, ...]:
-        """List the live hosts of a domain that may lead pools."""
+        """Return the live hosts of a domain that may lead pools."""
         if domain == self.me.failure_domain:
             return self._shared.eligible()
         found = self._shared.outside.live(domain)
         return tuple(host for host in found if not host.draining)
 
     def all_live(self) -> tuple[hosts.Host, ...]:
-        """List the live hosts of all reachable domains."""
+        """Return the live hosts of all reachable domains, own ones first."""
         own = self._shared.members.live()
         return (*own, *self._shared.outside.all_live())
 
     def is_live(self, host_id: ids.HostId) -> bool:
-        """Tell whether a host is live."""
+        """Return whether a host is live."""
         if self._shared.members.is_live(host_id):
             return True
         return self._shared.outside.is_live(host_id)
 
     def broadcast(self, payload: bytes, seconds: float) -> None:
-        """Let every host hear of some opaque bytes within a second or two.
+        """Send a notice to every host; it arrives within a second or two.
 
-        :param seconds: how long they count.
-        :raises errors.NoticeError: when they are too many.
+        :param payload: opaque; at most ``notices.MAX_PAYLOAD`` bytes.
+        :param seconds: time until the notice expires.
+        :raises errors.NoticeError: when the payload is too large.
         """
         self._dissemination.broadcast(payload, seconds)
 
     def set_roles(self, roles: hosts.Role) -> None:
-        """Change this host's roles, such as draining; told at once."""
+        """Set the roles of this host, such as draining, and publish them."""
         self._shared.members.set_roles(roles)
         self._heartbeats.send_heartbeats()
 
     async def start(self) -> None:
-        """Greet the seeds and begin to send.
+        """Join through the seeds and start sending.
 
-        A seed that doesn't answer is tried again; a host without any goes on
-        alone.
+        A seed that doesn't answer is retried; until one does, the host works
+        on its own.
         """
         period = self._options.timing.period
         self._schedule(period, self._heartbeats.tick)
@@ -162,14 +164,14 @@
         self._heartbeats.send_heartbeats()
 
     async def leave(self) -> None:
-        """Say farewell twice and stop."""
+        """Send two farewells, in case one is lost, and stop."""
         self._heartbeats.send_farewell()
         await asyncio.sleep(self._options.timing.period)
         self._heartbeats.send_farewell()
         self.stop()
 
     def stop(self) -> None:
-        """Send no more, without a farewell."""
+        """Stop sending, without a farewell."""
         for subscription in self._subscriptions:
             subscription.dispose()
         self._subscriptions.clear()
--- a/libs/membership/geraniumweir/membership/notices.py
+++ b/libs/membership/geraniumweir/membership/notices.py
@@ -1,8 +1,9 @@
-"""Short notices that every host hears of, such as quarantined fingerprints.
+"""Short notices broadcast to every host, such as quarantined fingerprints.
 
-The bytes are opaque here. A notice is sent on at once by whoever first hears
-of it; fingerprints of all notices travel in heartbeats and digests, so that a
-host that missed one asks for it. A notice counts for a time and is gone.
+The payload is opaque here. Delegates forward a notice as soon as they first
+receive it (:mod:`geraniumweir.membership.dissemination`). Heartbeats and
+digests carry a fingerprint of all active notices, so that a host that missed
+one requests it. A notice expires after its time.
 """
 
 import dataclasses
@@ -17,6 +18,7 @@
 MAX_ACTIVE = 1024
 MAX_SECONDS = 3600.0
 MAX_IN_MESSAGE = 256
+# Expiry times of one notice differ between hosts by less than this.
 _EXPIRY_SLACK_SECONDS = 2.0
 _MS_PER_SECOND = 1000
 _ID_MASK = 0x7FFFFFFFFFFFFFFF
@@ -25,7 +27,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Notice:
-    """Opaque bytes that count until a time on this host's clock."""
+    """A payload with its expiry.
+
+    :ivar expires_at: in seconds on this host's clock.
+    """
 
     notice_id: int
     payload: bytes
@@ -33,29 +38,29 @@
 
 
 class NoticeStore:
-    """The notices that count at the moment."""
+    """Store of the active notices."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Initialize without notices."""
         self._active: dict[int, Notice] = {}
         self._arrivals: subject.Subject[Notice] = subject.Subject()
 
     @property
     def arrivals(self) -> reactivex.Observable[Notice]:
-        """Give the stream of notices that are new to this host."""
+        """Return the stream of notices that are new to this host."""
         return self._arrivals
 
     def add(self, payload: bytes, seconds: float, now: float) -> Notice | None:
-        """Put up a notice.
+        """Add a notice or extend an active one.
 
-        :param seconds: how long it counts from now.
-        :returns: the notice where it is new here or counts clearly longer
-            than before, else None.
-        :raises errors.NoticeError: when it is too large.
+        :param seconds: time until it expires.
+        :returns: the notice where it is new here or was extended by at least
+            the slack between hosts' expiry times, else None.
+        :raises errors.NoticeError: when the payload is too large.
         """
         if len(payload) > MAX_PAYLOAD:
             raise errors.NoticeError(
-                f'a notice of {len(payload)} bytes; at most {MAX_PAYLOAD}',
+                f'notice has {len(payload)} bytes; the limit is {MAX_PAYLOAD}',
             )
         notice_id = xxhash.xxh3_64_intdigest(payload) & _ID_MASK
         expires_at = now + min(seconds, MAX_SECONDS)
@@ -72,7 +77,7 @@
         return notice
 
     def active(self, now: float) -> list[Notice]:
-        """List the notices that count, by id, and drop the others."""
+        """Remove expired notices; return the active ones, sorted by id."""
         expired = [
             notice.notice_id
             for notice in self._active.values()
@@ -83,10 +88,10 @@
         return sorted(self._active.values(), key=_key)
 
     def fingerprint(self, now: float) -> int | None:
-        """Give a fingerprint of what counts, or None where nothing does.
+        """Return a fingerprint of the active notices, None without any.
 
-        Notices about to end are left out, as hosts don't drop them at the
-        same instant.
+        Notices about to expire are left out, as they don't expire at the same
+        instant on all hosts.
         """
         mixed = 0
         for notice in self.active(now):
@@ -101,7 +106,7 @@
 
 
 def write(notices: list[Notice], now: float) -> ttypes.Notices:
-    """Turn notices into a message, with the time they still count."""
+    """Return a message with notices and the time left of each."""
     return ttypes.Notices(
         [
             ttypes.Notice(
@@ -119,9 +124,9 @@
     store: NoticeStore,
     now: float,
 ) -> list[Notice]:
-    """Put up the notices of a message.
+    """Add the notices of a message to a store.
 
-    :returns: those that were new here.
+    :returns: those that were new here or extended.
     """
     added = [
         store.add(bytes(entry.payload), entry.left_ms / _MS_PER_SECOND, now)
--- a/libs/membership/geraniumweir/membership/outside.py
+++ b/libs/membership/geraniumweir/membership/outside.py
@@ -1,11 +1,11 @@
-"""The hosts of the other failure domains, as told by delegates.
+"""The hosts of the other failure domains, as reported by delegates.
 
 For each domain the rosters of a few sources are kept: the domain's own
 delegates where this host is a delegate itself, else the delegate that it
-follows. The domain's live hosts are all those that a fresh source names, so
-two delegates that see different halves of a split domain add up. A domain
-without a fresh source is unreachable; its hosts are still remembered for a
-time as ways to reach it again.
+follows. The live hosts of a domain are the union of the rosters of its current
+sources, so that two delegates on different sides of a partition inside the
+domain complement each other. A domain without a current source is
+unreachable; its hosts are kept for a time as contacts to reach it again.
 """
 
 import dataclasses
@@ -24,7 +24,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Source:
-    """What one host told of a domain, and when it was last fresh."""
+    """Roster of a domain from one host.
+
+    :ivar roster: fingerprint of the hosts.
+    :ivar last_seen_at: when it was last confirmed, in seconds on the clock.
+    """
 
     roster: int
     hosts: tuple[hosts.Host, ...]
@@ -35,8 +39,11 @@
 class Domain:
     """One other failure domain.
 
-    :ivar contacts: the hosts last known, also while it is unreachable.
-    :ivar live: hosts named by a fresh source.
+    :ivar contacts: last known hosts, kept while the domain is unreachable.
+    :ivar live: hosts in the roster of any current source.
+    :ivar roster: fingerprint of the live hosts.
+    :ivar last_seen_at: when any source was last confirmed, in seconds on the
+        clock.
     """
 
     contacts: tuple[hosts.Host, ...] = ()
@@ -49,47 +56,48 @@
 
 
 class OtherDomains:
-    """All other failure domains."""
+    """View of all other failure domains."""
 
     def __init__(self, own: ids.FailureDomain) -> None:
-        """Know of no other domain."""
+        """Initialize without any other domain."""
         self._own = own
         self.changes: subject.Subject[hosts.HostEvent] = subject.Subject()
         self._domains: dict[ids.FailureDomain, Domain] = {}
         self._domain_by_host: dict[ids.HostId, ids.FailureDomain] = {}
 
     def domains(self) -> list[ids.FailureDomain]:
-        """List the domains that are known, reachable or not."""
+        """Return the names of the domains, reachable or not, sorted."""
         return sorted(self._domains)
 
     def domain(self, name: ids.FailureDomain) -> Domain:
-        """Give what is known of a domain."""
+        """Return the entry of a domain; empty where there is none."""
         return self._domains.get(name) or Domain()
 
     def live(self, name: ids.FailureDomain) -> tuple[hosts.Host, ...]:
-        """List the live hosts of a domain, by id."""
+        """Return the live hosts of a domain, sorted by id."""
         return self.domain(name).live
 
     def all_live(self) -> list[hosts.Host]:
-        """List the live hosts of all other domains."""
+        """Return the live hosts of all other domains."""
         return [host for name in self.domains() for host in self.live(name)]
 
     def contacts(self) -> list[hosts.Host]:
-        """List the hosts by which any domain may be reached."""
+        """Return the contacts of all domains."""
         found = self._domains.values()
         return [host for domain in found for host in domain.contacts]
 
     def is_live(self, host_id: ids.HostId) -> bool:
-        """Tell whether a host of another domain is live."""
+        """Return whether a host of another domain is live."""
         return host_id in self._domain_by_host
 
     def entries(
         self,
         source: ids.HostId | None = None,
     ) -> list[tuple[ids.FailureDomain, int]]:
-        """List the reachable domains with the fingerprint of each.
+        """Return the reachable domains with the fingerprint of each.
 
-        :param source: where given, as that one told, else summed up.
+        :param source: the source of the fingerprints; without one they are of
+            the union of all sources.
         """
         if source is None:
             return [
@@ -104,7 +112,7 @@
         ]
 
     def add_contact(self, host: hosts.Host, now: float) -> None:
-        """Remember a host as a way to its domain."""
+        """Add a host to the contacts of its domain."""
         domain = self._domain(host.failure_domain, now)
         if domain is None or len(domain.contacts) >= MAX_HOSTS_PER_DOMAIN:
             return
@@ -119,9 +127,9 @@
         roster: int,
         now: float,
     ) -> bool:
-        """Note that a source speaks for a domain.
+        """Refresh the roster of a source where its fingerprint is unchanged.
 
-        :returns: whether its roster must be asked for.
+        :returns: whether its roster must be requested.
         """
         found = self._domains.get(domain)
         known = found.sources.get(source) if found else None
@@ -138,9 +146,9 @@
         roster: tuple[int, typing.Sequence[hosts.Host]],
         now: float,
     ) -> None:
-        """Take in the roster of a domain from a source.
+        """Apply the roster of a domain from a source.
 
-        :param roster: its fingerprint and the hosts.
+        :param roster: its fingerprint and its hosts.
         """
         found = self._domain(domain, now)
         if found is None:
@@ -158,18 +166,18 @@
         source: ids.HostId,
         named: typing.Container[ids.FailureDomain],
     ) -> None:
-        """Drop what a source told of domains that it no longer names."""
+        """Remove the rosters from a source of domains that it doesn't list."""
         for name, domain in self._domains.items():
             if name not in named and domain.sources.pop(source, None):
                 self._recompute(domain)
 
     def sweep(self, now: float) -> None:
-        """Drop sources that fell silent, and domains long unreachable."""
+        """Remove silent sources and domains that are long unreachable."""
         for name, domain in list(self._domains.items()):
             silent = [
                 source
-                for source, told in domain.sources.items()
-                if now - told.last_seen_at >= SOURCE_TIMEOUT_SECONDS
+                for source, entry in domain.sources.items()
+                if now - entry.last_seen_at >= SOURCE_TIMEOUT_SECONDS
             ]
             for source in silent:
                 domain.sources.pop(source)
@@ -179,10 +187,13 @@
                 self._domains.pop(name)
 
     def shift_forward(self, gap: float, now: float) -> None:
-        """Move all ages forward by a time this host stood still."""
+        """Shift all times of sources forward by a stall of this host.
+
+        :param gap: length of the stall, in seconds.
+        """
         for domain in self._domains.values():
-            for told in domain.sources.values():
-                told.last_seen_at = min(now, told.last_seen_at + gap)
+            for entry in domain.sources.values():
+                entry.last_seen_at = min(now, entry.last_seen_at + gap)
 
     def _domain(self, name: ids.FailureDomain, now: float) -> Domain | None:
         if name == self._own:
@@ -195,10 +206,10 @@
 
     def _recompute(self, domain: Domain) -> None:
         before = {host.host_id: host for host in domain.live}
-        told = [
+        reported = [
             host for source in domain.sources.values() for host in source.hosts
         ]
-        domain.live = tuple(members.newest_incarnations(told))
+        domain.live = tuple(members.newest_incarnations(reported))
         domain.contacts = domain.live or domain.contacts
         domain.roster = cards.roster_hash(domain.live)
         for host_id in before:
--- a/libs/membership/geraniumweir/membership/pools.py
+++ b/libs/membership/geraniumweir/membership/pools.py
@@ -1,9 +1,9 @@
-"""Carries pool summaries from leaders to the hosts of other domains.
+"""Propagation of pool summaries from leaders to hosts of other domains.
 
-A leader sends a summary that changed to its domain's delegates. Their
-digests carry a number; the delegates of other domains ask for what is newer,
-and so do the hosts that follow those: every thirty seconds, or at once and
-then every second while somebody wants a pool.
+A leader sends a changed summary to the delegates of its domain. Their digests
+carry a version; the delegates of other domains request what is newer. The
+hosts that follow those delegates do so every thirty seconds, or at once and
+then every second while the summaries of a pool are in demand.
 """
 
 import typing
@@ -19,10 +19,10 @@
 
 
 class Pools:
-    """Publishes and gathers pool summaries.
+    """Publisher and reader of pool summaries.
 
-    :ivar inside: of the own domain, complete at its delegates only.
-    :ivar other_domains: of the other domains.
+    :ivar own_domain: table of the own domain, complete at delegates only.
+    :ivar other_domains: table of the other domains.
     """
 
     def __init__(self, shared: shared_state.SharedState) -> None:
@@ -40,14 +40,14 @@
         shared.peers.handle(ttypes.Summaries, self._on_summaries)
 
     def publish(self, summary: poolsummaries.PoolSummary) -> None:
-        """Say how a pool stands that is led here; sent within a second."""
+        """Publish the summary of a pool led here, within a second."""
         before = self._published.get(summary.pool)
         if before is None or poolsummaries.is_significant(before, summary):
             self._published[summary.pool] = summary
             self._pending.add(summary.pool)
 
     def withdraw(self, pool: ids.PoolName) -> None:
-        """Stop speaking for a pool, as another host leads it now."""
+        """Stop publishing a pool that another host leads now."""
         self._published.pop(pool, None)
         self._pending.discard(pool)
 
@@ -56,9 +56,9 @@
         pool: ids.PoolName,
         tier: ids.Tier = ids.Tier.urgent,
     ) -> list[poolsummaries.PoolSummary]:
-        """List a pool's summaries in other domains, best first.
+        """Return the summaries of a pool in other domains, best first.
 
-        Those whose leader isn't live, as far as is known here, are left out.
+        Those whose leader isn't live in the view of this host are left out.
         """
         now = self._shared.now()
         if now >= self._in_demand_until:
@@ -72,7 +72,7 @@
         return poolsummaries.best_first(found, tier)
 
     def tick(self, count: int) -> None:
-        """Send what is due and ask for what is new; once a second.
+        """Send pending summaries and request new ones, once a second.
 
         :param count: of ticks.
         """
@@ -88,7 +88,7 @@
             self._pull()
 
     def compare(self, source: ids.HostId, version: int) -> None:
-        """Ask the delegate of another domain for what is new there."""
+        """Request the new summaries of the delegate of another domain."""
         if self._received.get((source, True), (0, 0))[1] == version:
             return
         if self._pull_limiter.allows(source, self._shared.now()):
--- a/libs/membership/geraniumweir/membership/poolsummaries.py
+++ b/libs/membership/geraniumweir/membership/poolsummaries.py
@@ -1,8 +1,8 @@
-"""What pools in other failure domains could take, in a few numbers.
+"""Summaries of the load and capacity of pools, for other failure domains.
 
-A pool leader publishes its summary as often as it likes; only a change that
-matters gets a new number on the board, and a reader asks for what is newer
-than the number it has. So a steady pool costs nothing.
+A pool leader may publish its summary at any rate; only a significant change
+gets a new version in the table, and a reader requests what is newer than its
+version. A pool without such changes therefore costs no messages.
 """
 
 import dataclasses
@@ -21,13 +21,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolSummary:
-    """How one failure domain's share of a pool stands.
+    """Load and capacity of a pool in one failure domain.
 
-    :ivar leader: the host whose pool leader speaks.
-    :ivar capacity: requests at a time, by model.
-    :ivar wait_ms: expected wait of a new request by tier, the highest first.
+    :ivar leader: host of the pool leader that published the summary.
+    :ivar capacity: concurrent requests, by model.
+    :ivar wait_ms: expected wait of a new request, by tier, highest tier first.
     :ivar free: requests that could start at once, by model as in capacity.
-    :ivar lowest_tier: of those being served or admitted, None where none is.
+    :ivar lowest_tier: lowest tier being served or admitted; None without any.
     """
 
     failure_domain: ids.FailureDomain
@@ -40,7 +40,7 @@
 
     @property
     def free_slots(self) -> int:
-        """Give the free slots of the model that has most."""
+        """Return the free slots of the model with the most."""
         return max(self.free, default=0)
 
 
@@ -48,15 +48,15 @@
 
 
 def key_of(summary: PoolSummary) -> PoolKey:
-    """Give what a summary is of."""
+    """Return the failure domain and pool of a summary."""
     return summary.failure_domain, summary.pool
 
 
 def is_significant(before: PoolSummary, after: PoolSummary) -> bool:
-    """Tell whether a change is worth sending.
+    """Return whether a change is significant enough to send.
 
-    Waits and free slots must change by half; whether there is a free
-    slot, the leader, the capacity and the lowest tier always matter.
+    Waits and free slots must change by half. A change of the leader, the
+    capacity or the lowest tier, or of whether there is a free slot, always is.
     """
     exact = ('leader', 'capacity', 'lowest_tier')
     if any(getattr(before, name) != getattr(after, name) for name in exact):
@@ -72,9 +72,9 @@
     found: typing.Iterable[PoolSummary],
     tier: ids.Tier = ids.Tier.urgent,
 ) -> list[PoolSummary]:
-    """Order summaries: free slots first, then the shortest wait.
+    """Return summaries sorted: free slots first, then the shortest wait.
 
-    :param tier: whose wait counts.
+    :param tier: tier whose waits are compared.
     """
 
     return sorted(found, key=functools.partial(_order, tier))
@@ -82,7 +82,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Entry:
-    """A summary and the numbers of its last changes.
+    """A summary and the versions of its last changes.
 
     :ivar full_version: of the last change of leader or capacity.
     """
@@ -93,21 +93,23 @@
 
 
 class SummaryTable:
-    """Summaries with a number for each change.
+    """Table of summaries with a version for each change.
 
-    :ivar epoch: of this board's life; numbers of another one mean nothing.
+    :ivar epoch: identifies this table; versions of different epochs can't be
+        compared.
+    :ivar version: of the last change.
     """
 
     def __init__(self, epoch: int) -> None:
-        """Start empty."""
+        """Initialize without summaries."""
         self.epoch = epoch
         self.version = 0
         self._entries: dict[PoolKey, _Entry] = {}
 
     def record(self, summary: PoolSummary) -> bool:
-        """Take in a summary.
+        """Record a summary.
 
-        :returns: whether it matters and got a new number.
+        :returns: whether it is a significant change and got a new version.
         """
         known = self._entries.get(key_of(summary))
         if known is None and len(self._entries) >= MAX_POOLS:
@@ -127,7 +129,7 @@
     def changes_since(
         self, epoch: int, version: int
     ) -> list[ttypes.PoolSummary]:
-        """Give as messages what changed after a number of an epoch."""
+        """Return messages with the changes after a version of an epoch."""
         after = version if epoch == self.epoch else 0
         return [
             write(entry.summary, complete=entry.full_version > after)
@@ -136,10 +138,10 @@
         ]
 
     def merge(self, message: ttypes.PoolSummary) -> PoolSummary | None:
-        """Read a message, with what it leaves out taken from the board.
+        """Read a message and complete it from the table.
 
-        :returns: None where the board doesn't have it.
-        :raises ValueError: when it names a tier that there isn't.
+        :returns: None where the table has no entry to complete it from.
+        :raises ValueError: when the tier is unknown.
         """
         summary = read(message)
         if message.leader is not None:
@@ -154,7 +156,7 @@
         )
 
     def of_pool(self, pool: ids.PoolName) -> list[PoolSummary]:
-        """List the summaries of a pool in all domains."""
+        """Return the summaries of a pool in all domains."""
         return [
             entry.summary
             for entry in self._entries.values()
@@ -167,7 +169,7 @@
     *,
     complete: bool = True,
 ) -> ttypes.PoolSummary:
-    """Turn a summary into a message.
+    """Return the message of a summary.
 
     :param complete: with leader and capacity, which seldom change.
     """
@@ -187,9 +189,9 @@
 
 
 def read(message: ttypes.PoolSummary) -> PoolSummary:
-    """Turn a message into a summary.
+    """Return the summary in a message.
 
-    :raises ValueError: when it names a tier that there isn't.
+    :raises ValueError: when the tier is unknown.
     """
     lowest = message.lowest_tier
     return PoolSummary(
--- a/libs/membership/geraniumweir/membership/reports.py
+++ b/libs/membership/geraniumweir/membership/reports.py
@@ -1,4 +1,4 @@
-"""Turns what happens in membership into numbered events for the log."""
+"""Conversion of membership events into numbered log events."""
 
 import typing
 
@@ -11,7 +11,7 @@
 
 
 def describe(change: ReportedEvent) -> Report:
-    """Give the event to log and its fields.
+    """Return the log event for a change and its fields.
 
     >>> silent = seeds.SeedFailed(hosts.ids.Address('127.0.0.1', 1), 'refused')
     >>> describe(silent)[0].number
@@ -36,7 +36,7 @@
 
 
 def log(change: ReportedEvent) -> None:
-    """Log what happened; to be subscribed to ``Membership.happenings``."""
+    """Log a change; a subscriber of ``Membership.reported_events``."""
     event, fields = describe(change)
     eventlog.emit(event, **fields)
 
--- a/libs/membership/geraniumweir/membership/rosters.py
+++ b/libs/membership/geraniumweir/membership/rosters.py
@@ -1,8 +1,8 @@
-"""Lists of hosts: a fingerprint travels always, the list when it differs.
+"""Anti-entropy of rosters, the lists of live hosts.
 
-Whoever sees another fingerprint than its own asks for the list. Joining is
-the same by call: a newcomer greets a seed, which may be in any domain, and is
-told of every host the seed knows.
+Heartbeats and digests carry only the fingerprint of a roster; a host whose
+own fingerprint differs requests the roster. A joining host calls a seed, which
+may be in any domain, and gets the cards of all hosts that the seed has.
 """
 
 import typing
@@ -15,7 +15,7 @@
 
 
 class RosterExchange:
-    """Answers and takes in lists of hosts."""
+    """Sender and receiver of rosters and greetings."""
 
     def __init__(self, shared: shared_state.SharedState) -> None:
         """Register the handlers."""
@@ -27,17 +27,17 @@
         shared.peers.handle(ttypes.Greeting, self._on_greeting)
 
     def request_roster(self, to: ids.HostId, domain: ids.FailureDomain) -> None:
-        """Ask a host for the list of a domain, unless just done."""
+        """Request the roster of a domain from a host, rate limited."""
         if self._request_limiter.allows((to, domain), self._shared.now()):
             self._shared.peers.send(to, ttypes.RosterRequest(domain))
 
     def request_own_roster(self, to: ids.HostId) -> None:
-        """Ask a host of the own domain whose list differs; seldom."""
+        """Request the own domain's roster from a host, rate limited."""
         if self._repair_limiter.allows('roster', self._shared.now()):
             self.request_roster(to, self._shared.me.failure_domain)
 
     def send_roster(self, to: ids.HostId, domain: ids.FailureDomain) -> None:
-        """Send a host the list of a domain."""
+        """Send the roster of a domain to a host."""
         if domain == self._shared.me.failure_domain:
             live = self._shared.members.live()
         else:
@@ -50,10 +50,11 @@
         self._shared.peers.send(to, roster)
 
     async def greet(self, seed: ids.Address, timeout: float) -> None:
-        """Join by a seed.
+        """Join through a seed.
 
         :param timeout: in seconds.
-        :raises wire.errors.PeerError: when it doesn't answer.
+        :raises errors.CardError: when a card of the reply is invalid.
+        :raises wire.errors.PeerError: when the seed doesn't answer.
         """
         to = await self._shared.peers.introduce(seed)
         card = cards.write_host(self._shared.me)
--- a/libs/membership/geraniumweir/membership/seeds.py
+++ b/libs/membership/geraniumweir/membership/seeds.py
@@ -1,9 +1,10 @@
-"""Joining by seeds: addresses of some hosts, in any failure domain.
+"""Joining through seeds: addresses of some hosts, in any failure domain.
 
-All are greeted at the start. One that isn't among the live hosts is tried
-again now and then, so that hosts that forgot each other in a long partition
-still find together; often while none is live, in the own failure domain or
-outside it, as when all hosts start at a time and none hears the first words.
+All seeds are greeted at the start. A seed that isn't live is retried from
+time to time, so that hosts that removed each other during a long partition
+join again. It is retried at every tick while no other host of the own domain
+or no host of another domain is live, as when all hosts start together and the
+first greetings are lost.
 """
 
 import asyncio
@@ -15,23 +16,23 @@
 from reactivex import subject
 
 RETRY_SECONDS = 0.5
-# Of the ticks, one in so many is used by a host that isn't alone.
+# A host that isn't isolated retries a seed once in so many ticks.
 _CONNECTED_TICKS = 20
 GREETING_TIMEOUT_SECONDS = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SeedFailed:
-    """A seed could not be joined."""
+    """Event: joining through a seed failed."""
 
     address: ids.Address
     reason: str
 
 
 class Seeds:
-    """Greets the seeds.
+    """Joins the cluster through the seeds.
 
-    :ivar failures: stream of those that didn't answer.
+    :ivar failures: stream of failed attempts.
     """
 
     def __init__(
@@ -40,7 +41,7 @@
         roster_exchange: rosters.RosterExchange,
         addresses: tuple[ids.Address, ...],
     ) -> None:
-        """Greet nobody yet."""
+        """Initialize without contacting a seed."""
         self._shared = shared
         self._roster_exchange = roster_exchange
         self._addresses = addresses
@@ -48,11 +49,11 @@
         self.failures: subject.Subject[SeedFailed] = subject.Subject()
 
     async def greet_all(self) -> None:
-        """Greet all seeds at a time."""
+        """Greet all seeds concurrently."""
         await asyncio.gather(*map(self._greet, self._addresses))
 
     def tick(self, count: int) -> None:
-        """Try one of the seeds that aren't live.
+        """Retry one of the seeds that aren't live.
 
         :param count: of ticks.
         """
@@ -73,7 +74,7 @@
             self._join_task = asyncio.create_task(greeting)
 
     def stop(self) -> None:
-        """Give up an attempt under way."""
+        """Cancel a running attempt."""
         if self._join_task is not None:
             self._join_task.cancel()
 
--- a/libs/membership/geraniumweir/membership/servercards.py
+++ b/libs/membership/geraniumweir/membership/servercards.py
@@ -1,4 +1,4 @@
-"""Leases of backend servers as messages."""
+"""Server cards: leases of backend servers as messages."""
 
 from geraniumweir.common import ids
 from geraniumweir.membership import limits, servers
@@ -8,7 +8,7 @@
 
 
 def write(lease: servers.Lease, now: float) -> ttypes.ServerCard:
-    """Turn a lease into a card that says how much of it is left."""
+    """Return the card of a lease, with the time left."""
     announced = lease.announcement
     return ttypes.ServerCard(
         server_id=announced.server_id,
@@ -32,10 +32,10 @@
 
 
 def read(card: ttypes.ServerCard) -> servers.Announcement:
-    """Turn a card into what the server said.
+    """Return the announcement in a card.
 
     :raises errors.AnnouncementError: when it is beyond the limits.
-    :raises ValueError: when the address is none.
+    :raises ValueError: when the address can't be parsed.
     """
     states = servers.ServerState
     announcement = servers.Announcement(
@@ -61,5 +61,5 @@
 
 
 def left_ms(lease: servers.Lease, now: float) -> int:
-    """Tell how much of a lease is left, in milliseconds."""
+    """Return the time left of a lease, in milliseconds, at least 0."""
     return max(int((lease.expires_at - now) * MS_PER_SECOND), 0)
--- a/libs/membership/geraniumweir/membership/servers.py
+++ b/libs/membership/geraniumweir/membership/servers.py
@@ -1,11 +1,11 @@
-"""Backend servers, leased from their own announcements.
+"""Registry of backend servers, with leases renewed by announcements.
 
-There is no list of backend servers: each announces itself once a second, and
-gets no new work once its lease of three seconds has run out. The clock is
-always the receiving host's; another host of the domain is told how much time
-is left. Of a server only the newest incarnation counts, and one that is
-leaving stays so in that incarnation, whatever arrives late. Both are
-remembered for a while after the lease.
+There is no configured list of backend servers: each announces itself once a
+second, and gets no new work after its lease of three seconds expires. Leases
+use the receiving host's clock; other hosts of the domain receive the time
+left. Only the newest incarnation of a server counts, and one that is leaving
+stays so in that incarnation, even when an earlier announcement arrives late.
+Both are kept for a retention time after the lease expires.
 
 References
 ==========
@@ -30,7 +30,7 @@
 
 
 class ServerState(enum.Enum):
-    """What a server said of itself."""
+    """State that a server announces."""
 
     ready = 'ready'
     leaving = 'leaving'
@@ -38,16 +38,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Announcement:
-    """What a backend server says of itself.
+    """Announcement of a backend server.
 
-    :ivar incarnation: grows at each start of the server.
+    :ivar incarnation: higher at each start of the server.
     :ivar kind: ``engine`` or ``service``.
-    :ivar slots: requests it runs at a time.
-    :ivar kv_tokens: tokens its KV cache holds.
+    :ivar slots: requests it runs concurrently.
+    :ivar kv_tokens: capacity of its KV cache, in tokens.
     :ivar max_context: longest prompt and output together, in tokens.
-    :ivar fences: whether it refuses orders with an old fencing number.
-    :ivar version: of its software, empty where it doesn't say.
-    :ivar cold: it is still slow after its start.
+    :ivar fences: whether it rejects orders with an old fencing number.
+    :ivar version: of its software, empty where it isn't announced.
+    :ivar cold: whether it is still slow after its start.
     """
 
     server_id: ids.ServerId
@@ -72,10 +72,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lease:
-    """An announcement and how long it counts.
+    """The last announcement of a server with the end of its lease.
 
-    :ivar expires_at: on the timer service's clock, in seconds.
-    :ivar key: of the announcement's content.
+    :ivar expires_at: in seconds on the timer service's clock.
+    :ivar key: hash of the announcement.
     """
 
     announcement: Announcement
@@ -84,20 +84,20 @@
 
     @property
     def server_id(self) -> ids.ServerId:
-        """Give the server's id."""
+        """Return the server's id."""
         return self.announcement.server_id
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerAppeared:
-    """A server is live that wasn't."""
+    """Event: a server became live."""
 
     announcement: Announcement
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerCrashed:
-    """A known server has a newer incarnation: what ran there is lost."""
+    """Event: a server has a newer incarnation; its requests are lost."""
 
     before: Announcement
     after: Announcement
@@ -105,21 +105,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerChanged:
-    """A live server says something else of itself, such as its models."""
+    """Event: a live server announced other data, such as its models."""
 
     announcement: Announcement
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerLeaving:
-    """A server gets no new work; what runs there ends in peace."""
+    """Event: a server gets no new work; its running requests complete."""
 
     announcement: Announcement
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerExpired:
-    """A server's lease ran out."""
+    """Event: the lease of a server expired."""
 
     announcement: Announcement
 
@@ -134,42 +134,42 @@
 
 
 class Registry:
-    """The backend servers of one failure domain, as one host knows them."""
+    """Registry of the backend servers of one failure domain on one host."""
 
     def __init__(
         self,
         domain: ids.FailureDomain | None = None,
         max_servers: int = MAX_SERVERS,
     ) -> None:
-        """Start with no servers.
+        """Initialize without servers.
 
-        :param domain: of the host; servers of another one are refused.
-        :param max_servers: most that are known at a time.
+        :param domain: of the host; servers of other domains are rejected.
+        :param max_servers: highest number of servers in the registry.
         """
         self._domain = domain
         self._max_servers = max_servers
         self._leases: dict[ids.ServerId, Lease] = {}
         self._by_key: dict[int, ids.ServerId] = {}
         self._expired: set[ids.ServerId] = set()
-        # Before this time no lease runs out and none is forgotten.
+        # Before this time no lease expires and none is due for removal.
         self._next_sweep_at = math.inf
         self._changes: subject.Subject[ServerEvent] = subject.Subject()
 
     @property
     def changes(self) -> reactivex.Observable[ServerEvent]:
-        """Give the stream of typed events."""
+        """Return the stream of typed events."""
         return self._changes
 
     def announce(self, announcement: Announcement, now: float) -> bool:
-        """Take an announcement from the server itself.
+        """Apply an announcement received from the server itself.
 
         An announcement of an older incarnation is ignored.
 
         :param now: time in seconds.
         :returns: whether the server crashed: a known id with a new
             incarnation.
-        :raises errors.OtherDomainError: when it belongs elsewhere.
-        :raises errors.RegistryFullError: when there are too many.
+        :raises errors.OtherDomainError: when it is of another domain.
+        :raises errors.RegistryFullError: when the registry is full.
         """
         return self.apply(announcement, LEASE_SECONDS, now)
 
@@ -179,9 +179,9 @@
         left_seconds: float,
         now: float,
     ) -> bool:
-        """Take an announcement that may have come by another host.
+        """Apply an announcement received directly or from another host.
 
-        :param left_seconds: of the lease, in seconds.
+        :param left_seconds: time left of the lease.
         :param now: time in seconds.
         :returns: as :meth:`announce`.
         :raises errors.AnnouncementError: as :meth:`announce`.
@@ -207,11 +207,11 @@
         return self._emit_changes(known, effective)
 
     def renew(self, key: int, left_seconds: float, now: float) -> bool:
-        """Lengthen the lease of a content that another host heard again.
+        """Renew the lease whose announcement has a key.
 
-        :param key: of the announcement's content.
-        :param left_seconds: of the lease, in seconds.
-        :returns: whether the content is known here.
+        :param key: hash of the announcement, received again by another host.
+        :param left_seconds: time left of the lease.
+        :returns: whether this registry has the announcement.
         """
         server_id = self._by_key.get(key)
         if server_id is None:
@@ -220,12 +220,12 @@
         return True
 
     def get(self, server_id: ids.ServerId) -> Announcement | None:
-        """Give what a server last said, whether its lease holds or not."""
+        """Return the last announcement of a server, also after its lease."""
         lease = self._leases.get(server_id)
         return lease.announcement if lease else None
 
     def live(self, now: float) -> list[Announcement]:
-        """List the servers whose lease holds, leaving ones too, by id."""
+        """Return the servers with a valid lease, also leaving ones, by id."""
         return [
             lease.announcement
             for _, lease in sorted(self._leases.items())
@@ -233,16 +233,16 @@
         ]
 
     def lease(self, server_id: ids.ServerId) -> Lease | None:
-        """Give the last lease of a server, also when it ran out."""
+        """Return the last lease of a server, also when it has expired."""
         return self._leases.get(server_id)
 
     def by_key(self, key: int) -> Lease | None:
-        """Give the lease of a content."""
+        """Return the lease whose announcement has a key."""
         server_id = self._by_key.get(key)
         return None if server_id is None else self._leases[server_id]
 
     def sweep(self, now: float) -> None:
-        """Tell of leases that ran out and forget what is long over."""
+        """Emit expiry events; remove leases after the retention time."""
         if now < self._next_sweep_at:
             return
         self._expire(now)
@@ -326,10 +326,10 @@
 
 
 def key_of(announcement: Announcement) -> int:
-    """Give a short number for all that a server says of itself.
+    """Return a hash of all fields of an announcement.
 
-    :returns: 41 bits; two of a domain's servers share one by a chance of
-        about one in a thousand million.
+    :returns: 41 bits; two servers of a domain have the same one with a
+        probability of about one in a thousand million.
     """
     return xxhash.xxh3_64_intdigest(repr(announcement).encode()) >> _KEY_SHIFT
 
@@ -337,7 +337,7 @@
 def _keep_leaving(
     announcement: Announcement, known: Lease | None
 ) -> Announcement:
-    """Let a server that is leaving stay so in its incarnation."""
+    """Return an announcement that keeps ``leaving`` in one incarnation."""
     if known is None:
         return announcement
     before = known.announcement
@@ -345,7 +345,7 @@
         return announcement
     if before.state is ServerState.leaving:
         announcement = dataclasses.replace(announcement, state=before.state)
-    # Readers notice a change by identity.
+    # Readers detect a change by identity.
     if announcement == before:
         return before
     return announcement
--- a/libs/membership/geraniumweir/membership/shared_state.py
+++ b/libs/membership/geraniumweir/membership/shared_state.py
@@ -1,7 +1,7 @@
-"""What the parts of membership in one process share.
+"""State that the modules of membership share in one process.
 
-Also the newest log index and configuration version that any host was heard
-to have, and the limiter that keeps repairs from being asked for too often.
+Also the newest log index and configuration version that any host reported,
+and the rate limiter of repair requests.
 """
 
 import dataclasses
@@ -25,10 +25,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Options:
-    """What membership is told at its start.
+    """Options of membership.
 
     :ivar seeds: peer addresses of some hosts, in any domain.
-    :ivar seed: of random choices.
+    :ivar timing: of the failure detector.
+    :ivar seed: of the random number generator.
     """
 
     seeds: tuple[ids.Address, ...] = ()
@@ -38,27 +39,30 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Newest:
-    """How far the replicated log and the configuration have come."""
+    """Newest index of the replicated log and configuration version."""
 
     log_index: int = 0
     version: int = 0
 
 
 class Progress:
-    """The newest that was heard of; it only grows."""
+    """Newest log index and version that any host reported.
+
+    :ivar newest: never decreases.
+    """
 
     def __init__(self) -> None:
-        """Start at nothing."""
+        """Initialize at index and version 0."""
         self.newest = Newest()
         self._changes: subject.Subject[Newest] = subject.Subject()
 
     @property
     def changes(self) -> reactivex.Observable[Newest]:
-        """Give the stream of growing values."""
+        """Return the stream of increases."""
         return self._changes
 
     def raise_to(self, log_index: int | None, version: int | None) -> None:
-        """Take in what somebody has; None is nothing."""
+        """Raise the newest values to those of a host; None counts as 0."""
         newest = Newest(
             max(self.newest.log_index, log_index or 0),
             max(self.newest.version, version or 0),
@@ -69,7 +73,7 @@
 
 
 class Limiter:
-    """Lets a thing through once in a while.
+    """Rate limiter that allows one action per key and period.
 
     >>> limiter = Limiter(1)
     >>> [limiter.allows('roster', now) for now in (0, 0.5, 1)]
@@ -77,15 +81,15 @@
     """
 
     def __init__(self, period: float) -> None:
-        """Let everything through once.
+        """Initialize with no action so far.
 
-        :param period: between two of a kind, in seconds.
+        :param period: shortest time between two actions, in seconds.
         """
         self._period = period
         self._next: dict[typing.Hashable, float] = {}
 
     def allows(self, key: typing.Hashable, now: float) -> bool:
-        """Tell whether one of a kind may go through now."""
+        """Return whether an action is allowed now, and record it if so."""
         if now < self._next.get(key, now):
             return False
         if len(self._next) >= _MAX_KEYS:
@@ -95,7 +99,7 @@
 
 
 class SharedState:
-    """One host's peers, clock and what it knows of others."""
+    """Peers, clock, membership views and notices of one host."""
 
     def __init__(
         self,
@@ -104,7 +108,7 @@
         timer_service: timers.TimerService,
         timing: suspicion.Timing,
     ) -> None:
-        """Start alone."""
+        """Initialize with this host only."""
         self.peers = peer_layer
         self.timers = timer_service
         self.timing = timing
@@ -115,32 +119,32 @@
 
     @property
     def me(self) -> hosts.Host:
-        """Give this host."""
+        """Return this host."""
         return self.members.me
 
     def now(self) -> float:
-        """Give the time in seconds."""
+        """Return the time on the clock, in seconds."""
         return self.timers.now()
 
     def delegates(self) -> tuple[hosts.Host, ...]:
-        """Give the delegates of the own domain, the first in rank first."""
+        """Return the delegates of the own domain, highest rank first."""
         return delegates.delegates(self.members.live())
 
     def eligible(self) -> tuple[hosts.Host, ...]:
-        """List the hosts of the own domain that may lead pools."""
+        """Return the hosts of the own domain that may lead pools."""
         return members.eligible(self.members)
 
     def is_delegate(self) -> bool:
-        """Tell whether this host speaks for its domain."""
+        """Return whether this host is a delegate of its domain."""
         me = self.me.host_id
         return any(host.host_id == me for host in self.delegates())
 
     def followed(self) -> ids.HostId | None:
-        """Give the delegate that this host gets its news from."""
+        """Return the delegate from which this host gets its updates."""
         found = delegates.followed(self.delegates(), self.me.host_id)
         return None if found is None else found.host_id
 
     def record_address(self, host: hosts.Host) -> None:
-        """Let the peer layer know where a host listens."""
+        """Pass the address of another host to the peer layer."""
         if host.host_id != self.me.host_id:
             self.peers.learn(host.host_id, host.address)
--- a/libs/membership/geraniumweir/membership/sharing.py
+++ b/libs/membership/geraniumweir/membership/sharing.py
@@ -1,9 +1,10 @@
-"""Shares the leases of backend servers inside a failure domain.
+"""Sharing of the leases of backend servers inside a failure domain.
 
-The host that a server announced itself to tells the others of the domain:
-what is new at once, the rest in heartbeats as a short key and the time left.
-A host that doesn't know a key asks for the card. Only what a server itself
-said here is shared, so no lease goes round in circles.
+The host that receives an announcement publishes it to the other hosts of the
+domain: a changed announcement at once as a card, an unchanged one in the next
+heartbeat as its key and the time left. A host that doesn't have the key
+requests the card. Only leases renewed by a direct announcement are shared, so
+that hosts can't keep renewing a lease among themselves.
 """
 
 import asyncio
@@ -32,10 +33,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """What a server is told after its announcement.
+    """Reply to the announcement of a server.
 
-    :ivar next_ms: when to announce next, in milliseconds.
-    :ivar announce_to: backend addresses of hosts to turn to.
+    :ivar next_ms: time until the next announcement, in milliseconds.
+    :ivar announce_to: backend addresses of hosts to announce to.
     """
 
     next_ms: int
@@ -43,9 +44,9 @@
 
 
 class Sharing:
-    """Takes announcements and shares them.
+    """Receiver of announcements that shares their leases.
 
-    :ivar registry: the servers of the domain.
+    :ivar registry: backend servers of the domain.
     """
 
     def __init__(self, shared: shared_state.SharedState) -> None:
@@ -59,10 +60,10 @@
         shared.peers.handle(ttypes.ServersRequest, self._on_request)
 
     def announce(self, announcement: servers.Announcement) -> Reply:
-        """Take an announcement from a server.
+        """Apply an announcement from a server.
 
-        :raises errors.AnnouncementError: when it is nonsense, of another
-            failure domain, or one too many.
+        :raises errors.AnnouncementError: when it is invalid, of another
+            failure domain, or beyond the limit of servers.
         """
         limits.check(announcement)
         server_id = announcement.server_id
@@ -75,7 +76,7 @@
         return Reply(ANNOUNCE_PERIOD_MS, self._announce_to(server_id))
 
     def renewals(self) -> list[ttypes.Renewal]:
-        """Give the leases that were lengthened here since the last call."""
+        """Return the leases renewed by announcements since the last call."""
         now = self._shared.now()
         self.registry.sweep(now)
         renewed_ids = sorted(self._renewed)[:MAX_IN_MESSAGE]
@@ -85,12 +86,12 @@
             for lease in self._leases(renewed_ids)
         ]
 
-    def take_renewals(
+    def apply_renewals(
         self,
         sender: ids.HostId,
         renewed: list[ttypes.Renewal],
     ) -> None:
-        """Lengthen leases; ask for the cards that aren't known."""
+        """Renew leases; request the cards of unknown keys."""
         now = self._shared.now()
         unknown = [
             renewal.key
@@ -110,7 +111,8 @@
         self._queue_update(server_id)
         announced = lease.announcement if lease else None
         if announced and announced.state is servers.ServerState.leaving:
-            # Some may be lost, and this one must be known in two seconds.
+            # Messages may be lost, and every host must have this state within
+            # two seconds.
             for delay_seconds in _LEAVING_REPEAT_SECONDS:
                 self._shared.timers.after(
                     delay_seconds,
@@ -118,7 +120,7 @@
                 )
 
     def _queue_update(self, server_id: ids.ServerId) -> None:
-        # Servers that start together share a message.
+        # Changes of servers that start together go out in one message.
         self._changed.add(server_id)
         if self._update_timer is None:
             self._update_timer = self._shared.timers.after(
--- a/libs/membership/geraniumweir/membership/suspicion.py
+++ b/libs/membership/geraniumweir/membership/suspicion.py
@@ -1,10 +1,11 @@
-"""Judging from silence whether a host is alive.
+"""Failure detection from the time since the last evidence of a host.
 
-A host that isn't heard directly for a while is suspected, and others are
-asked when they heard it; what they vouch for counts as evidence too. Only
-when neither kind of evidence is newer than a longer time is the host dead. So
-one bad link kills nobody. A host that notices that it stood still itself
-moves all evidence forward by that time: the silence was its own.
+A host without a recent heartbeat is suspected, and other hosts are asked when
+they last received one; their vouchers are indirect evidence. A host is dead
+only when both kinds of evidence are older than a longer timeout, so that one
+bad link makes no host dead. A host that detects its own stall shifts all
+evidence forward by the length of the stall, during which it could receive
+nothing.
 
 References
 ==========
@@ -22,13 +23,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timing:
-    """How often hosts are heard and when silence counts; all in seconds.
+    """Heartbeat period and timeouts of the failure detector, in seconds.
 
     :ivar period: between heartbeats.
-    :ivar suspect_after: silence of a host before others are asked.
-    :ivar dead_after: silence on all ways before it is held for dead.
-    :ivar stall: a tick later than this shows that this host stood still.
-    :ivar witnesses: hosts that are asked about a suspect each period.
+    :ivar suspect_after: without direct evidence, before a host is suspected.
+    :ivar dead_after: without any evidence, before a host is dead.
+    :ivar stall: a tick that is late by this much shows a stall of this host.
+    :ivar witnesses: number of hosts asked about a suspect each period.
     """
 
     period: float = 0.5
@@ -39,7 +40,7 @@
 
     @property
     def detection_bound(self) -> float:
-        """Give the longest time from a crash to its detection.
+        """Return the longest time from a crash to its detection.
 
         >>> Timing().detection_bound
         3.5
@@ -48,7 +49,7 @@
 
 
 class Verdict(enum.Enum):
-    """What silence says of a host."""
+    """Result of the failure detector for a host."""
 
     live = 'live'
     suspected = 'suspected'
@@ -56,7 +57,7 @@
 
 
 class Suspicion:
-    """The newest evidence of each host.
+    """Failure detector with the newest evidence of each host.
 
     >>> suspicion = Suspicion(Timing())
     >>> suspicion.record_direct(ids.HostId('b'), 0)
@@ -68,17 +69,17 @@
     """
 
     def __init__(self, timing: Timing) -> None:
-        """Start without evidence."""
+        """Initialize without evidence."""
         self._timing = timing
         self._direct_at: dict[ids.HostId, float] = {}
         self._indirect_at: dict[ids.HostId, float] = {}
 
     def record_direct(self, host_id: ids.HostId, now: float) -> None:
-        """Note a message from a host."""
+        """Record a message from a host."""
         self._direct_at[host_id] = now
 
     def record_indirect(self, host_id: ids.HostId, when: float) -> None:
-        """Note that another host heard it.
+        """Record that another host received a message from a host.
 
         :param when: on this host's clock, in seconds.
         """
@@ -88,12 +89,12 @@
     def direct_silence_seconds(
         self, host_id: ids.HostId, now: float
     ) -> float | None:
-        """Tell how long a host hasn't been heard directly, in seconds."""
+        """Return the seconds since the last message, None without one."""
         when = self._direct_at.get(host_id)
         return None if when is None else now - when
 
     def evaluate(self, host_id: ids.HostId, now: float) -> Verdict:
-        """Judge a host; one without evidence is dead."""
+        """Return the verdict on a host; one without direct evidence is dead."""
         direct = self._direct_at.get(host_id)
         if direct is None:
             return Verdict.dead
@@ -105,15 +106,15 @@
         return Verdict.live
 
     def shift_forward(self, gap: float, now: float) -> None:
-        """Move all evidence forward by a time this host stood still.
+        """Shift all evidence forward by the length of a stall of this host.
 
-        :param gap: in seconds.
+        :param gap: length of the stall, in seconds.
         """
         for evidence in (self._direct_at, self._indirect_at):
             for host_id, when in evidence.items():
                 evidence[host_id] = min(now, when + gap)
 
     def discard(self, host_id: ids.HostId) -> None:
-        """Drop the evidence of a host."""
+        """Discard the evidence of a host."""
         self._direct_at.pop(host_id, None)
         self._indirect_at.pop(host_id, None)
