--- a/libs/membership/geraniumweir/membership/tests/cluster.py
+++ b/libs/membership/geraniumweir/membership/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Hosts on an in-memory network, which tests can stall, stop and restart."""
+"""Hosts on an in-memory network that tests can stall, crash and restart."""
 
 import asyncio
 import dataclasses
@@ -13,7 +13,7 @@
 
 
 class StallingTimers(timers.TimerService):
-    """Ticks that a stalled process misses; one comes late at its return."""
+    """Timers whose ticks stop during a stall; the last one fires at its end."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -46,7 +46,7 @@
 
 
 class StallingPeers:
-    """Messages to a stalled process wait in its sockets."""
+    """Peer layer whose received messages wait until a stall ends."""
 
     def __init__(self, inner: memory.MemoryPeers) -> None:
         self.host_id = inner.host_id
@@ -67,7 +67,7 @@
 
 @dataclasses.dataclass
 class Process:
-    """One life of a host."""
+    """One incarnation of a host."""
 
     member: membership.Membership
     peers: StallingPeers
@@ -90,7 +90,7 @@
 
 
 class Cluster:
-    """Hosts by name; ``a0`` is host 0 of the domain ``a``."""
+    """Simulated hosts by name; ``a0`` is host 0 of the domain ``a``."""
 
     def __init__(self, seed: int = 0) -> None:
         self.network = memory.MemoryNetwork(seed=seed)
@@ -102,7 +102,7 @@
         return self.processes[name].member
 
     async def start(self, name: str, *seeds: str) -> Process:
-        """Start a host, or a new life of it."""
+        """Start a host, or a new incarnation of it."""
         self._incarnations += 1
         number = len(self._addresses) + 1
         address = self._addresses.setdefault(
@@ -134,21 +134,21 @@
         return process
 
     def crash(self, name: str) -> None:
-        """End a host without a word."""
+        """Crash a host: it stops without a farewell."""
         self.processes.pop(name).member.stop()
         self.network.leave(ids.HostId(name))
 
     def partition(
         self, left: typing.Iterable[str], right: typing.Iterable[str]
     ):
-        """Cut all links between two groups, both ways."""
+        """Block all links between two groups, in both directions."""
         for one in left:
             for other in right:
                 self.network.cut(ids.HostId(one), ids.HostId(other))
                 self.network.cut(ids.HostId(other), ids.HostId(one))
 
     def views(self, domain: str) -> set[str]:
-        """Give the views of a domain that its own hosts have, as texts."""
+        """Return the distinct views that the hosts of a domain have of it."""
         return {
             live_names(process.member, domain)
             for name, process in self.processes.items()
@@ -157,13 +157,13 @@
 
 
 def live_names(member: membership.Membership, domain: str) -> str:
-    """Write the live hosts of a domain as one host sees them."""
+    """Return the ids of a domain's live hosts in the view of one host."""
     live = member.live(ids.FailureDomain(domain))
     return ' '.join(host.host_id for host in live)
 
 
 async def start_domain(count: int, seed: int = 0) -> Cluster:
-    """Start one domain that is whole."""
+    """Start one domain and wait until its views have converged."""
     cluster = Cluster(seed)
     await cluster.start('a00')
     for number in range(1, count):
@@ -173,13 +173,13 @@
 
 
 def clear_events(cluster: Cluster) -> None:
-    """Drop what happened so far."""
+    """Discard the events so far."""
     for process in cluster.processes.values():
         process.events.clear()
 
 
 async def start_domains(*names: str, count: int = 2, seed: int = 0) -> Cluster:
-    """Start some domains that know each other."""
+    """Start domains joined through one seed and wait for convergence."""
     cluster = Cluster(seed)
     first = f'{names[0]}0'
     for name in names:
--- a/libs/membership/geraniumweir/membership/tests/test_domains.py
+++ b/libs/membership/geraniumweir/membership/tests/test_domains.py
@@ -32,8 +32,8 @@
     )
 
 
-def test_all_domains_know_each_other() -> None:
-    """Every host sees every host, own domain first."""
+def test_all_domains_see_each_other() -> None:
+    """Every host sees every host of all domains."""
 
     async def main() -> tuple[set[str], str]:
         found = await cluster.start_domains('a', 'b', 'c', count=3)
@@ -48,8 +48,11 @@
     assert of_c == 'c0 c1 c2'
 
 
-def test_partition_and_healing() -> None:
-    """A cut-off domain goes on alone; afterwards the views join."""
+def test_views_converge_after_partition() -> None:
+    """A partitioned domain keeps its own view; after it all views converge.
+
+    A host restarted during the partition appears in its new incarnation only.
+    """
 
     async def main() -> list[set[str]]:
         found = await cluster.start_domains('a', 'b', 'c', count=3)
@@ -63,26 +66,26 @@
         found.network.heal()
         await asyncio.sleep(15)
         joined = {' '.join(sorted(view.split())) for view in _all(found)}
-        lives = {
+        incarnations = {
             host.incarnation
             for name in _names(found, 'c')
             for host in found[name].live(ids.FailureDomain('a'))
             if host.host_id == 'a1'
         }
-        return [apart, joined, lives]
+        return [apart, joined, incarnations]
 
-    apart, joined, lives = virtual.run(main())
+    apart, joined, incarnations = virtual.run(main())
     assert apart == {
         'a0 a1 a2 b0 b1 b2',
         'b0 b1 b2 a0 a1 a2',
         'c0 c1 c2',
     }
     assert joined == {'a0 a1 a2 b0 b1 b2 c0 c1 c2'}
-    assert lives == {10}
+    assert incarnations == {10}
 
 
-def test_strangers_of_one_domain_are_introduced() -> None:
-    """Hosts that never met, as their link was cut, meet by other domains."""
+def test_unconnected_hosts_of_one_domain_are_introduced() -> None:
+    """Hosts whose first link failed find each other through other domains."""
 
     async def main() -> tuple[set[str], set[str]]:
         found = await cluster.start_domains('a', count=2)
@@ -101,7 +104,7 @@
 
 
 def test_lost_delegates_are_replaced() -> None:
-    """With both delegates of a domain gone its news still gets out."""
+    """After both delegates of a domain crash, others see its live hosts."""
 
     async def main() -> tuple[set[str], set[str]]:
         found = await cluster.start_domains('a', 'b', count=5)
@@ -124,8 +127,8 @@
     assert len(left.pop().split()) == 3
 
 
-def test_draining_is_known_outside() -> None:
-    """A draining host is not eligible in the eyes of other domains."""
+def test_draining_is_seen_by_other_domains() -> None:
+    """A draining host isn't eligible in the view of other domains."""
 
     async def main() -> set[str]:
         found = await cluster.start_domains('a', 'b', count=3)
@@ -137,33 +140,33 @@
     assert virtual.run(main()) == {'a0', 'a2'}
 
 
-def test_notice_is_everywhere_within_a_second() -> None:
-    """Quarantined fingerprints reach every host of every domain, once."""
+def test_notice_reaches_all_hosts_within_a_second() -> None:
+    """A notice reaches every host of every domain within 1 s, and only once."""
 
     async def main() -> list[list[bytes]]:
         found = await cluster.start_domains('a', 'b', 'c', count=4)
         await asyncio.sleep(5)
-        heard: list[list[bytes]] = []
+        received: list[list[bytes]] = []
         for process in found.processes.values():
-            heard.append([])
-            process.member.notices.subscribe(heard[-1].append)
+            received.append([])
+            process.member.notices.subscribe(received[-1].append)
         found['b3'].broadcast(b'fingerprint', 60)
         await asyncio.sleep(1)
-        return heard
+        return received
 
     assert virtual.run(main()) == 12 * [[b'fingerprint']]
 
 
-def test_notice_is_repaired() -> None:
-    """Hosts that missed it get it: by loss, by a cut, by a later start."""
+def test_missed_notice_is_delivered_later() -> None:
+    """Hosts that missed it by loss, partition or a late start still get it."""
 
     async def main() -> list[list[bytes]]:
         found = await cluster.start_domains('a', 'b', count=3, seed=2)
         await asyncio.sleep(5)
-        heard: list[list[bytes]] = []
+        received: list[list[bytes]] = []
         for process in found.processes.values():
-            heard.append([])
-            process.member.notices.subscribe(heard[-1].append)
+            received.append([])
+            process.member.notices.subscribe(received[-1].append)
         found.partition(_names(found, 'a'), _names(found, 'b'))
         found.network.loss = 0.5
         found['a1'].broadcast(b'one', 60)
@@ -172,16 +175,16 @@
         found.network.heal()
         await asyncio.sleep(4)
         late = await found.start('b3', 'b0')
-        heard.append([])
-        late.member.notices.subscribe(heard[-1].append)
+        received.append([])
+        late.member.notices.subscribe(received[-1].append)
         await asyncio.sleep(3)
-        return heard
+        return received
 
     assert virtual.run(main()) == 7 * [[b'one']]
 
 
-def test_notice_counts_for_its_time_only() -> None:
-    """No host passes a notice back after its time."""
+def test_expired_notice_is_not_sent_again() -> None:
+    """No host sends an expired notice to one that starts later."""
 
     async def main() -> list[bytes]:
         found = await cluster.start_domains('a', 'b', count=3)
@@ -189,16 +192,16 @@
         found['a1'].broadcast(b'one', 4)
         await asyncio.sleep(6)
         late = await found.start('b3', 'b0')
-        heard: list[bytes] = []
-        late.member.notices.subscribe(heard.append)
+        received: list[bytes] = []
+        late.member.notices.subscribe(received.append)
         await asyncio.sleep(5)
-        return heard
+        return received
 
     assert not virtual.run(main())
 
 
 def test_summaries_reach_other_domains_best_first() -> None:
-    """Any host gets the pools of the others, free slots before waits."""
+    """Hosts get other domains' summaries, those with free slots first."""
 
     async def main() -> tuple[list[str], list[str]]:
         found = await cluster.start_domains('a', 'b', 'c', 'd', count=3)
@@ -227,8 +230,8 @@
     assert then == ['c', 'd', 'b']
 
 
-def test_summaries_of_cut_off_domains_are_left_out() -> None:
-    """No ask is passed on to where nobody answers."""
+def test_summaries_of_unreachable_domains_are_left_out() -> None:
+    """Requests aren't forwarded to a domain that is unreachable."""
 
     async def main() -> list[str]:
         found = await cluster.start_domains('a', 'b', 'c', count=2)
@@ -245,8 +248,8 @@
     assert virtual.run(main()) == ['b']
 
 
-def test_newest_version_reaches_everybody() -> None:
-    """A host of any domain hears how far the log has come."""
+def test_newest_version_reaches_all_hosts() -> None:
+    """The newest version reaches the hosts of all domains within 3 s."""
 
     async def main() -> set[int]:
         found = await cluster.start_domains('a', 'b', 'c', count=3)
--- a/libs/membership/geraniumweir/membership/tests/test_heartbeats.py
+++ b/libs/membership/geraniumweir/membership/tests/test_heartbeats.py
@@ -12,22 +12,25 @@
 _DOMAIN = ids.FailureDomain('a')
 
 
-def _whole(count: int) -> str:
+def _all_names(count: int) -> str:
     return ' '.join(f'a{number:02}' for number in range(count))
 
 
-def test_all_know_each_other() -> None:
-    """Hosts that know one seed only all find each other."""
+def test_hosts_with_one_seed_find_each_other() -> None:
+    """Hosts that share only one seed all find each other."""
 
     async def main() -> set[str]:
         found = await cluster.start_domain(6)
         return found.views('a')
 
-    assert virtual.run(main()) == {_whole(6)}
+    assert virtual.run(main()) == {_all_names(6)}
 
 
-def test_host_that_started_before_its_seed_is_not_alone_for_long() -> None:
-    """Two hosts whose first greetings met nobody find each other."""
+def test_host_that_started_before_its_seed_joins_soon() -> None:
+    """A host whose greeting found the seed down joins within 2 s.
+
+    Isolated hosts retry their seeds at every tick.
+    """
 
     async def main() -> set[str]:
         found = cluster.Cluster()
@@ -42,7 +45,7 @@
 
 
 def test_crash_is_detected_within_bound() -> None:
-    """A crash is seen by all within the bound, and by none as a leave."""
+    """All hosts detect a crash within the bound, none as announced."""
 
     async def main() -> tuple[set[str], list[hosts.HostLeft]]:
         found = await cluster.start_domain(6)
@@ -58,8 +61,8 @@
     assert len(left) == 5
 
 
-def test_farewell_is_seen_at_once() -> None:
-    """A host that leaves is gone without a timeout, and stays so."""
+def test_farewell_removes_host_at_once() -> None:
+    """A host that leaves is removed without a timeout and stays removed."""
 
     async def main() -> tuple[set[str], set[str]]:
         found = await cluster.start_domain(4)
@@ -76,7 +79,7 @@
 
 
 def test_stalled_host_suspects_nobody() -> None:
-    """After its own stall a host still holds all others for live."""
+    """After its own stall a host suspects none of the others."""
 
     async def main() -> tuple[list[hosts.HostEvent], set[str]]:
         found = await cluster.start_domain(6)
@@ -90,11 +93,11 @@
 
     own, views = virtual.run(main())
     assert [type(one) for one in own] == [hosts.SelfStalled]
-    assert views == {_whole(6)}
+    assert views == {_all_names(6)}
 
 
-def test_one_way_loss_kills_nobody() -> None:
-    """What others vouch for stays live when one direction fails."""
+def test_one_way_loss_causes_no_false_death() -> None:
+    """A host stays live by vouchers when one direction of a link fails."""
 
     async def main() -> tuple[set[str], list[hosts.HostLeft]]:
         found = await cluster.start_domain(5)
@@ -105,12 +108,12 @@
         return found.views('a'), list(itertools.chain(*left))
 
     views, left = virtual.run(main())
-    assert views == {_whole(5)}
+    assert views == {_all_names(5)}
     assert not left
 
 
-def test_deaf_host_is_not_eligible() -> None:
-    """A host that hears nobody leads no pool, though it is heard."""
+def test_host_without_inbound_links_is_not_eligible() -> None:
+    """A host whose inbound links fail is live, but may not lead pools."""
 
     async def main() -> tuple[str, list[str]]:
         found = await cluster.start_domain(5)
@@ -123,12 +126,12 @@
         return live, [host.host_id for host in eligible]
 
     live, eligible = virtual.run(main())
-    assert live == _whole(5)
+    assert live == _all_names(5)
     assert eligible == ['a00', 'a01', 'a02', 'a03']
 
 
-def test_draining_is_told_at_once() -> None:
-    """A draining host is live everywhere but eligible nowhere."""
+def test_draining_is_published_at_once() -> None:
+    """All hosts see within 0.1 s that a draining host isn't eligible."""
 
     async def main() -> tuple[set[str], list[hosts.Host]]:
         found = await cluster.start_domain(3)
@@ -142,12 +145,12 @@
         return found.views('a'), eligible
 
     views, eligible = virtual.run(main())
-    assert views == {_whole(3)}
+    assert views == {_all_names(3)}
     assert {host.host_id for host in eligible} == {'a00', 'a02'}
 
 
 def test_flapping_host_is_damped() -> None:
-    """A host that keeps dying returns more and more slowly."""
+    """A host that keeps failing needs longer each time to be live again."""
 
     async def main() -> int:
         found = await cluster.start_domain(4)
@@ -160,12 +163,12 @@
             await asyncio.sleep(2)
         return len(found.processes['a00'].left())
 
-    # Undamped it leaves five times.
+    # Without damping it leaves five times.
     assert virtual.run(main()) <= 2
 
 
-def test_loss_makes_no_mass_of_false_deaths() -> None:
-    """With 30% loss for two minutes hardly a host is wrongly dead."""
+def test_message_loss_causes_few_false_deaths() -> None:
+    """30 % message loss for two minutes causes almost no false deaths."""
 
     async def main() -> tuple[int, set[str]]:
         found = await cluster.start_domain(12, seed=3)
@@ -178,13 +181,14 @@
         return left, found.views('a')
 
     left, views = virtual.run(main())
-    # 12 x 11 views for 240 periods: 31,680 chances; without witnesses 25.
+    # 12 x 11 views for 240 periods give 31,680 chances of a false death;
+    # without witnesses there were 25.
     assert left <= 1
-    assert views == {_whole(12)}
+    assert views == {_all_names(12)}
 
 
-def test_restart_replaces_older_life() -> None:
-    """A new incarnation takes over and the older one never comes back."""
+def test_restart_replaces_older_incarnation() -> None:
+    """A new incarnation replaces the older one, which never returns."""
 
     async def main() -> tuple[set[int], list[hosts.Departure]]:
         found = await cluster.start_domain(4)
@@ -192,22 +196,22 @@
         found.processes['a02'].member.stop()
         await found.start('a02', 'a01')
         await asyncio.sleep(2)
-        lives = {
+        incarnations = {
             host.incarnation
             for process in found.processes.values()
             for host in process.member.live(_DOMAIN)
             if host.host_id == 'a02'
         }
         left = found.processes['a00'].left()
-        return lives, [one.reason for one in left]
+        return incarnations, [one.reason for one in left]
 
-    lives, reasons = virtual.run(main())
-    assert lives == {5}
+    incarnations, reasons = virtual.run(main())
+    assert incarnations == {5}
     assert reasons == [hosts.Departure.restarted]
 
 
-def test_split_domain_joins_again() -> None:
-    """Halves of a split domain go on alone and join after minutes."""
+def test_partitioned_domain_converges_again() -> None:
+    """The two sides of a partitioned domain converge after two minutes."""
 
     async def main() -> tuple[set[str], set[str]]:
         found = await cluster.start_domain(4)
@@ -220,4 +224,4 @@
 
     apart, joined = virtual.run(main())
     assert apart == {'a00 a01', 'a02 a03'}
-    assert joined == {_whole(4)}
+    assert joined == {_all_names(4)}
--- a/libs/membership/geraniumweir/membership/tests/test_members.py
+++ b/libs/membership/geraniumweir/membership/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Members of a domain as a state machine: no older life comes back."""
+"""State machine test: no older incarnation of a member becomes live."""
 
 import hypothesis
 from geraniumweir.common import ids
@@ -8,74 +8,76 @@
 
 _DOMAIN = ids.FailureDomain('a')
 _NAMES = st.sampled_from(['b', 'c', 'd'])
-_LIVES = st.integers(1, 4)
+_INCARNATIONS = st.integers(1, 4)
 
 
-def _host(name: str, life: int) -> hosts.Host:
+def _host(name: str, incarnation_number: int) -> hosts.Host:
     return hosts.Host(
         ids.HostId(name),
         _DOMAIN,
         ids.Region('r'),
         ids.Address('127.0.0.1', ord(name)),
-        ids.Incarnation(life),
+        ids.Incarnation(incarnation_number),
     )
 
 
 class MemberRules(stateful.RuleBasedStateMachine):
-    """Cards, heartbeats and farewells of any life, in any order."""
+    """Cards, heartbeats and farewells of any incarnation, in any order."""
 
     def __init__(self) -> None:
         super().__init__()
         self.timing = suspicion.Timing()
         self.members = members.Members(_host('a', 1), self.timing)
         self.now = float(0)
-        self.told: dict[str, int] = {}
+        self.newest_card: dict[str, int] = {}
         self.last_beat: dict[tuple[str, int], float] = {}
         self.gone: set[tuple[str, int]] = set()
         self.view: set[str] = set()
         self.members.changes.subscribe(self._follow)
 
-    @stateful.rule(name=_NAMES, life=_LIVES)
-    def tell_of(self, name: str, life: int) -> None:
-        """Somebody tells of a host, maybe of an old life."""
-        self.members.add_candidate(_host(name, life), self.now)
-        self.told[name] = max(life, self.told.get(name, 0))
-
-    @stateful.rule(name=_NAMES, life=_LIVES)
-    def beat(self, name: str, life: int) -> None:
-        """A heartbeat arrives, maybe of an old life."""
-        incarnation = ids.Incarnation(life)
+    @stateful.rule(name=_NAMES, incarnation_number=_INCARNATIONS)
+    def receive_card(self, name: str, incarnation_number: int) -> None:
+        """Receive a card, maybe of an old incarnation."""
+        self.members.add_candidate(_host(name, incarnation_number), self.now)
+        self.newest_card[name] = max(
+            incarnation_number, self.newest_card.get(name, 0)
+        )
+
+    @stateful.rule(name=_NAMES, incarnation_number=_INCARNATIONS)
+    def beat(self, name: str, incarnation_number: int) -> None:
+        """Receive a heartbeat, maybe of an old incarnation."""
+        incarnation = ids.Incarnation(incarnation_number)
         self.members.record_heartbeat(ids.HostId(name), incarnation, self.now)
-        self.last_beat[(name, life)] = self.now
+        self.last_beat[(name, incarnation_number)] = self.now
 
-    @stateful.rule(name=_NAMES, life=_LIVES)
-    def farewell(self, name: str, life: int) -> None:
-        """A host says that it stops."""
-        incarnation = ids.Incarnation(life)
+    @stateful.rule(name=_NAMES, incarnation_number=_INCARNATIONS)
+    def farewell(self, name: str, incarnation_number: int) -> None:
+        """Receive a farewell, maybe of an old incarnation."""
+        incarnation = ids.Incarnation(incarnation_number)
         self.members.record_farewell(ids.HostId(name), incarnation, self.now)
-        if self.told.get(name) == life:
-            self.gone.add((name, life))
+        if self.newest_card.get(name) == incarnation_number:
+            self.gone.add((name, incarnation_number))
 
     @stateful.rule(seconds=st.sampled_from([0.5, 1.3, 3]))
     def wait(self, seconds: float) -> None:
-        """Time goes by and the hosts are judged."""
+        """Advance the clock and run the failure detector."""
         self.now += seconds
         self.members.evaluate(self.now)
 
     @stateful.invariant()
     def live_hosts_are_right(self) -> None:
-        """Live is only the newest life, heard lately, not gone."""
+        """Live hosts: newest incarnation, recent heartbeat, no farewell."""
         for host in self.members.live():
             if host.host_id == 'a':
                 continue
-            life = (host.host_id, host.incarnation)
-            assert host.incarnation == self.told[host.host_id]
-            assert self.now - self.last_beat[life] < self.timing.dead_after
-            assert life not in self.gone
+            identity = (host.host_id, host.incarnation)
+            assert host.incarnation == self.newest_card[host.host_id]
+            assert self.now - self.last_beat[identity] < self.timing.dead_after
+            assert identity not in self.gone
 
     @stateful.invariant()
     def events_give_the_view(self) -> None:
-        """Who follows the events sees the same hosts."""
+        """The events lead to the same set of hosts as the view."""
         live = {host.host_id for host in self.members.live()}
         assert live == self.view | {'a'}
 
--- a/libs/membership/geraniumweir/membership/tests/test_registry.py
+++ b/libs/membership/geraniumweir/membership/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry against a naive version, and its rules as a state machine."""
+"""State machine test of the registry against a model model; its rules."""
 
 import dataclasses
 
@@ -25,7 +25,7 @@
     state: servers.ServerState = _READY,
     **other: object,
 ) -> servers.Announcement:
-    """Build an announcement of an honest server."""
+    """Return a valid announcement."""
     return dataclasses.replace(
         servers.Announcement(
             ids.ServerId(server_id),
@@ -40,8 +40,8 @@
     )
 
 
-class _Naive:
-    """Keeps all that was ever said and reads the answer off the history."""
+class _NaiveModel:
+    """Naive model that keeps all announcements and derives the live servers."""
 
     def __init__(self) -> None:
         self.said: list[tuple[float, float, servers.Announcement]] = []
@@ -53,70 +53,76 @@
         found = []
         for name in sorted({said.server_id for _, _, said in self.said}):
             of_it = [one for one in self.said if one[2].server_id == name]
-            life = max(said.incarnation for _, _, said in of_it)
-            of_life = [one for one in of_it if one[2].incarnation == life]
-            if max(until for _, until, _ in of_life) > now:
-                states = {said.state for _, _, said in of_life}
-                found.append((name, life, _LEAVING in states))
+            incarnation_number = max(said.incarnation for _, _, said in of_it)
+            of_incarnation = [
+                one for one in of_it if one[2].incarnation == incarnation_number
+            ]
+            if max(until for _, until, _ in of_incarnation) > now:
+                states = {said.state for _, _, said in of_incarnation}
+                found.append((name, incarnation_number, _LEAVING in states))
         return found
 
 
 class RegistryRules(stateful.RuleBasedStateMachine):
-    """Announcements in any order, directly and by other hosts."""
+    """Announcements in any order, direct and from other hosts."""
 
     def __init__(self) -> None:
         super().__init__()
         self.registry = servers.Registry(ids.FailureDomain('a'))
-        self.naive = _Naive()
+        self.model = _NaiveModel()
         self.now = float(0)
         self.events: list[servers.ServerEvent] = []
         self.registry.changes.subscribe(self.events.append)
 
     @stateful.rule(
         name=st.sampled_from(['s', 't']),
-        life=st.integers(1, 3),
+        incarnation_number=st.integers(1, 3),
         state=st.sampled_from(servers.ServerState),
         left=st.sampled_from([0.5, 2, 3, 1000]),
     )
-    def say(
+    def take_announcement(
         self,
         name: str,
-        life: int,
+        incarnation_number: int,
         state: servers.ServerState,
         left: float,
     ) -> None:
-        """Take an announcement, maybe a late one."""
+        """Apply an announcement, maybe a late one."""
         before = self.registry.lease(ids.ServerId(name))
-        said = announcement(name, life, state)
+        said = announcement(name, incarnation_number, state)
         crashed = self.registry.apply(said, left, self.now)
-        self.naive.take(said, left, self.now)
-        newer = bool(before and life > before.announcement.incarnation)
+        self.model.take(said, left, self.now)
+        newer = bool(
+            before and incarnation_number > before.announcement.incarnation
+        )
         assert crashed is newer
 
-    @stateful.rule(life=st.integers(1, 3), left=st.sampled_from([1, 3]))
-    def renew(self, life: int, left: float) -> None:
-        """Lengthen a lease by the key of a content."""
-        said = announcement('s', life)
+    @stateful.rule(
+        incarnation_number=st.integers(1, 3), left=st.sampled_from([1, 3])
+    )
+    def renew(self, incarnation_number: int, left: float) -> None:
+        """Renew a lease by the key of its announcement."""
+        said = announcement('s', incarnation_number)
         if self.registry.renew(servers.key_of(said), left, self.now):
-            self.naive.take(said, left, self.now)
+            self.model.take(said, left, self.now)
 
     @stateful.rule(seconds=st.sampled_from([0.4, 1, 2.9, 3, 20]))
     def wait(self, seconds: float) -> None:
-        """Let time go by."""
+        """Advance the clock."""
         self.now += seconds
 
     @stateful.invariant()
-    def agrees_with_naive(self) -> None:
-        """The same servers are live, in the same life, leaving or not."""
+    def agrees_with_model(self) -> None:
+        """The same servers are live, with the same incarnation and state."""
         live = [
             (said.server_id, said.incarnation, said.state is _LEAVING)
             for said in self.registry.live(self.now)
         ]
-        assert live == self.naive.live(self.now)
+        assert live == self.model.live(self.now)
 
     @stateful.invariant()
-    def crashes_are_told_once(self) -> None:
-        """Each newer life of a server is one crash event."""
+    def crashes_are_reported_once(self) -> None:
+        """Each newer incarnation of a server is one crash event."""
         crashes = [
             (one.after.server_id, one.after.incarnation)
             for one in self.events
@@ -129,8 +135,8 @@
 TestRegistryRules.settings = _SETTINGS
 
 
-def test_leaving_stays_for_its_life() -> None:
-    """A late ``ready`` doesn't take a leaving server back; a new life does."""
+def test_leaving_lasts_for_its_incarnation() -> None:
+    """A late ``ready`` doesn't end ``leaving``; a new incarnation does."""
     registry = servers.Registry()
     registry.announce(announcement(state=_LEAVING), 0)
     registry.announce(announcement(), 1)
@@ -141,8 +147,8 @@
     assert registry.live(101)[0].state is _READY
 
 
-def test_expiry_is_told() -> None:
-    """A lease that ran out is one event, a return another."""
+def test_expiry_is_reported() -> None:
+    """An expired lease is one event, the server's return another."""
     registry = servers.Registry()
     events: list[servers.ServerEvent] = []
     registry.changes.subscribe(events.append)
@@ -158,7 +164,7 @@
     ]
 
 
-def test_server_of_other_domain_is_refused() -> None:
+def test_server_of_other_domain_is_rejected() -> None:
     """The error names both domains and the server."""
     registry = servers.Registry(ids.FailureDomain('b'))
     with pytest.raises(errors.OtherDomainError, match="'s'.*'a'.*'b'"):
@@ -166,7 +172,7 @@
 
 
 def test_memory_is_bounded() -> None:
-    """Past the limit a live server is never dropped for a new one."""
+    """At the limit, no live server is evicted for a new one."""
     registry = servers.Registry(max_servers=2)
     registry.announce(announcement('s'), 0)
     registry.announce(announcement('t'), 2)
@@ -178,7 +184,7 @@
 
 
 @pytest.mark.parametrize(
-    ('field', 'nonsense'),
+    ('field', 'invalid'),
     [
         ('server_id', ''),
         ('server_id', 's' * 129),
@@ -193,8 +199,8 @@
         ('max_context', -1),
     ],
 )
-def test_nonsense_is_refused(field: str, nonsense: object) -> None:
+def test_invalid_field_is_rejected(field: str, invalid: object) -> None:
     """The error names the field."""
-    said = announcement(**{field: nonsense})
+    said = announcement(**{field: invalid})
     with pytest.raises(errors.AnnouncementError, match=field):
         limits.check(said)
--- a/libs/membership/geraniumweir/membership/tests/test_servers.py
+++ b/libs/membership/geraniumweir/membership/tests/test_servers.py
@@ -15,8 +15,8 @@
     )
 
 
-def test_lease_runs_out() -> None:
-    """A server that stopped announcing is gone after the lease."""
+def test_lease_expires() -> None:
+    """A server that stopped announcing isn't live after its lease."""
     registry = servers.Registry()
     registry.announce(_announcement(1), 0)
     assert registry.live(servers.LEASE_SECONDS - 0.1)
--- a/libs/membership/geraniumweir/membership/tests/test_sharing.py
+++ b/libs/membership/geraniumweir/membership/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Leases of backend servers, shared inside a domain."""
+"""Leases of backend servers shared inside a domain."""
 
 import asyncio
 
@@ -32,8 +32,8 @@
         await asyncio.sleep(1)
 
 
-def test_announced_to_one_known_to_all() -> None:
-    """All hosts of the domain have the lease, also one that starts later."""
+def test_lease_is_shared_with_all_hosts() -> None:
+    """All hosts of the domain get the lease, also one that starts later."""
 
     async def main() -> tuple[dict[str, list[str]], dict[str, list[str]]]:
         found = await cluster.start_domain(3)
@@ -53,8 +53,8 @@
     assert late == dict.fromkeys(names, ['s1 ready'])
 
 
-def test_lease_ends_everywhere() -> None:
-    """When a server falls silent no host lengthens its lease by echo."""
+def test_lease_expires_on_all_hosts() -> None:
+    """Hosts don't keep renewing the lease of a silent server by sharing it."""
 
     async def main() -> dict[str, list[str]]:
         found = await cluster.start_domain(4)
@@ -66,8 +66,8 @@
 
 
 @pytest.mark.parametrize('loss', [0, 0.3])
-def test_leaving_is_known_within_two_seconds(loss: float) -> None:
-    """Also with lost messages, and though a late ready arrives elsewhere."""
+def test_leaving_reaches_all_hosts_within_two_seconds(loss: float) -> None:
+    """Lost messages and a late ``ready`` at another host don't prevent it."""
 
     async def main() -> dict[str, list[str]]:
         found = await cluster.start_domain(6, seed=5)
@@ -82,11 +82,12 @@
         return _states(found)
 
     for states in virtual.run(main()).values():
-        # A host that lost every message has no lease, which is as good.
+        # A host that lost every message has no valid lease, so it sends the
+        # server no work either.
         assert states in (['s1 leaving'], [])
 
 
-def test_crash_is_told_at_every_host() -> None:
+def test_crash_is_reported_on_every_host() -> None:
     """A new incarnation is a crash event on each host of the domain."""
 
     async def main() -> list[int]:
@@ -95,15 +96,15 @@
         await _announce(found, 'a02', 2, incarnation=2)
         await _announce(found, 'a01', 1, incarnation=1)
         return [
-            sum(isinstance(one, servers.ServerCrashed) for one in told.crashes)
-            for told in found.processes.values()
+            sum(isinstance(one, servers.ServerCrashed) for one in node.crashes)
+            for node in found.processes.values()
         ]
 
     assert virtual.run(main()) == [1, 1, 1]
 
 
-def test_reply_names_hosts_to_turn_to() -> None:
-    """A server hears of three hosts of its domain that aren't draining."""
+def test_reply_names_hosts_to_announce_to() -> None:
+    """The reply names three hosts of the server's domain."""
 
     async def main() -> tuple[ids.Address, ...]:
         found = await cluster.start_domain(5)
@@ -115,8 +116,8 @@
     assert {address.host for address in reply} == {'127.0.0.2'}
 
 
-def test_other_domain_is_refused() -> None:
-    """A server of another failure domain gets a clear error."""
+def test_other_domain_is_rejected() -> None:
+    """An announcement from another failure domain is rejected."""
 
     async def main() -> None:
         found = await cluster.start_domain(1)
--- a/libs/membership/geraniumweir/membership/tests/test_tcp.py
+++ b/libs/membership/geraniumweir/membership/tests/test_tcp.py
@@ -1,4 +1,4 @@
-"""Membership over real loopback connections."""
+"""Membership over loopback TCP connections."""
 
 import asyncio
 import typing
@@ -51,7 +51,7 @@
 
 
 def test_joins_and_crash_over_tcp() -> None:
-    """Hosts of two domains find each other; a crash is seen by all."""
+    """Hosts of two domains find each other; all detect a crash."""
 
     async def main() -> list[logevents.Event]:
         first = await _start('a0')
@@ -60,7 +60,7 @@
         members = [first[1], *(member for _, member in rest)]
         logged: list[logevents.Event] = []
         first[1].reported_events.subscribe(
-            lambda happened: logged.append(reports.describe(happened)[0]),
+            lambda event_seen: logged.append(reports.describe(event_seen)[0]),
         )
         await _until(lambda: _sizes(members) == {4})
         layer, crashed = rest[0]
