--- a/libs/membership/geraniumweir/membership/membership.py
+++ b/libs/membership/geraniumweir/membership/membership.py
@@ -15,6 +15,7 @@
 from geraniumweir.common import ids, timers
 from geraniumweir.membership import (
     digests,
+    dissemination,
     heartbeats,
     hosts,
     pools,
@@ -23,7 +24,6 @@
     seeds,
     shared_state,
     sharing,
-    dissemination,
 )
 from geraniumweir.wire import peers
 from reactivex import operators
--- a/libs/membership/geraniumweir/membership/poolsummaries.py
+++ b/libs/membership/geraniumweir/membership/poolsummaries.py
@@ -2,7 +2,8 @@
 
 A pool leader may publish its summary at any rate; only a significant change
 gets a new version in the table, and a reader requests what is newer than its
-version. A pool without such changes therefore costs no messages.
+version. A pool without such changes therefore costs no messages between
+domains.
 """
 
 import dataclasses
