--- a/libs/daemon/geraniumweir/daemon/publishing.py
+++ b/libs/daemon/geraniumweir/daemon/publishing.py
@@ -80,7 +80,7 @@
     def _publish_cases(self, cases: typing.Sequence[suspects.Case]) -> None:
         seconds = max(case.seconds for case in cases)
         try:
-            self._members.spread(case_encoding.write(cases), seconds)
+            self._members.broadcast(case_encoding.write(cases), seconds)
         except member_errors.NoticeError as exc:
             # The cases stay unpublished and are sent again at the next tick.
             eventlog.emit(logevents.CASES_NOT_PUBLISHED, reason=exc.message)
--- a/libs/membership/geraniumweir/membership/cards.py
+++ b/libs/membership/geraniumweir/membership/cards.py
@@ -1,4 +1,4 @@
-"""Hosts as messages, and the fingerprint of a list of hosts."""
+"""Host cards: hosts as messages; fingerprints of rosters."""
 
 import typing
 import zlib
@@ -7,13 +7,13 @@
 from geraniumweir.membership import errors, hosts
 from geraniumweir.wire.gen.membership import ttypes
 
-_SIGN = 0x80000000
-_WRAP = 0x100000000
+_SIGN_BIT = 0x80000000
+_MODULUS = 0x100000000
 _MAX_NAME = 256
 
 
 def write_host(host: hosts.Host) -> ttypes.HostCard:
-    """Turn a host into its card."""
+    """Return the card of a host."""
     backend = host.backend_address
     return ttypes.HostCard(
         host_id=host.host_id,
@@ -27,9 +27,9 @@
 
 
 def read_host(card: ttypes.HostCard) -> hosts.Host:
-    """Turn a card into a host.
+    """Return the host that a card describes.
 
-    :raises errors.CardError: when a field is missing or nonsense.
+    :raises errors.CardError: when a field is missing or invalid.
     """
     try:
         return _read(card)
@@ -38,7 +38,7 @@
 
 
 def roster_hash(members: typing.Iterable[hosts.Host]) -> int:
-    """Give a fingerprint of a list of hosts that doesn't depend on order.
+    """Return a fingerprint of hosts that doesn't depend on their order.
 
     :returns: a signed 32-bit number, never 0.
 
@@ -49,17 +49,17 @@
         f'{host.host_id} {host.incarnation} {host.roles.value} {host.address}'
         for host in members
     )
-    return hash_of('\n'.join(lines))
+    return signed_crc32('\n'.join(lines))
 
 
-def hash_of(text: str) -> int:
-    """Give the CRC-32 of a text as a signed number that is not 0.
+def signed_crc32(text: str) -> int:
+    """Return the CRC-32 of a text as a signed 32-bit number, never 0.
 
-    >>> hash_of('')
+    >>> signed_crc32('')
     1
     """
     crc = zlib.crc32(text.encode()) or 1
-    return crc - _WRAP if crc >= _SIGN else crc
+    return crc - _MODULUS if crc >= _SIGN_BIT else crc
 
 
 def _read(card: ttypes.HostCard) -> hosts.Host:
--- a/libs/membership/geraniumweir/membership/members.py
+++ b/libs/membership/geraniumweir/membership/members.py
@@ -1,10 +1,10 @@
 """The hosts of the own failure domain, as this host sees them.
 
-A host that is only told of is a candidate: it gets heartbeats, and is live
-once it was heard itself. A dead one gets a heartbeat now and then, so that a
-healed partition joins, and is forgotten after a time. A host of an older
-incarnation than a known one is never taken back. One that keeps dying and
-returning has to be heard longer each time before it counts as live again.
+A host of which only a card arrived is a candidate: it is sent heartbeats and
+becomes live with its own first heartbeat. A dead host is sent a heartbeat
+from time to time, so that the views join after a partition, and is removed
+after a retention time. An older incarnation never replaces a newer one. A
+flapping host needs more heartbeats each time before it is live again.
 """
 
 import dataclasses
@@ -15,15 +15,15 @@
 from geraniumweir.membership import cards, hosts, suspicion
 from reactivex import subject
 
-FORGET_SECONDS = 600.0
-FORGET_CANDIDATE_SECONDS = 60.0
-FLAP_SECONDS = 60.0
+DEAD_RETENTION_SECONDS = 600.0
+CANDIDATE_RETENTION_SECONDS = 60.0
+FLAP_RESET_SECONDS = 60.0
 MAX_MEMBERS = 256
-MAX_BEATS_OWED = 16
+MAX_HEARTBEATS_REQUIRED = 16
 
 
 class State(enum.Enum):
-    """What this host holds a member for."""
+    """State of a member in the view of this host."""
 
     candidate = 'candidate'
     live = 'live'
@@ -34,35 +34,36 @@
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """A host of the domain and what is known of it.
+    """Another host of the domain with its state.
 
-    :ivar since: when it came into its state, in seconds.
-    :ivar deaths: how often it died and returned lately.
-    :ivar owed: heartbeats it still owes before it is live again.
-    :ivar hears: how many hosts it hears, itself included.
+    :ivar entered_at: when it entered its state, in seconds on the clock.
+    :ivar failure_count: times it left the view since it was last stable.
+    :ivar heartbeats_required: heartbeats still needed before it is live.
+    :ivar reachable_count: hosts it receives from, itself included.
     """
 
     host: hosts.Host
     state: State
-    since: float
-    deaths: int = 0
-    owed: int = 0
-    hears: int = 0
+    entered_at: float
+    failure_count: int = 0
+    heartbeats_required: int = 0
+    reachable_count: int = 0
 
     @property
-    def counts(self) -> bool:
-        """Tell whether it is in the view."""
+    def in_view(self) -> bool:
+        """Return whether the member counts as live."""
         return self.state in {State.live, State.suspected}
 
 
 class Members:
-    """The own failure domain.
+    """Membership table of the own failure domain.
 
-    :ivar changes: typed events of other hosts.
+    :ivar me: this host.
+    :ivar changes: typed events of the hosts of the domain.
     """
 
     def __init__(self, me: hosts.Host, timing: suspicion.Timing) -> None:
-        """Start alone."""
+        """Initialize with this host only."""
         self.me = me
         self.suspicion = suspicion.Suspicion(timing)
         self.changes: subject.Subject[hosts.HostEvent] = subject.Subject()
@@ -71,31 +72,31 @@
 
     @property
     def roster(self) -> int:
-        """Give the fingerprint of the live hosts."""
+        """Return the fingerprint of the live hosts."""
         if self._roster is None:
             self._roster = cards.roster_hash(self.live())
         return self._roster
 
     @property
-    def hears(self) -> int:
-        """Count the hosts that are heard directly, this one included."""
+    def reachable_count(self) -> int:
+        """Return the number of unsuspected hosts, this one included."""
         states = [member.state for member in self._members.values()]
         return states.count(State.live) + 1
 
     def live(self) -> tuple[hosts.Host, ...]:
-        """List the live hosts, this one among them, by id."""
+        """Return the live hosts, this one included, sorted by id."""
         found = [
-            member.host for member in self._members.values() if member.counts
+            member.host for member in self._members.values() if member.in_view
         ]
         return tuple(sorted([*found, self.me], key=host_key))
 
     def is_live(self, host_id: ids.HostId) -> bool:
-        """Tell whether a host is this one or a live one."""
+        """Return whether a host is live; this one always is."""
         member = self._members.get(host_id)
-        return host_id == self.me.host_id or bool(member and member.counts)
+        return host_id == self.me.host_id or bool(member and member.in_view)
 
     def others(self, *states: State) -> list[hosts.Host]:
-        """List the other hosts in given states, by id."""
+        """Return the other hosts in any of the states, sorted by id."""
         found = [
             member.host
             for member in self._members.values()
@@ -104,19 +105,19 @@
         return sorted(found, key=host_key)
 
     def member(self, host_id: ids.HostId) -> Member | None:
-        """Give what is known of another host, live or not."""
+        """Return the entry of another host, live or not."""
         return self._members.get(host_id)
 
     def set_roles(self, roles: hosts.Role) -> None:
-        """Change this host's own roles."""
+        """Set the roles of this host."""
         self.me = dataclasses.replace(self.me, roles=roles)
         self._roster = None
         self.changes.on_next(hosts.HostChanged(self.me))
 
-    def tell_of(self, host: hosts.Host, now: float) -> bool:
-        """Take in a host that somebody told of.
+    def add_candidate(self, host: hosts.Host, now: float) -> bool:
+        """Add a host from a card as a candidate.
 
-        :returns: whether it is new here, or in a new incarnation.
+        :returns: whether the host or its incarnation is new here.
         """
         known = self._members.get(host.host_id)
         if host.host_id == self.me.host_id:
@@ -128,82 +129,84 @@
             return False
         else:
             self._depart(known, hosts.Departure.restarted, now)
-        self.suspicion.forget(host.host_id)
+        self.suspicion.discard(host.host_id)
         self._members[host.host_id] = Member(host, State.candidate, now)
         return True
 
-    def beat(
+    def record_heartbeat(
         self,
         host_id: ids.HostId,
         incarnation: ids.Incarnation,
         now: float,
     ) -> Member | None:
-        """Note that a host was heard.
+        """Record a heartbeat.
 
-        :returns: the member, or None when its card must be asked for or the
-            message comes from an older life.
+        :returns: the member, or None when there is no card of this
+            incarnation or the host has sent a farewell in it.
         """
         member = self._members.get(host_id)
         if member is None or member.host.incarnation != incarnation:
             return None
         if member.state is State.gone:
             return None
-        self.suspicion.heard(host_id, now)
+        self.suspicion.record_direct(host_id, now)
         match member.state:
             case State.suspected:
-                _enter(member, State.live, now)
+                _set_state(member, State.live, now)
             case State.candidate | State.dead:
-                self._return(member, now)
+                self._rejoin(member, now)
         return member
 
-    def update(self, member: Member, roles: hosts.Role, hears: int) -> None:
-        """Take in what a heartbeat says of its sender."""
-        member.hears = hears
+    def update(
+        self, member: Member, roles: hosts.Role, reachable_count: int
+    ) -> None:
+        """Apply what a heartbeat reports about its sender."""
+        member.reachable_count = reachable_count
         if roles == member.host.roles:
             return
         member.host = dataclasses.replace(member.host, roles=roles)
         self._roster = None
-        if member.counts:
+        if member.in_view:
             self.changes.on_next(hosts.HostChanged(member.host))
 
-    def farewell(
+    def record_farewell(
         self,
         host_id: ids.HostId,
         incarnation: ids.Incarnation,
         now: float,
     ) -> None:
-        """Note that a host stops; it is not taken back in this life."""
+        """Record that a host stops; this incarnation stays out of the view."""
         member = self._members.get(host_id)
         if member is None or member.host.incarnation != incarnation:
             return
         self._depart(member, hosts.Departure.announced, now)
-        _enter(member, State.gone, now)
+        _set_state(member, State.gone, now)
 
-    def judge(self, now: float) -> None:
-        """Judge every host from its silence; forget those long dead."""
+    def evaluate(self, now: float) -> None:
+        """Detect failures; remove dead hosts and candidates after a time."""
         for member in list(self._members.values()):
-            if member.counts:
-                self._judge(member, now)
-            elif now - member.since >= _patience(member):
+            if member.in_view:
+                self._evaluate(member, now)
+            elif now - member.entered_at >= _retention_seconds(member):
                 self._members.pop(member.host.host_id)
-                self.suspicion.forget(member.host.host_id)
+                self.suspicion.discard(member.host.host_id)
 
-    def _judge(self, member: Member, now: float) -> None:
-        verdict = self.suspicion.judge(member.host.host_id, now)
+    def _evaluate(self, member: Member, now: float) -> None:
+        verdict = self.suspicion.evaluate(member.host.host_id, now)
         match verdict:
             case suspicion.Verdict.dead:
                 self._depart(member, hosts.Departure.silent, now)
             case suspicion.Verdict.suspected if member.state is State.live:
-                _enter(member, State.suspected, now)
+                _set_state(member, State.suspected, now)
                 self.changes.on_next(hosts.HostSuspected(member.host))
 
-    def _return(self, member: Member, now: float) -> None:
-        if member.owed > 0:
-            member.owed -= 1
+    def _rejoin(self, member: Member, now: float) -> None:
+        if member.heartbeats_required > 0:
+            member.heartbeats_required -= 1
             return
-        if now - member.since >= FLAP_SECONDS:
-            member.deaths = 0
-        _enter(member, State.live, now)
+        if now - member.entered_at >= FLAP_RESET_SECONDS:
+            member.failure_count = 0
+        _set_state(member, State.live, now)
         self._roster = None
         self.changes.on_next(hosts.HostJoined(member.host))
 
@@ -213,39 +216,41 @@
         reason: hosts.Departure,
         now: float,
     ) -> None:
-        counted = member.counts
-        if counted and now - member.since >= FLAP_SECONDS:
-            member.deaths = 0
-        if counted:
-            member.deaths += 1
-            member.owed = min(1 << member.deaths, MAX_BEATS_OWED)
-        _enter(member, State.dead, now)
+        was_in_view = member.in_view
+        if was_in_view and now - member.entered_at >= FLAP_RESET_SECONDS:
+            member.failure_count = 0
+        if was_in_view:
+            member.failure_count += 1
+            member.heartbeats_required = min(
+                1 << member.failure_count, MAX_HEARTBEATS_REQUIRED
+            )
+        _set_state(member, State.dead, now)
         self._roster = None
-        if counted:
+        if was_in_view:
             self.changes.on_next(hosts.HostLeft(member.host, reason))
 
 
 def eligible(domain: Members) -> tuple[hosts.Host, ...]:
-    """List the live hosts of the own domain that may lead pools.
+    """Return the live hosts of the own domain that may lead pools.
 
-    A draining one may not, nor one that hears less than half of those that
-    this host holds for live: it is cut off on its way in.
+    A draining host may not. Neither may one that receives heartbeats from
+    less than half of the hosts that are live here: its inbound links fail.
     """
     live = domain.live()
     return tuple(
         host
         for host in live
-        if not host.draining and 2 * _hears(domain, host) >= len(live)
+        if not host.draining and 2 * _reachable_count(domain, host) >= len(live)
     )
 
 
 def host_key(host: hosts.Host) -> ids.HostId:
-    """Give what hosts are sorted by."""
+    """Return the sort key of hosts."""
     return host.host_id
 
 
-def newest(found: typing.Iterable[hosts.Host]) -> list[hosts.Host]:
-    """Keep the newest life of each host, by id."""
+def newest_incarnations(found: typing.Iterable[hosts.Host]) -> list[hosts.Host]:
+    """Return the newest incarnation of each host, sorted by id."""
     kept: dict[ids.HostId, hosts.Host] = {}
     for host in found:
         known = kept.get(host.host_id)
@@ -254,20 +259,21 @@
     return sorted(kept.values(), key=host_key)
 
 
-def _enter(member: Member, state: State, now: float) -> None:
-    # A short suspicion doesn't restart the time that a host has lived.
-    within = member.counts and state in {State.live, State.suspected}
+def _set_state(member: Member, state: State, now: float) -> None:
+    # A short suspicion doesn't restart the time for which a host has been
+    # stable.
+    within = member.in_view and state in {State.live, State.suspected}
     if not within:
-        member.since = now
+        member.entered_at = now
     member.state = state
 
 
-def _hears(domain: Members, host: hosts.Host) -> int:
+def _reachable_count(domain: Members, host: hosts.Host) -> int:
     member = domain.member(host.host_id)
-    return domain.hears if member is None else member.hears
+    return domain.reachable_count if member is None else member.reachable_count
 
 
-def _patience(member: Member) -> float:
+def _retention_seconds(member: Member) -> float:
     if member.state is State.candidate:
-        return FORGET_CANDIDATE_SECONDS
-    return FORGET_SECONDS
+        return CANDIDATE_RETENTION_SECONDS
+    return DEAD_RETENTION_SECONDS
--- a/libs/membership/geraniumweir/membership/poolsummaries.py
+++ b/libs/membership/geraniumweir/membership/poolsummaries.py
@@ -1,8 +1,9 @@
-"""What pools in other failure domains could take, in a few numbers.
+"""Summaries of the load and capacity of pools, for other failure domains.
 
-A pool leader publishes its summary as often as it likes; only a change that
-matters gets a new number on the board, and a reader asks for what is newer
-than the number it has. So a steady pool costs nothing.
+A pool leader may publish its summary at any rate; only a significant change
+gets a new version in the table, and a reader requests what is newer than its
+version. A pool without such changes therefore costs no messages between
+domains.
 """
 
 import dataclasses
@@ -21,13 +22,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolSummary:
-    """How one failure domain's share of a pool stands.
+    """Load and capacity of a pool in one failure domain.
 
-    :ivar leader: the host whose pool leader speaks.
-    :ivar capacity: requests at a time, by model.
-    :ivar wait_ms: expected wait of a new request by tier, the highest first.
+    :ivar leader: host of the pool leader that published the summary.
+    :ivar capacity: concurrent requests, by model.
+    :ivar wait_ms: expected wait of a new request, by tier, highest tier first.
     :ivar free: requests that could start at once, by model as in capacity.
-    :ivar lowest_tier: of those being served or admitted, None where none is.
+    :ivar lowest_tier: lowest tier being served or admitted; None without any.
     """
 
     failure_domain: ids.FailureDomain
@@ -40,7 +41,7 @@
 
     @property
     def free_slots(self) -> int:
-        """Give the free slots of the model that has most."""
+        """Return the free slots of the model with the most."""
         return max(self.free, default=0)
 
 
@@ -48,33 +49,33 @@
 
 
 def key_of(summary: PoolSummary) -> PoolKey:
-    """Give what a summary is of."""
+    """Return the failure domain and pool of a summary."""
     return summary.failure_domain, summary.pool
 
 
-def matters(before: PoolSummary, after: PoolSummary) -> bool:
-    """Tell whether a change is worth sending.
+def is_significant(before: PoolSummary, after: PoolSummary) -> bool:
+    """Return whether a change is significant enough to send.
 
-    Waits and free slots must change by half; whether there is a free
-    slot, the leader, the capacity and the lowest tier always matter.
+    Waits and free slots must change by half. A change of the leader, the
+    capacity or the lowest tier, or of whether there is a free slot, always is.
     """
     exact = ('leader', 'capacity', 'lowest_tier')
     if any(getattr(before, name) != getattr(after, name) for name in exact):
         return True
-    if _any_moved(before.free, after.free, _SLOT_STEP):
+    if _any_changed(before.free, after.free, _SLOT_STEP):
         return True
     if list(map(bool, before.free)) != list(map(bool, after.free)):
         return True
-    return _any_moved(before.wait_ms, after.wait_ms, _WAIT_STEP_MS)
+    return _any_changed(before.wait_ms, after.wait_ms, _WAIT_STEP_MS)
 
 
 def best_first(
     found: typing.Iterable[PoolSummary],
     tier: ids.Tier = ids.Tier.urgent,
 ) -> list[PoolSummary]:
-    """Order summaries: free slots first, then the shortest wait.
+    """Return summaries sorted: free slots first, then the shortest wait.
 
-    :param tier: whose wait counts.
+    :param tier: tier whose waits are compared.
     """
 
     return sorted(found, key=functools.partial(_order, tier))
@@ -82,60 +83,66 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Entry:
-    """A summary and the numbers of its last changes.
+    """A summary and the versions of its last changes.
 
-    :ivar settled: of the last change of leader or capacity.
+    :ivar full_version: of the last change of leader or capacity.
     """
 
     summary: PoolSummary
     version: int
-    settled: int
+    full_version: int
 
 
-class Board:
-    """Summaries with a number for each change.
+class SummaryTable:
+    """Table of summaries with a version for each change.
 
-    :ivar epoch: of this board's life; numbers of another one mean nothing.
+    :ivar epoch: identifies this table; versions of different epochs can't be
+        compared.
+    :ivar version: of the last change.
     """
 
     def __init__(self, epoch: int) -> None:
-        """Start empty."""
+        """Initialize without summaries."""
         self.epoch = epoch
         self.version = 0
         self._entries: dict[PoolKey, _Entry] = {}
 
-    def put(self, summary: PoolSummary) -> bool:
-        """Take in a summary.
+    def record(self, summary: PoolSummary) -> bool:
+        """Record a summary.
 
-        :returns: whether it matters and got a new number.
+        :returns: whether it is a significant change and got a new version.
         """
         known = self._entries.get(key_of(summary))
         if known is None and len(self._entries) >= MAX_POOLS:
             return False
-        if known is not None and not matters(known.summary, summary):
+        if known is not None and not is_significant(known.summary, summary):
             return False
         self.version += 1
-        settled = self.version
-        if known is not None and _same_standing(known.summary, summary):
-            settled = known.settled
-        entry = _Entry(summary, self.version, settled)
+        full_version = self.version
+        if known is not None and _same_leader_and_capacity(
+            known.summary, summary
+        ):
+            full_version = known.full_version
+        entry = _Entry(summary, self.version, full_version)
         self._entries[key_of(summary)] = entry
         return True
 
-    def since(self, epoch: int, version: int) -> list[ttypes.PoolSummary]:
-        """Give as messages what changed after a number of an epoch."""
+    def changes_since(
+        self, epoch: int, version: int
+    ) -> list[ttypes.PoolSummary]:
+        """Return messages with the changes after a version of an epoch."""
         after = version if epoch == self.epoch else 0
         return [
-            write(entry.summary, whole=entry.settled > after)
+            write(entry.summary, complete=entry.full_version > after)
             for entry in self._entries.values()
             if entry.version > after
         ]
 
     def merge(self, message: ttypes.PoolSummary) -> PoolSummary | None:
-        """Read a message, with what it leaves out taken from the board.
+        """Read a message and complete it from the table.
 
-        :returns: None where the board doesn't have it.
-        :raises ValueError: when it names a tier that there isn't.
+        :returns: None where the table has no entry to complete it from.
+        :raises ValueError: when the tier is unknown.
         """
         summary = read(message)
         if message.leader is not None:
@@ -150,7 +157,7 @@
         )
 
     def of_pool(self, pool: ids.PoolName) -> list[PoolSummary]:
-        """List the summaries of a pool in all domains."""
+        """Return the summaries of a pool in all domains."""
         return [
             entry.summary
             for entry in self._entries.values()
@@ -161,11 +168,11 @@
 def write(
     summary: PoolSummary,
     *,
-    whole: bool = True,
+    complete: bool = True,
 ) -> ttypes.PoolSummary:
-    """Turn a summary into a message.
+    """Return the message of a summary.
 
-    :param whole: with leader and capacity, which seldom change.
+    :param complete: with leader and capacity, which seldom change.
     """
     capacity = [
         ttypes.ModelCapacity(model, slots)
@@ -177,15 +184,15 @@
         wait_ms=list(summary.wait_ms),
         free=list(summary.free),
         lowest_tier=summary.lowest_tier,
-        leader=summary.leader if whole else None,
-        capacity=capacity if whole else None,
+        leader=summary.leader if complete else None,
+        capacity=capacity if complete else None,
     )
 
 
 def read(message: ttypes.PoolSummary) -> PoolSummary:
-    """Turn a message into a summary.
+    """Return the summary in a message.
 
-    :raises ValueError: when it names a tier that there isn't.
+    :raises ValueError: when the tier is unknown.
     """
     lowest = message.lowest_tier
     return PoolSummary(
@@ -202,19 +209,19 @@
     )
 
 
-def _same_standing(before: PoolSummary, after: PoolSummary) -> bool:
+def _same_leader_and_capacity(before: PoolSummary, after: PoolSummary) -> bool:
     return before.leader == after.leader and before.capacity == after.capacity
 
 
-def _any_moved(
+def _any_changed(
     before: tuple[int, ...],
     after: tuple[int, ...],
-    least: int,
+    min_step: int,
 ) -> bool:
     if len(before) != len(after):
         return True
     return any(
-        abs(new - old) >= max(least, int(old * _RELATIVE_STEP))
+        abs(new - old) >= max(min_step, int(old * _RELATIVE_STEP))
         for old, new in zip(before, after, strict=True)
     )
 
--- a/libs/membership/geraniumweir/membership/tests/test_domains.py
+++ b/libs/membership/geraniumweir/membership/tests/test_domains.py
@@ -32,15 +32,15 @@
     )
 
 
-def test_all_domains_know_each_other() -> None:
-    """Every host sees every host, own domain first."""
+def test_all_domains_see_each_other() -> None:
+    """Every host sees every host of all domains."""
 
     async def main() -> tuple[set[str], str]:
-        found = await cluster.domains_of('a', 'b', 'c', count=3)
+        found = await cluster.start_domains('a', 'b', 'c', count=3)
         await asyncio.sleep(5)
         return (
             {' '.join(sorted(view.split())) for view in _all(found)},
-            cluster.seen(found['a2'], 'c'),
+            cluster.live_names(found['a2'], 'c'),
         )
 
     views, of_c = virtual.run(main())
@@ -48,14 +48,17 @@
     assert of_c == 'c0 c1 c2'
 
 
-def test_partition_and_healing() -> None:
-    """A cut-off domain goes on alone; afterwards the views join."""
+def test_views_converge_after_partition() -> None:
+    """A partitioned domain keeps its own view; after it all views converge.
+
+    A host restarted during the partition appears in its new incarnation only.
+    """
 
     async def main() -> list[set[str]]:
-        found = await cluster.domains_of('a', 'b', 'c', count=3)
+        found = await cluster.start_domains('a', 'b', 'c', count=3)
         await asyncio.sleep(5)
         others = _names(found, 'a') + _names(found, 'b')
-        found.cut(_names(found, 'c'), others)
+        found.partition(_names(found, 'c'), others)
         await asyncio.sleep(15)
         apart = _all(found)
         await asyncio.sleep(600)
@@ -63,30 +66,30 @@
         found.network.heal()
         await asyncio.sleep(15)
         joined = {' '.join(sorted(view.split())) for view in _all(found)}
-        lives = {
+        incarnations = {
             host.incarnation
             for name in _names(found, 'c')
             for host in found[name].live(ids.FailureDomain('a'))
             if host.host_id == 'a1'
         }
-        return [apart, joined, lives]
+        return [apart, joined, incarnations]
 
-    apart, joined, lives = virtual.run(main())
+    apart, joined, incarnations = virtual.run(main())
     assert apart == {
         'a0 a1 a2 b0 b1 b2',
         'b0 b1 b2 a0 a1 a2',
         'c0 c1 c2',
     }
     assert joined == {'a0 a1 a2 b0 b1 b2 c0 c1 c2'}
-    assert lives == {10}
+    assert incarnations == {10}
 
 
-def test_strangers_of_one_domain_are_introduced() -> None:
-    """Hosts that never met, as their link was cut, meet by other domains."""
+def test_unconnected_hosts_of_one_domain_are_introduced() -> None:
+    """Hosts whose first link failed find each other through other domains."""
 
     async def main() -> tuple[set[str], set[str]]:
-        found = await cluster.domains_of('a', count=2)
-        found.cut(['b0'], ['b1'])
+        found = await cluster.start_domains('a', count=2)
+        found.partition(['b0'], ['b1'])
         await found.start('b0', 'a0')
         await found.start('b1', 'a0')
         await asyncio.sleep(90)
@@ -101,18 +104,22 @@
 
 
 def test_lost_delegates_are_replaced() -> None:
-    """With both delegates of a domain gone its news still gets out."""
+    """After both delegates of a domain crash, others see its live hosts."""
 
     async def main() -> tuple[set[str], set[str]]:
-        found = await cluster.domains_of('a', 'b', count=5)
+        found = await cluster.start_domains('a', 'b', count=5)
         await asyncio.sleep(5)
         chosen = [
-            name for name in _names(found, 'a') if found[name].speaks_for_domain
+            name
+            for name in _names(found, 'a')
+            if found[name].is_domain_delegate
         ]
         for delegate in chosen:
             found.crash(delegate)
         await asyncio.sleep(20)
-        seen = {cluster.seen(found[name], 'a') for name in _names(found, 'b')}
+        seen = {
+            cluster.live_names(found[name], 'a') for name in _names(found, 'b')
+        }
         return seen, {' '.join(_names(found, 'a'))}
 
     seen, left = virtual.run(main())
@@ -120,11 +127,11 @@
     assert len(left.pop().split()) == 3
 
 
-def test_draining_is_known_outside() -> None:
-    """A draining host is not eligible in the eyes of other domains."""
+def test_draining_is_seen_by_other_domains() -> None:
+    """A draining host isn't eligible in the view of other domains."""
 
     async def main() -> set[str]:
-        found = await cluster.domains_of('a', 'b', count=3)
+        found = await cluster.start_domains('a', 'b', count=3)
         found['a1'].set_roles(hosts.Role.draining)
         await asyncio.sleep(4)
         eligible = found['b2'].eligible(ids.FailureDomain('a'))
@@ -133,71 +140,71 @@
     assert virtual.run(main()) == {'a0', 'a2'}
 
 
-def test_notice_is_everywhere_within_a_second() -> None:
-    """Quarantined fingerprints reach every host of every domain, once."""
+def test_notice_reaches_all_hosts_within_a_second() -> None:
+    """A notice reaches every host of every domain within 1 s, and only once."""
 
     async def main() -> list[list[bytes]]:
-        found = await cluster.domains_of('a', 'b', 'c', count=4)
+        found = await cluster.start_domains('a', 'b', 'c', count=4)
         await asyncio.sleep(5)
-        heard: list[list[bytes]] = []
+        received: list[list[bytes]] = []
         for process in found.processes.values():
-            heard.append([])
-            process.member.notices.subscribe(heard[-1].append)
-        found['b3'].spread(b'fingerprint', 60)
+            received.append([])
+            process.member.notices.subscribe(received[-1].append)
+        found['b3'].broadcast(b'fingerprint', 60)
         await asyncio.sleep(1)
-        return heard
+        return received
 
     assert virtual.run(main()) == 12 * [[b'fingerprint']]
 
 
-def test_notice_is_repaired() -> None:
-    """Hosts that missed it get it: by loss, by a cut, by a later start."""
+def test_missed_notice_is_delivered_later() -> None:
+    """Hosts that missed it by loss, partition or a late start still get it."""
 
     async def main() -> list[list[bytes]]:
-        found = await cluster.domains_of('a', 'b', count=3, seed=2)
+        found = await cluster.start_domains('a', 'b', count=3, seed=2)
         await asyncio.sleep(5)
-        heard: list[list[bytes]] = []
+        received: list[list[bytes]] = []
         for process in found.processes.values():
-            heard.append([])
-            process.member.notices.subscribe(heard[-1].append)
-        found.cut(_names(found, 'a'), _names(found, 'b'))
+            received.append([])
+            process.member.notices.subscribe(received[-1].append)
+        found.partition(_names(found, 'a'), _names(found, 'b'))
         found.network.loss = 0.5
-        found['a1'].spread(b'one', 60)
+        found['a1'].broadcast(b'one', 60)
         await asyncio.sleep(5)
         found.network.loss = 0
         found.network.heal()
         await asyncio.sleep(4)
         late = await found.start('b3', 'b0')
-        heard.append([])
-        late.member.notices.subscribe(heard[-1].append)
+        received.append([])
+        late.member.notices.subscribe(received[-1].append)
         await asyncio.sleep(3)
-        return heard
+        return received
 
     assert virtual.run(main()) == 7 * [[b'one']]
 
 
-def test_notice_counts_for_its_time_only() -> None:
-    """No host passes a notice back after its time."""
+def test_expired_notice_is_not_sent_again() -> None:
+    """No host sends an expired notice to one that starts later."""
 
     async def main() -> list[bytes]:
-        found = await cluster.domains_of('a', 'b', count=3)
+        found = await cluster.start_domains('a', 'b', count=3)
         await asyncio.sleep(5)
-        found['a1'].spread(b'one', 4)
+        found['a1'].broadcast(b'one', 4)
         await asyncio.sleep(6)
         late = await found.start('b3', 'b0')
-        heard: list[bytes] = []
-        late.member.notices.subscribe(heard.append)
+        received: list[bytes] = []
+        late.member.notices.subscribe(received.append)
         await asyncio.sleep(5)
-        return heard
+        return received
 
     assert not virtual.run(main())
 
 
 def test_summaries_reach_other_domains_best_first() -> None:
-    """Any host gets the pools of the others, free slots before waits."""
+    """Hosts get other domains' summaries, those with free slots first."""
 
     async def main() -> tuple[list[str], list[str]]:
-        found = await cluster.domains_of('a', 'b', 'c', 'd', count=3)
+        found = await cluster.start_domains('a', 'b', 'c', 'd', count=3)
         found['b0'].pools.publish(_summary('b', 900, 0))
         found['c0'].pools.publish(_summary('c', 100, 0))
         found['d0'].pools.publish(_summary('d', 0, 3))
@@ -205,7 +212,7 @@
         reader = next(
             found[name]
             for name in _names(found, 'a')
-            if not found[name].speaks_for_domain
+            if not found[name].is_domain_delegate
         )
         reader.pools.summaries(_POOL)
         await asyncio.sleep(0.01)
@@ -223,16 +230,16 @@
     assert then == ['c', 'd', 'b']
 
 
-def test_summaries_of_cut_off_domains_are_left_out() -> None:
-    """No ask is passed on to where nobody answers."""
+def test_summaries_of_unreachable_domains_are_left_out() -> None:
+    """Requests aren't forwarded to a domain that is unreachable."""
 
     async def main() -> list[str]:
-        found = await cluster.domains_of('a', 'b', 'c', count=2)
+        found = await cluster.start_domains('a', 'b', 'c', count=2)
         found['b0'].pools.publish(_summary('b', 0, 3))
         found['c0'].pools.publish(_summary('c', 0, 3))
         await asyncio.sleep(10)
         others = _names(found, 'a') + _names(found, 'b')
-        found.cut(_names(found, 'c'), others)
+        found.partition(_names(found, 'c'), others)
         await asyncio.sleep(12)
         return [
             one.failure_domain for one in found['a0'].pools.summaries(_POOL)
@@ -241,11 +248,11 @@
     assert virtual.run(main()) == ['b']
 
 
-def test_newest_version_reaches_everybody() -> None:
-    """A host of any domain hears how far the log has come."""
+def test_newest_version_reaches_all_hosts() -> None:
+    """The newest version reaches the hosts of all domains within 3 s."""
 
     async def main() -> set[int]:
-        found = await cluster.domains_of('a', 'b', 'c', count=3)
+        found = await cluster.start_domains('a', 'b', 'c', count=3)
         await asyncio.sleep(5)
         found['a1'].progress.raise_to(70, 12)
         await asyncio.sleep(3)
--- a/libs/membership/geraniumweir/membership/tests/test_tcp.py
+++ b/libs/membership/geraniumweir/membership/tests/test_tcp.py
@@ -1,4 +1,4 @@
-"""Membership over real loopback connections."""
+"""Membership over loopback TCP connections."""
 
 import asyncio
 import typing
@@ -6,9 +6,9 @@
 from geraniumweir.common import ids, logevents, timers
 from geraniumweir.membership import (
     hosts,
-    knowledge,
     membership,
     reports,
+    shared_state,
     suspicion,
 )
 from geraniumweir.wire import tcp
@@ -34,7 +34,7 @@
         host,
         layer,
         timers.TimerService(),
-        knowledge.Options(seeds, _FAST),
+        shared_state.Options(seeds, _FAST),
     )
     await member.start()
     return layer, member
@@ -51,7 +51,7 @@
 
 
 def test_joins_and_crash_over_tcp() -> None:
-    """Hosts of two domains find each other; a crash is seen by all."""
+    """Hosts of two domains find each other; all detect a crash."""
 
     async def main() -> list[logevents.Event]:
         first = await _start('a0')
@@ -59,8 +59,8 @@
         rest = [await _start(name, seeds) for name in ('a1', 'a2', 'b0')]
         members = [first[1], *(member for _, member in rest)]
         logged: list[logevents.Event] = []
-        first[1].happenings.subscribe(
-            lambda happened: logged.append(reports.describe(happened)[0]),
+        first[1].reported_events.subscribe(
+            lambda event_seen: logged.append(reports.describe(event_seen)[0]),
         )
         await _until(lambda: _sizes(members) == {4})
         layer, crashed = rest[0]
