--- a/libs/fakes/geraniumweir/fakes/capacity/datapath.py
+++ b/libs/fakes/geraniumweir/fakes/capacity/datapath.py
@@ -33,7 +33,7 @@
         ),
         Part(
             'asks and releases sent (half of both ends)',
-            'scheduling.broker, asking; wire.tcp',
+            'scheduling.broker, requesting; wire.tcp',
             calls * slopes.largest('wire.cycle.owner_messages'),
             calls * slopes.largest('wire.cycle.owner_bytes'),
             calls * slopes.smallest('wire.cycle') / 2,
@@ -73,7 +73,7 @@
         ),
         Part(
             f'decisions with {waiting:.0f} waiting, {servers:.0f} servers',
-            'scheduling.granting, fairqueue, placement, ticking',
+            'scheduling.deadline_granting, fairqueue, placement, ticking',
             processor=calls * decision + slopes.at('scheduling.idle', servers),
             memory=servers * slopes.largest('scheduling.memory_server'),
         ),
--- a/libs/fakes/geraniumweir/fakes/rollouts/thresholds.py
+++ b/libs/fakes/geraniumweir/fakes/rollouts/thresholds.py
@@ -14,7 +14,7 @@
 
 
 class Threshold:
-    """Counts bad answers among the last ones; see :class:`judging.Detector`."""
+    """Counts bad answers among recent ones; see :class:`detection.Detector`."""
 
     def __init__(self) -> None:
         """Start without evidence."""
