--- a/libs/wire/geraniumweir/wire/catalogue.py
+++ b/libs/wire/geraniumweir/wire/catalogue.py
@@ -15,8 +15,8 @@
 from geraniumweir.wire import errors, gen
 
 NO_MESSAGE = 0
-_SIGNED = struct.Struct('>i')
-_UNSIGNED = struct.Struct('>I')
+_SIGNED_INT = struct.Struct('>i')
+_UNSIGNED_INT = struct.Struct('>I')
 
 
 class Catalogue:
@@ -65,7 +65,7 @@
     -1582587131
     """
     crc = binascii.crc32(name.encode())
-    return int(_SIGNED.unpack(_UNSIGNED.pack(crc))[0])
+    return int(_SIGNED_INT.unpack(_UNSIGNED_INT.pack(crc))[0])
 
 
 @functools.cache
--- a/libs/wire/geraniumweir/wire/connection.py
+++ b/libs/wire/geraniumweir/wire/connection.py
@@ -20,7 +20,7 @@
 )
 from geraniumweir.wire.gen.peering import ttypes
 
-MAX_BUFFERED = 8 * 1024 * 1024
+MAX_BUFFERED_BYTES = 8 * 1024 * 1024
 
 
 @dataclasses.dataclass(slots=True)
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Cut:
+class Partition:
     """A partition of one link, set by tests: which way loses frames."""
 
     outgoing: bool = False
@@ -57,20 +57,20 @@
         streams: tuple[asyncio.StreamReader, asyncio.StreamWriter],
         router: handling.Router,
         traffic: Traffic,
-        cut: Cut,
-        delay: float = 0,
+        partition: Partition,
+        delay_seconds: float = 0,
     ) -> None:
         """Take over a greeted stream; :meth:`run` reads it.
 
-        :param delay: for tests, holds back what is sent, in seconds.
+        :param delay_seconds: for tests, holds back what is sent, in seconds.
         """
         self.peer = peer
         self._reader = streams[0]
         self._writer = streams[1]
         self._traffic = traffic
-        self._cut = cut
-        self._delay = delay
-        self._numbers = itertools.count(1)
+        self._partition = partition
+        self._delay_seconds = delay_seconds
+        self._call_ids = itertools.count(1)
         self._pending: dict[int, asyncio.Future[ttypes.Envelope]] = {}
         self._workers = handling.Workers(peer, router, self._reply)
 
@@ -113,7 +113,7 @@
         :raises errors.PeerError: when the connection broke; the peer may
             have acted.
         """
-        call_id = next(self._numbers)
+        call_id = next(self._call_ids)
         envelope = envelopes.seal(envelopes.Kind.call, call_id, message)
         loop = asyncio.get_running_loop()
         fut: asyncio.Future[ttypes.Envelope] = loop.create_future()
@@ -148,24 +148,24 @@
     async def _read_all(self) -> None:
         while True:
             frame = await framing.read_frame(self._reader)
-            if self._cut.incoming:
+            if self._partition.incoming:
                 continue
             self._traffic.messages_in += 1
             self._traffic.bytes_in += len(frame)
             envelope = framing.decode(ttypes.Envelope, frame)
-            await self._take(envelope)
+            await self._handle_envelope(envelope)
 
-    async def _take(self, envelope: ttypes.Envelope) -> None:
+    async def _handle_envelope(self, envelope: ttypes.Envelope) -> None:
         match envelope.kind:
             case envelopes.Kind.answer | envelopes.Kind.failure:
-                self._settle(envelope)
+                self._resolve_call(envelope)
             case envelopes.Kind.call | envelopes.Kind.message:
-                await self._workers.take(envelope)
+                await self._workers.accept(envelope)
             case _:
                 text = f'a message of the kind {envelope.kind}'
                 raise errors.FrameError(text)
 
-    def _settle(self, envelope: ttypes.Envelope) -> None:
+    def _resolve_call(self, envelope: ttypes.Envelope) -> None:
         # An answer that came after its call's timeout finds no one.
         fut = self._pending.get(envelope.call_id)
         if fut is not None and not fut.done():
@@ -190,15 +190,15 @@
             raise errors.UnreachableError(f'{self.peer} is disconnected')
         frame = framing.pack(framing.encode(envelope))
         buffered = self._writer.transport.get_write_buffer_size()
-        if buffered + len(frame) > MAX_BUFFERED:
+        if buffered + len(frame) > MAX_BUFFERED_BYTES:
             raise errors.BusyError(f'{buffered} bytes wait for {self.peer}')
         self._traffic.messages_out += 1
         self._traffic.bytes_out += len(frame)
-        if self._cut.outgoing:
+        if self._partition.outgoing:
             return
-        if self._delay:
+        if self._delay_seconds:
             loop = asyncio.get_running_loop()
-            loop.call_later(self._delay, self._write_late, frame)
+            loop.call_later(self._delay_seconds, self._write_late, frame)
         else:
             self._writer.write(frame)
 
--- a/libs/wire/geraniumweir/wire/framing.py
+++ b/libs/wire/geraniumweir/wire/framing.py
@@ -19,16 +19,16 @@
 from thrift.protocol import TCompactProtocol
 from thrift.transport import TTransport
 
-MAX_FRAME = 4 * 1024 * 1024
-_MAX_CONTAINER = 1024 * 1024
+MAX_FRAME_BYTES = 4 * 1024 * 1024
+_MAX_CONTAINER_LENGTH = 1024 * 1024
 _LENGTH_BYTES = 4
 
 # One for all: the accelerated codec keeps nothing between structs, and making
 # a protocol costs several times what it takes to encode a small one.
 _protocol = TCompactProtocol.TCompactProtocolAccelerated(
     TTransport.TMemoryBuffer(),
-    string_length_limit=MAX_FRAME,
-    container_length_limit=_MAX_CONTAINER,
+    string_length_limit=MAX_FRAME_BYTES,
+    container_length_limit=_MAX_CONTAINER_LENGTH,
     fallback=False,
 )
 
@@ -78,23 +78,23 @@
     >>> len(pack(b'ab'))
     6
     """
-    if len(body) > MAX_FRAME:
+    if len(body) > MAX_FRAME_BYTES:
         raise errors.FrameError(f'{len(body)} bytes are too long for a frame')
     return len(body).to_bytes(_LENGTH_BYTES, 'big') + body
 
 
 async def read_frame(
     reader: asyncio.StreamReader,
-    limit: int = MAX_FRAME,
+    max_bytes: int = MAX_FRAME_BYTES,
 ) -> bytes:
     """Read one frame's body.
 
-    :param limit: longest body to accept, in bytes.
+    :param max_bytes: longest body to accept, in bytes.
     :raises errors.FrameError: when the frame says that it is longer.
     :raises asyncio.IncompleteReadError: when the stream ends.
     """
     head = await reader.readexactly(_LENGTH_BYTES)
     length = int.from_bytes(head, 'big')
-    if length > limit:
-        raise errors.FrameError(f'a frame of {length} bytes, limit {limit}')
+    if length > max_bytes:
+        raise errors.FrameError(f'a frame of {length} bytes, limit {max_bytes}')
     return await reader.readexactly(length)
--- a/libs/wire/geraniumweir/wire/greeting.py
+++ b/libs/wire/geraniumweir/wire/greeting.py
@@ -10,42 +10,42 @@
 from geraniumweir.wire import errors, framing
 from geraniumweir.wire.gen.peering import ttypes
 
-PROTOCOL = 1
-TIMEOUT = 2.0
-_MAX_HELLO = 4096
-_UNACKNOWLEDGED_MS = 5000
-_KEEPALIVE = (
+PROTOCOL_VERSION = 1
+TIMEOUT_SECONDS = 2.0
+_MAX_HELLO_BYTES = 4096
+_UNACKNOWLEDGED_TIMEOUT_MS = 5000
+_KEEPALIVE_OPTIONS = (
     (socket.TCP_KEEPIDLE, 10),
     (socket.TCP_KEEPINTVL, 2),
     (socket.TCP_KEEPCNT, 3),
-    (socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS),
+    (socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_TIMEOUT_MS),
 )
 
 
-def say(writer: asyncio.StreamWriter, host_id: str, listen: str) -> None:
+def send_hello(writer: asyncio.StreamWriter, host_id: str, listen: str) -> None:
     """Send this host's greeting."""
-    hello = ttypes.Hello(host_id, PROTOCOL, listen)
+    hello = ttypes.Hello(host_id, PROTOCOL_VERSION, listen)
     writer.write(framing.pack(framing.encode(hello)))
 
 
-async def hear(reader: asyncio.StreamReader) -> ttypes.Hello:
+async def receive_hello(reader: asyncio.StreamReader) -> ttypes.Hello:
     """Read the other side's greeting.
 
     :raises errors.UnreachableError: when none came in time.
     :raises errors.FrameError: when it is no greeting of this protocol.
     """
     try:
-        async with asyncio.timeout(TIMEOUT):
-            frame = await framing.read_frame(reader, _MAX_HELLO)
+        async with asyncio.timeout(TIMEOUT_SECONDS):
+            frame = await framing.read_frame(reader, _MAX_HELLO_BYTES)
     except (TimeoutError, OSError, asyncio.IncompleteReadError) as exc:
         raise errors.UnreachableError(f'no greeting: {exc!r}') from exc
     hello = framing.decode(ttypes.Hello, frame)
-    if hello.protocol != PROTOCOL or not hello.host_id:
+    if hello.protocol != PROTOCOL_VERSION or not hello.host_id:
         raise errors.FrameError(f'a greeting of another protocol: {hello}')
     return hello
 
 
-def notice_silence(writer: asyncio.StreamWriter) -> None:
+def enable_keepalive(writer: asyncio.StreamWriter) -> None:
     """Let the kernel end a connection whose other side has gone silent.
 
     Without it, bytes to a host that was cut off are repeated for a quarter
@@ -53,5 +53,5 @@
     """
     sock = writer.get_extra_info('socket')
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    for option, number in _KEEPALIVE:
+    for option, number in _KEEPALIVE_OPTIONS:
         sock.setsockopt(socket.IPPROTO_TCP, option, number)
--- a/libs/wire/geraniumweir/wire/handling.py
+++ b/libs/wire/geraniumweir/wire/handling.py
@@ -44,7 +44,7 @@
     up the reading of the connection. Over the bound, calls fail at once and
     messages are dropped.
 
-    :ivar refused: how many were not handled.
+    :ivar rejected: how many were not handled.
     """
 
     def __init__(
@@ -57,13 +57,13 @@
 
         :param reply: sends an answer, or drops it.
         """
-        self.refused = 0
+        self.rejected = 0
         self._peer = peer
         self._router = router
         self._reply = reply
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def take(self, envelope: ttypes.Envelope) -> None:
+    async def accept(self, envelope: ttypes.Envelope) -> None:
         """Start handling a call or a message.
 
         :raises errors.FrameError: when this build can't read it.
@@ -73,9 +73,9 @@
             # Those that only need a turn of the loop get it.
             await asyncio.sleep(0)
         if len(self._tasks) >= MAX_HANDLERS:
-            self._refuse(envelope)
+            self._reject(envelope)
             return
-        task = asyncio.create_task(self._work(envelope, message))
+        task = asyncio.create_task(self._run(envelope, message))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -84,20 +84,22 @@
         for task in self._tasks:
             task.cancel()
 
-    def _refuse(self, envelope: ttypes.Envelope) -> None:
-        self.refused += 1
+    def _reject(self, envelope: ttypes.Envelope) -> None:
+        self.rejected += 1
         eventlog.emit(logevents.HANDLERS_BUSY, peer=self._peer)
         if envelope.kind == envelopes.Kind.call:
-            busy = envelopes.failure(envelope.call_id, 'too many open calls')
-            self._reply(busy)
+            rejection = envelopes.failure(
+                envelope.call_id, 'too many open calls'
+            )
+            self._reply(rejection)
 
-    async def _work(
+    async def _run(
         self,
         envelope: ttypes.Envelope,
         message: peers.Message,
     ) -> None:
         try:
-            answer = await self._answer(envelope.call_id, message)
+            answer = await self._dispatch(envelope.call_id, message)
         except Exception as exc:
             eventlog.emit(
                 logevents.HANDLER_FAILED,
@@ -109,7 +111,7 @@
         if envelope.kind == envelopes.Kind.call:
             self._reply(answer)
 
-    async def _answer(
+    async def _dispatch(
         self,
         call_id: int,
         message: peers.Message,
--- a/libs/wire/geraniumweir/wire/link.py
+++ b/libs/wire/geraniumweir/wire/link.py
@@ -20,9 +20,9 @@
 from geraniumweir.common import eventlog, ids
 from geraniumweir.wire import connection, errors, logevents, peers
 
-FIRST_PAUSE = 0.05
-LONGEST_PAUSE = 1.0
-BACKLOG = 64
+INITIAL_BACKOFF_SECONDS = 0.05
+MAX_BACKOFF_SECONDS = 1.0
+MAX_QUEUED_MESSAGES = 64
 
 Dial = typing.Callable[
     [ids.Address],
@@ -34,29 +34,31 @@
     """What one host knows of one peer.
 
     :ivar address: where the peer listens, once it is known.
-    :ivar cut: the partition that tests set.
+    :ivar partition: the partition that tests set.
     """
 
     def __init__(
         self,
         host_id: ids.HostId,
         dial: Dial,
-        chance: random.Random,
+        random_source: random.Random,
     ) -> None:
         """Start without an address; nothing is dialled yet."""
         self.host_id = host_id
         self.address: ids.Address | None = None
         self.traffic = connection.Traffic()
-        self.cut = connection.Cut()
+        self.partition = connection.Partition()
         self._dial = dial
-        self._chance = chance
+        self._random = random_source
         self._connections: list[connection.Connection] = []
-        self._backlog: collections.deque[peers.Message] = collections.deque(
-            maxlen=BACKLOG,
+        self._queued_messages: collections.deque[peers.Message] = (
+            collections.deque(
+                maxlen=MAX_QUEUED_MESSAGES,
+            )
         )
         self._waiters: list[asyncio.Future[connection.Connection]] = []
-        self._wanted = asyncio.Event()
-        self._resting = False
+        self._dial_requested = asyncio.Event()
+        self._backing_off = False
         self._task: asyncio.Task[None] | None = None
 
     def newest(self) -> connection.Connection | None:
@@ -75,28 +77,28 @@
         conn = self.newest()
         if conn is not None:
             return conn
-        if self.address is None or self._resting:
+        if self.address is None or self._backing_off:
             raise errors.UnreachableError(f'{self.host_id} is not connected')
         loop = asyncio.get_running_loop()
         fut: asyncio.Future[connection.Connection] = loop.create_future()
         self._waiters.append(fut)
-        self._want()
+        self._request_dial()
         return await fut
 
     def send(self, message: peers.Message) -> None:
         """Send without an answer; kept for a moment while dialling."""
         conn = self.newest()
         if conn is None:
-            self._send_later(message)
+            self._queue_message(message)
         else:
             conn.send(message)
 
     def add(self, conn: connection.Connection) -> None:
         """Use a connection, whoever dialled it, before all older ones."""
         self._connections.append(conn)
-        for message in self._backlog:
+        for message in self._queued_messages:
             conn.send(message)
-        self._backlog.clear()
+        self._queued_messages.clear()
         for fut in self._waiters:
             if not fut.done():
                 fut.set_result(conn)
@@ -111,43 +113,43 @@
         for conn in self._connections:
             conn.abort()
             conn.stop_handlers()
-        self._fail(errors.UnreachableError('this host is closing'))
+        self._fail_waiting(errors.UnreachableError('this host is closing'))
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    def _send_later(self, message: peers.Message) -> None:
-        if self.address is None or self._resting:
+    def _queue_message(self, message: peers.Message) -> None:
+        if self.address is None or self._backing_off:
             self.traffic.dropped += 1
             return
-        if len(self._backlog) == BACKLOG:
+        if len(self._queued_messages) == MAX_QUEUED_MESSAGES:
             self.traffic.dropped += 1
-        self._backlog.append(message)
-        self._want()
+        self._queued_messages.append(message)
+        self._request_dial()
 
-    def _want(self) -> None:
-        self._wanted.set()
+    def _request_dial(self) -> None:
+        self._dial_requested.set()
         if self._task is None:
-            self._task = asyncio.create_task(self._keep_dialling())
+            self._task = asyncio.create_task(self._dial_on_request())
 
-    async def _keep_dialling(self) -> None:
-        pause = FIRST_PAUSE
+    async def _dial_on_request(self) -> None:
+        backoff_seconds = INITIAL_BACKOFF_SECONDS
         while True:
-            await self._wanted.wait()
-            failed = await self._attempt()
-            self._wanted.clear()
+            await self._dial_requested.wait()
+            failed = await self._try_dial()
+            self._dial_requested.clear()
             if failed:
-                await self._rest(pause)
-                pause = min(2 * pause, LONGEST_PAUSE)
+                await self._back_off(backoff_seconds)
+                backoff_seconds = min(2 * backoff_seconds, MAX_BACKOFF_SECONDS)
             else:
-                pause = FIRST_PAUSE
+                backoff_seconds = INITIAL_BACKOFF_SECONDS
 
-    async def _rest(self, pause: float) -> None:
-        self._resting = True
-        await asyncio.sleep(pause * self._chance.uniform(0.5, 1))
-        self._resting = False
+    async def _back_off(self, backoff_seconds: float) -> None:
+        self._backing_off = True
+        await asyncio.sleep(backoff_seconds * self._random.uniform(0.5, 1))
+        self._backing_off = False
 
-    async def _attempt(self) -> bool:
+    async def _try_dial(self) -> bool:
         if self.newest() is not None or self.address is None:
             return False
         try:
@@ -158,18 +160,18 @@
                 peer=self.host_id,
                 reason=exc.message,
             )
-            self._fail(exc)
+            self._fail_waiting(exc)
             return True
         if self.newest() is None:
             # Another host answers at the address that was known.
             text = f'{self.host_id} is not at {self.address}'
-            self._fail(errors.UnreachableError(text))
+            self._fail_waiting(errors.UnreachableError(text))
             return True
         return False
 
-    def _fail(self, exc: errors.PeerError) -> None:
-        self.traffic.dropped += len(self._backlog)
-        self._backlog.clear()
+    def _fail_waiting(self, exc: errors.PeerError) -> None:
+        self.traffic.dropped += len(self._queued_messages)
+        self._queued_messages.clear()
         for fut in self._waiters:
             if not fut.done():
                 fut.set_exception(errors.UnreachableError(exc.message))
--- a/libs/wire/geraniumweir/wire/memory.py
+++ b/libs/wire/geraniumweir/wire/memory.py
@@ -15,8 +15,8 @@
 from geraniumweir.common import ids
 from geraniumweir.wire import errors, framing, peers
 
-_DEFAULT_DELAY = 0.0005
-_Done = typing.TypeVar('_Done')
+_DEFAULT_DELAY_SECONDS = 0.0005
+_Result = typing.TypeVar('_Result')
 
 
 class MemoryNetwork:
@@ -30,7 +30,9 @@
     :ivar sent: messages by sender and type name, for counting.
     """
 
-    def __init__(self, seed: int = 0, delay: float = _DEFAULT_DELAY) -> None:
+    def __init__(
+        self, seed: int = 0, delay: float = _DEFAULT_DELAY_SECONDS
+    ) -> None:
         """Start without hosts.
 
         :param seed: of every random choice.
@@ -44,7 +46,7 @@
         self._random = random.Random(seed)  # noqa: S311
         self._hosts: dict[ids.HostId, MemoryPeers] = {}
         self._addresses: dict[ids.Address, ids.HostId] = {}
-        self._cuts: set[tuple[ids.HostId, ids.HostId]] = set()
+        self._partitions: set[tuple[ids.HostId, ids.HostId]] = set()
 
     def join(self, host_id: ids.HostId, address: ids.Address) -> 'MemoryPeers':
         """Add a host, or put a fresh one in the place of a dead one."""
@@ -58,21 +60,21 @@
 
     def cut(self, sender: ids.HostId, receiver: ids.HostId) -> None:
         """Lose all messages in one direction."""
-        self._cuts.add((sender, receiver))
+        self._partitions.add((sender, receiver))
 
-    def is_cut(self, sender: ids.HostId, receiver: ids.HostId) -> bool:
+    def is_partitioned(self, sender: ids.HostId, receiver: ids.HostId) -> bool:
         """Tell whether messages in one direction are lost."""
-        return (sender, receiver) in self._cuts
+        return (sender, receiver) in self._partitions
 
     def heal(self) -> None:
         """Undo all cuts."""
-        self._cuts.clear()
+        self._partitions.clear()
 
     def host_at(self, address: ids.Address) -> ids.HostId | None:
         """Tell which host listens at an address."""
         return self._addresses.get(address)
 
-    def passes(
+    def passes_link(
         self,
         sender: 'MemoryPeers',
         receiver: ids.HostId,
@@ -84,15 +86,15 @@
         # A host that was replaced is dead; nothing comes from it any more.
         if self._hosts.get(sender.host_id) is not sender:
             return False
-        if (sender.host_id, receiver) in self._cuts:
+        if (sender.host_id, receiver) in self._partitions:
             return False
         return self._random.random() >= self.loss
 
-    def repeated(self) -> bool:
+    def draw_duplicate(self) -> bool:
         """Decide whether a message arrives a second time."""
         return self.repeats > 0 and self._random.random() < self.repeats
 
-    def travel_time(self) -> float:
+    def draw_delay_seconds(self) -> float:
         """Draw how long a message takes, in seconds."""
         if self.jitter:
             return self.delay + self._random.random() * self.jitter
@@ -154,7 +156,7 @@
 
     def send(self, to: ids.HostId, message: peers.Message) -> None:
         """Send a message without an answer; it may be lost."""
-        self.start(self._post(to, message))
+        self.start(self._deliver_one_way(to, message))
 
     async def receive(
         self,
@@ -169,23 +171,25 @@
         if handler is None:
             raise errors.RemoteError(f'no handler of {type(message).__name__}')
         try:
-            return await handler(sender, _carried(message))
+            return await handler(sender, _round_trip(message))
         except Exception as exc:
             raise errors.RemoteError(repr(exc)) from exc
 
     def start(
         self,
-        work: typing.Coroutine[typing.Any, typing.Any, _Done],
-    ) -> asyncio.Task[_Done]:
+        work: typing.Coroutine[typing.Any, typing.Any, _Result],
+    ) -> asyncio.Task[_Result]:
         """Run a task of this host."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    async def _repeat(self, to: ids.HostId, message: peers.Message) -> None:
+    async def _deliver_duplicate(
+        self, to: ids.HostId, message: peers.Message
+    ) -> None:
         """Let a copy arrive later; its answer goes nowhere."""
-        await asyncio.sleep(2 * self._network.travel_time())
+        await asyncio.sleep(2 * self._network.draw_delay_seconds())
         receiver = self._network.host(to)
         if receiver is not None:
             with contextlib.suppress(errors.RemoteError):
@@ -200,18 +204,20 @@
         # is lost with it.
         receiver = self._network.host(to)
         answer = await self._deliver(to, message)
-        if receiver is None or not self._network.passes(
+        if receiver is None or not self._network.passes_link(
             receiver,
             self.host_id,
             answer,
         ):
             await asyncio.Event().wait()
-        await asyncio.sleep(self._network.travel_time())
-        return _carried(answer)
+        await asyncio.sleep(self._network.draw_delay_seconds())
+        return _round_trip(answer)
 
-    async def _post(self, to: ids.HostId, message: peers.Message) -> None:
+    async def _deliver_one_way(
+        self, to: ids.HostId, message: peers.Message
+    ) -> None:
         """Deliver a message that nobody waits for."""
-        receiver = await self._travel(to, message)
+        receiver = await self._transmit(to, message)
         if receiver is not None:
             with contextlib.suppress(errors.RemoteError):
                 await receiver.receive(self.host_id, message)
@@ -221,7 +227,7 @@
         to: ids.HostId,
         message: peers.Message,
     ) -> peers.Message | None:
-        receiver = await self._travel(to, message)
+        receiver = await self._transmit(to, message)
         if receiver is None:
             # The sender can't tell a loss from a slow answer.
             return await asyncio.Event().wait()
@@ -229,20 +235,20 @@
         handled = receiver.start(receiver.receive(self.host_id, message))
         return await asyncio.shield(handled)
 
-    async def _travel(
+    async def _transmit(
         self,
         to: ids.HostId,
         message: peers.Message,
     ) -> typing.Optional['MemoryPeers']:
         """Give the host that a message reaches, or None when it is lost."""
-        passes = self._network.passes(self, to, message)
-        if passes and self._network.repeated():
-            self.start(self._repeat(to, message))
-        await asyncio.sleep(self._network.travel_time())
-        return self._network.host(to) if passes else None
+        passes_link = self._network.passes_link(self, to, message)
+        if passes_link and self._network.draw_duplicate():
+            self.start(self._deliver_duplicate(to, message))
+        await asyncio.sleep(self._network.draw_delay_seconds())
+        return self._network.host(to) if passes_link else None
 
 
-def _carried(message: peers.Message) -> peers.Message:
+def _round_trip(message: peers.Message) -> peers.Message:
     """Copy a message the way it would come out of a connection."""
     if hasattr(message, 'thrift_spec'):
         return framing.decode(type(message), framing.encode(message))
--- a/libs/wire/geraniumweir/wire/tcp.py
+++ b/libs/wire/geraniumweir/wire/tcp.py
@@ -32,8 +32,8 @@
 # second. Another attempt is made after this, in seconds, twenty times the way
 # between failure domains and back, and then after twice as long each time. It
 # shortens a start of all hosts, where many dial before others listen.
-_FIRST_TRY = 0.1
-_TRY_GROWTH = 2
+_FIRST_ATTEMPT_SECONDS = 0.1
+_ATTEMPT_GROWTH = 2
 
 
 class TcpPeers:
@@ -46,19 +46,19 @@
         self,
         host_id: ids.HostId,
         address: ids.Address,
-        chance: random.Random | None = None,
+        random_source: random.Random | None = None,
         delay: float = 0,
     ) -> None:
         """Start without peers; :meth:`start` listens.
 
         :param address: where to listen; port 0 takes a free one.
-        :param chance: spreads the pauses between attempts to connect.
+        :param random_source: spreads the pauses between attempts to connect.
         :param delay: for tests, holds back what is sent, in seconds.
         """
         self.host_id = host_id
         self.address = address
-        self._chance = chance or random.Random()
-        self._delay = delay
+        self._random = random_source or random.Random()
+        self._delay_seconds = delay
         self._links: dict[ids.HostId, link.Link] = {}
         self._router = handling.Router()
         self._tasks: set[asyncio.Task[typing.Any]] = set()
@@ -82,8 +82,8 @@
         """Stop listening, break off all connections, cancel handlers."""
         if self._server is not None:
             self._server.close()
-        for known in self._links.values():
-            await known.close()
+        for peer_link in self._links.values():
+            await peer_link.close()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -104,9 +104,9 @@
         """
         if address == self.address:
             return self.host_id
-        for known in self._links.values():
-            if known.address == address and known.newest() is not None:
-                return known.host_id
+        for peer_link in self._links.values():
+            if peer_link.address == address and peer_link.newest() is not None:
+                return peer_link.host_id
         conn = await self._dial(address)
         self.learn(conn.peer, address)
         return conn.peer
@@ -126,14 +126,14 @@
         :raises errors.PeerError: when the connection broke meanwhile.
         """
         loop = asyncio.get_running_loop()
-        until = loop.time() + timeout
+        deadline_at = loop.time() + timeout
         try:
-            async with asyncio.timeout_at(until):
+            async with asyncio.timeout_at(deadline_at):
                 conn = await self._link(to).connected()
         except TimeoutError as exc:
             text = f'no connection to {to} in {timeout} s'
             raise errors.UnreachableError(text) from exc
-        return await conn.call(message, until - loop.time())
+        return await conn.call(message, deadline_at - loop.time())
 
     def send(self, to: ids.HostId, message: peers.Message) -> None:
         """Send a message without an answer; it may be lost."""
@@ -151,9 +151,9 @@
         :param outgoing: lose what this host sends.
         :param incoming: lose what the peer sends.
         """
-        known = self._link(host_id)
-        known.cut.outgoing = outgoing
-        known.cut.incoming = incoming
+        peer_link = self._link(host_id)
+        peer_link.partition.outgoing = outgoing
+        peer_link.partition.incoming = incoming
 
     def heal(self) -> None:
         """Undo all cuts."""
@@ -167,28 +167,28 @@
     def _link(self, host_id: ids.HostId) -> link.Link:
         found = self._links.get(host_id)
         if found is None:
-            found = link.Link(host_id, self._dial, self._chance)
+            found = link.Link(host_id, self._dial, self._random)
             self._links[host_id] = found
         return found
 
     async def _dial(self, address: ids.Address) -> connection.Connection:
         if any(
-            known.cut.outgoing or known.cut.incoming
-            for known in self._links.values()
-            if known.address == address
+            peer_link.partition.outgoing or peer_link.partition.incoming
+            for peer_link in self._links.values()
+            if peer_link.address == address
         ):
-            await asyncio.sleep(greeting.TIMEOUT)
+            await asyncio.sleep(greeting.TIMEOUT_SECONDS)
             raise errors.UnreachableError(f'nobody answers at {address}')
         streams = await _connect(address)
-        greeting.say(streams[1], self.host_id, str(self.address))
+        greeting.send_hello(streams[1], self.host_id, str(self.address))
         try:
-            hello = await greeting.hear(streams[0])
+            hello = await greeting.receive_hello(streams[0])
         except BaseException as exc:
             streams[1].transport.abort()
             if isinstance(exc, errors.PeerError):
                 raise errors.UnreachableError(exc.message) from exc
             raise
-        return self._adopt(hello, streams)
+        return self._register(hello, streams)
 
     async def _accept(
         self,
@@ -197,7 +197,7 @@
     ) -> None:
         self._track(asyncio.current_task())
         try:
-            hello = await greeting.hear(reader)
+            hello = await greeting.receive_hello(reader)
         except errors.PeerError as exc:
             writer.transport.abort()
             eventlog.emit(
@@ -206,34 +206,34 @@
                 reason=exc.message,
             )
             return
-        cut = self._link(ids.HostId(hello.host_id)).cut
-        if cut.incoming or cut.outgoing:
+        partition = self._link(ids.HostId(hello.host_id)).partition
+        if partition.incoming or partition.outgoing:
             # The other side waits for a greeting until it gives up.
             await reader.read()
             writer.transport.abort()
             return
-        greeting.say(writer, self.host_id, str(self.address))
-        self._adopt(hello, (reader, writer))
+        greeting.send_hello(writer, self.host_id, str(self.address))
+        self._register(hello, (reader, writer))
 
-    def _adopt(
+    def _register(
         self,
         hello: ttypes.Hello,
         streams: _Streams,
     ) -> connection.Connection:
-        greeting.notice_silence(streams[1])
+        greeting.enable_keepalive(streams[1])
         peer = ids.HostId(hello.host_id)
-        known = self._link(peer)
+        peer_link = self._link(peer)
         conn = connection.Connection(
             peer,
             streams,
             self._router,
-            known.traffic,
-            known.cut,
-            self._delay,
+            peer_link.traffic,
+            peer_link.partition,
+            self._delay_seconds,
         )
-        known.address = _listening(hello) or known.address
-        known.add(conn)
-        self._track(asyncio.create_task(_run(known, conn)))
+        peer_link.address = _listen_address(hello) or peer_link.address
+        peer_link.add(conn)
+        self._track(asyncio.create_task(_run_connection(peer_link, conn)))
         return conn
 
     def _track(self, task: asyncio.Task[typing.Any] | None) -> None:
@@ -242,7 +242,7 @@
             task.add_done_callback(self._tasks.discard)
 
 
-def _listening(hello: ttypes.Hello) -> ids.Address | None:
+def _listen_address(hello: ttypes.Hello) -> ids.Address | None:
     try:
         return ids.parse_address(hello.listen or '')
     except ValueError:
@@ -256,19 +256,19 @@
     :raises errors.UnreachableError: when nobody answers there.
     """
     loop = asyncio.get_running_loop()
-    until = loop.time() + greeting.TIMEOUT
-    patience = _FIRST_TRY
+    deadline_at = loop.time() + greeting.TIMEOUT_SECONDS
+    attempt_seconds = _FIRST_ATTEMPT_SECONDS
     while True:
-        left = until - loop.time()
+        remaining_seconds = deadline_at - loop.time()
         try:
-            async with asyncio.timeout(min(patience, left)):
+            async with asyncio.timeout(min(attempt_seconds, remaining_seconds)):
                 return await asyncio.open_connection(address.host, address.port)
         except TimeoutError as exc:
-            if left <= patience:
+            if remaining_seconds <= attempt_seconds:
                 raise _unreachable(address, exc) from exc
         except OSError as exc:
             raise _unreachable(address, exc) from exc
-        patience *= _TRY_GROWTH
+        attempt_seconds *= _ATTEMPT_GROWTH
 
 
 def _unreachable(
@@ -278,8 +278,10 @@
     return errors.UnreachableError(f'nobody answers at {address}: {exc!r}')
 
 
-async def _run(known: link.Link, conn: connection.Connection) -> None:
+async def _run_connection(
+    peer_link: link.Link, conn: connection.Connection
+) -> None:
     try:
         await conn.run()
     finally:
-        known.remove(conn)
+        peer_link.remove(conn)
--- a/libs/wire/geraniumweir/wire/tests/test_dialling.py
+++ b/libs/wire/geraniumweir/wire/tests/test_dialling.py
@@ -8,24 +8,24 @@
 from geraniumweir.wire import tcp
 
 _ANY = ids.Address('127.0.0.1', 0)
-_LOST = 2
+_LOST_CONNECTS = 2
 
 
 def test_lost_opening_packet_is_not_waited_for(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The kernel would send it again after a second only."""
-    tries = 0
-    really = asyncio.open_connection
+    attempts = 0
+    real_open_connection = asyncio.open_connection
 
     async def connect(host: str, port: int) -> typing.Any:
-        nonlocal tries
-        tries += 1
-        if tries <= _LOST:
+        nonlocal attempts
+        attempts += 1
+        if attempts <= _LOST_CONNECTS:
             await asyncio.sleep(60)
-        return await really(host, port)
+        return await real_open_connection(host, port)
 
-    async def work() -> None:
+    async def scenario() -> None:
         one = tcp.TcpPeers(ids.HostId('one'), _ANY)
         two = tcp.TcpPeers(ids.HostId('two'), _ANY)
         await one.start()
@@ -35,5 +35,5 @@
         await one.close()
         await two.close()
 
-    asyncio.run(work())
-    assert tries == _LOST + 1
+    asyncio.run(scenario())
+    assert attempts == _LOST_CONNECTS + 1
--- a/libs/wire/geraniumweir/wire/tests/test_framing.py
+++ b/libs/wire/geraniumweir/wire/tests/test_framing.py
@@ -27,7 +27,7 @@
 def test_body_over_the_limit_is_refused() -> None:
     """Nothing too long for the receiver goes out."""
     with pytest.raises(errors.FrameError):
-        framing.pack(bytes(framing.MAX_FRAME + 1))
+        framing.pack(bytes(framing.MAX_FRAME_BYTES + 1))
 
 
 def test_generated_types_have_numbers() -> None:
@@ -46,6 +46,6 @@
 
 def test_names_of_one_number_stop_the_start() -> None:
     """Two names with the same CRC-32 are noticed."""
-    clashing = {'plumless': ttypes.Hello, 'buckeroo': ttypes.Envelope}
+    colliding = {'plumless': ttypes.Hello, 'buckeroo': ttypes.Envelope}
     with pytest.raises(ValueError, match='taken'):
-        catalogue.Catalogue(clashing)
+        catalogue.Catalogue(colliding)
--- a/libs/wire/geraniumweir/wire/tests/test_memory.py
+++ b/libs/wire/geraniumweir/wire/tests/test_memory.py
@@ -71,20 +71,20 @@
     async def scenario() -> list[int]:
         network, one = _pair()
         network.repeats = 1
-        seen: list[int] = []
+        received: list[int] = []
 
-        async def note(_sender: ids.HostId, ping: _Ping) -> _Ping:
-            seen.append(ping.number)
+        async def record_ping(_sender: ids.HostId, ping: _Ping) -> _Ping:
+            received.append(ping.number)
             await asyncio.sleep(0.1)
             return ping
 
         address = ids.Address('127.0.0.1', 2)
-        network.join(_TWO, address).handle(_Ping, note)
+        network.join(_TWO, address).handle(_Ping, record_ping)
         waiting = asyncio.create_task(one.call(_TWO, _Ping(1), 1))
         await asyncio.sleep(0.05)
         network.join(_TWO, address)
         with pytest.raises(errors.PeerTimeoutError):
             await waiting
-        return seen
+        return received
 
     assert virtual.run(scenario()) == [1, 1]
--- a/libs/wire/geraniumweir/wire/tests/test_tcp.py
+++ b/libs/wire/geraniumweir/wire/tests/test_tcp.py
@@ -21,8 +21,8 @@
 _ONE = ids.HostId('one')
 _TWO = ids.HostId('two')
 _ANY = ids.Address('127.0.0.1', 0)
-_LONG = 30
-_SHORT = 0.05
+_LONG_SECONDS = 30
+_SHORT_SECONDS = 0.05
 
 # The greeting struct serves as a message here; its number field counts.
 _Ping = ttypes.Hello
@@ -32,7 +32,7 @@
     return _Ping(ping.host_id, ping.protocol + 1, '')
 
 
-async def _never(_sender: ids.HostId, _ping: _Ping) -> None:
+async def _never_answer(_sender: ids.HostId, _ping: _Ping) -> None:
     await asyncio.Event().wait()
 
 
@@ -58,24 +58,24 @@
 
 
 async def _ping(peers: tcp.TcpPeers, to: ids.HostId, number: int = 1) -> int:
-    answer = await peers.call(to, _Ping('', number, ''), _LONG)
+    answer = await peers.call(to, _Ping('', number, ''), _LONG_SECONDS)
     return typing.cast(int, answer.protocol)
 
 
-async def _until(holds: typing.Callable[[], typing.Any]) -> None:
-    while not holds():
+async def _wait_until(condition: typing.Callable[[], typing.Any]) -> None:
+    while not condition():
         await asyncio.sleep(0)
 
 
-async def _stranger(
+async def _connect_unknown_host(
     peers: tcp.TcpPeers,
     host_id: str = 'stranger',
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """Connect and greet by hand, to misbehave afterwards."""
     address = peers.address
     reader, writer = await asyncio.open_connection(address.host, address.port)
-    greeting.say(writer, host_id, '')
-    await greeting.hear(reader)
+    greeting.send_hello(writer, host_id, '')
+    await greeting.receive_hello(reader)
     return reader, writer
 
 
@@ -110,10 +110,10 @@
     async def scenario() -> None:
         async with _host(_ONE) as one:
             async with _host(_TWO) as two:
-                gone = two.address
+                closed_address = two.address
             with pytest.raises(errors.UnreachableError):
-                await one.introduce(gone)
-            one.learn(_TWO, gone)
+                await one.introduce(closed_address)
+            one.learn(_TWO, closed_address)
             for _ in range(2):
                 with pytest.raises(errors.UnreachableError):
                     await _ping(one, _TWO)
@@ -125,16 +125,16 @@
     """Messages wait for the connection that they make."""
 
     async def scenario() -> None:
-        came: asyncio.Queue[int] = asyncio.Queue()
+        received: asyncio.Queue[int] = asyncio.Queue()
 
-        async def note(_sender: ids.HostId, ping: _Ping) -> None:
-            came.put_nowait(ping.protocol)
+        async def record_ping(_sender: ids.HostId, ping: _Ping) -> None:
+            received.put_nowait(ping.protocol)
 
         async with _pair() as (one, two):
-            two.handle(_Ping, note)
+            two.handle(_Ping, record_ping)
             for number in range(3):
                 one.send(_TWO, _Ping('', number, ''))
-            assert [await came.get() for _ in range(3)] == [0, 1, 2]
+            assert [await received.get() for _ in range(3)] == [0, 1, 2]
 
     asyncio.run(scenario())
 
@@ -157,7 +157,7 @@
     async def scenario() -> None:
         async with _pair() as (one, two):
             assert await _ping(one, _TWO) == 2
-            reader, writer = await _stranger(two)
+            reader, writer = await _connect_unknown_host(two)
             writer.write(garbage)
             with contextlib.suppress(ConnectionError):
                 assert await reader.read() == b''
@@ -190,12 +190,12 @@
     async def scenario() -> None:
         handled = []
 
-        async def note(_sender: ids.HostId, ping: _Ping) -> None:
+        async def record_ping(_sender: ids.HostId, ping: _Ping) -> None:
             handled.append(ping)
 
         async with _pair() as (one, two):
-            two.handle(_Ping, note)
-            reader, writer = await _stranger(two)
+            two.handle(_Ping, record_ping)
+            reader, writer = await _connect_unknown_host(two)
             number = catalogue.number_of('peering.Hello')
             body = framing.encode(_Ping('', 1, ''))
             envelope = ttypes.Envelope(4, 0, number, body)
@@ -205,7 +205,7 @@
             with contextlib.suppress(ConnectionError):
                 await reader.read()
             writer.close()
-            await _until(lambda: handled)
+            await _wait_until(lambda: handled)
             assert len(handled) == 1
             two.handle(_Ping, _answer)
             assert await _ping(one, _TWO) == 2
@@ -219,10 +219,10 @@
     async def scenario() -> None:
         async with _host(_ONE) as one:
             async with _host(_TWO) as two:
-                two.handle(_Ping, _never)
+                two.handle(_Ping, _never_answer)
                 one.learn(_TWO, two.address)
                 call = asyncio.create_task(_ping(one, _TWO))
-                await _until(lambda: two.traffic(_ONE).messages_in)
+                await _wait_until(lambda: two.traffic(_ONE).messages_in)
             with pytest.raises(errors.PeerError) as caught:
                 await call
             assert caught.type is errors.PeerError
@@ -262,7 +262,7 @@
             await _ping(one, _TWO)
             one.cut(_TWO, outgoing=False)
             with pytest.raises(errors.PeerTimeoutError):
-                await one.call(_TWO, _Ping('', 1, ''), _SHORT)
+                await one.call(_TWO, _Ping('', 1, ''), _SHORT_SECONDS)
             assert two.traffic(_ONE).messages_in == 2
             one.heal()
             assert await _ping(one, _TWO) == 2
@@ -275,17 +275,19 @@
 
     async def scenario() -> None:
         async with _host(_TWO) as two:
-            reader, writer = await _stranger(two, _ONE)
+            reader, writer = await _connect_unknown_host(two, _ONE)
             call = asyncio.create_task(_ping(two, _ONE))
-            asked = framing.decode(
+            sent_call = framing.decode(
                 ttypes.Envelope,
                 await framing.read_frame(reader),
             )
             for call_id, number in ((77, 3), (1, 4), (1, 5)):
                 body = framing.encode(_Ping('', number, ''))
-                answer = ttypes.Envelope(2, call_id, asked.message_type, body)
+                answer = ttypes.Envelope(
+                    2, call_id, sent_call.message_type, body
+                )
                 writer.write(framing.pack(framing.encode(answer)))
-            assert asked.call_id == 1
+            assert sent_call.call_id == 1
             assert await call == 4
             writer.close()
 
@@ -296,15 +298,17 @@
     """The caller learns that the handler failed; the connection stays."""
 
     async def scenario() -> None:
-        async def fail(_sender: ids.HostId, _ping: _Ping) -> None:
+        async def failing_handler(_sender: ids.HostId, _ping: _Ping) -> None:
             raise ValueError('broken')
 
         async with _pair() as (one, two):
-            two.handle(_Ping, fail)
+            two.handle(_Ping, failing_handler)
             with pytest.raises(errors.RemoteError, match='broken'):
                 await _ping(one, _TWO)
             with pytest.raises(errors.RemoteError, match='no handler'):
-                await one.call(_TWO, ttypes.Envelope(1, 1, 1, b''), _LONG)
+                await one.call(
+                    _TWO, ttypes.Envelope(1, 1, 1, b''), _LONG_SECONDS
+                )
             two.handle(_Ping, _answer)
             assert await _ping(one, _TWO) == 2
 
@@ -317,9 +321,9 @@
 
     async def scenario() -> None:
         async with _pair() as (one, two):
-            two.handle(_Ping, _never)
+            two.handle(_Ping, _never_answer)
             slow = [asyncio.create_task(_ping(one, _TWO)) for _ in range(2)]
-            await _until(lambda: two.traffic(_ONE).messages_in == 2)
+            await _wait_until(lambda: two.traffic(_ONE).messages_in == 2)
             with pytest.raises(errors.RemoteError, match='too many'):
                 await _ping(one, _TWO)
             assert await _ping(two, _ONE) == 2
@@ -332,17 +336,19 @@
 
 def test_peer_that_does_not_read(monkeypatch: pytest.MonkeyPatch) -> None:
     """What waits for it is bounded: calls fail, messages are dropped."""
-    monkeypatch.setattr(connection, 'MAX_BUFFERED', 2 * framing.MAX_FRAME)
+    monkeypatch.setattr(
+        connection, 'MAX_BUFFERED_BYTES', 2 * framing.MAX_FRAME_BYTES
+    )
 
     async def scenario() -> None:
         async with _host(_TWO) as two:
-            _, writer = await _stranger(two, _ONE)
-            big = _Ping('x' * (framing.MAX_FRAME - 100), 1, '')
+            _, writer = await _connect_unknown_host(two, _ONE)
+            big = _Ping('x' * (framing.MAX_FRAME_BYTES - 100), 1, '')
             while not two.traffic(_ONE).dropped:
                 two.send(_ONE, big)
                 await asyncio.sleep(0)
             with pytest.raises(errors.BusyError):
-                await two.call(_ONE, big, _LONG)
+                await two.call(_ONE, big, _LONG_SECONDS)
             writer.transport.abort()
 
     asyncio.run(scenario())
@@ -365,11 +371,11 @@
     """Each way takes at least the delay that the test set."""
 
     async def scenario() -> None:
-        slow = tcp.TcpPeers(_ONE, _ANY, random.Random(1), delay=_SHORT)
-        got: list[int] = []
+        slow = tcp.TcpPeers(_ONE, _ANY, random.Random(1), delay=_SHORT_SECONDS)
+        received_numbers: list[int] = []
 
-        async def keep(_sender: ids.HostId, ping: _Ping) -> None:
-            got.append(ping.protocol)
+        async def record(_sender: ids.HostId, ping: _Ping) -> None:
+            received_numbers.append(ping.protocol)
 
         async with _host(_TWO) as two:
             await slow.start()
@@ -378,12 +384,12 @@
             await _ping(slow, _TWO)
             start = loop.time()
             await _ping(slow, _TWO)
-            assert loop.time() - start >= _SHORT
-            two.handle(_Ping, keep)
+            assert loop.time() - start >= _SHORT_SECONDS
+            two.handle(_Ping, record)
             for number in range(9):
                 slow.send(_TWO, _Ping('', number, ''))
-            await _until(lambda: len(got) == 9)
-            assert got == sorted(got)
+            await _wait_until(lambda: len(received_numbers) == 9)
+            assert received_numbers == sorted(received_numbers)
             await slow.close()
 
     asyncio.run(scenario())
