--- a/libs/wire/geraniumweir/wire/catalogue.py
+++ b/libs/wire/geraniumweir/wire/catalogue.py
@@ -1,8 +1,8 @@
-"""Which number stands for which message type.
+"""Numbers of the message types.
 
 The number is the CRC-32 of the qualified name, ``consensus.AppendEntries``,
-so that nobody has to give numbers out and hosts of different builds agree on
-the messages they share. Two names with one number stop the start.
+so that no registry of numbers is needed and hosts of different builds agree
+on the messages they share. Two names with the same number prevent the start.
 """
 
 import binascii
@@ -23,7 +23,7 @@
     """Message types by number and numbers by type."""
 
     def __init__(self, types: dict[str, type]) -> None:
-        """Give each type its number.
+        """Assign a number to each type.
 
         :param types: by qualified name.
         :raises ValueError: when two names have the same number.
@@ -38,7 +38,7 @@
             self._numbers[message_type] = number
 
     def number(self, message_type: type) -> int:
-        """Give the number of a type.
+        """Return the number of a type.
 
         :raises errors.FrameError: when it isn't generated from the IDL.
         """
@@ -48,9 +48,9 @@
         return found
 
     def type_of(self, number: int) -> type:
-        """Give the type that a number stands for.
+        """Return the message type with a number.
 
-        :raises errors.FrameError: when this build has none.
+        :raises errors.FrameError: when this build has no such type.
         """
         found = self._types.get(number)
         if found is None:
@@ -59,7 +59,7 @@
 
 
 def number_of(name: str) -> int:
-    """Give the number of a qualified name, as thrift's signed ``i32``.
+    """Return the number of a qualified name, as thrift's signed ``i32``.
 
     >>> number_of('peering.Hello')
     -1582587131
@@ -70,7 +70,7 @@
 
 @functools.cache
 def generated() -> Catalogue:
-    """Give the catalogue of all structs under ``wire.gen``."""
+    """Return the catalogue of all structs under ``wire.gen``."""
     types: dict[str, type] = {}
     for subject in pkgutil.iter_modules(gen.__path__):
         module = importlib.import_module(
--- a/libs/wire/geraniumweir/wire/connection.py
+++ b/libs/wire/geraniumweir/wire/connection.py
@@ -1,8 +1,8 @@
-"""One TCP connection to a greeted peer: its reading task, calls and answers.
+"""One TCP connection to a greeted peer: reading, calls and answers.
 
 The connection's task reads frames until the stream ends. Writing needs no
-task: bytes go to the transport's buffer while that is short, and a message
-that finds it long is not sent.
+task: bytes go to the transport's buffer, and a message that would make the
+buffer exceed its limit is not sent.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Traffic:
-    """What went to and came from one peer, over all its connections.
+    """Counters of one peer's traffic over all its connections.
 
     :ivar dropped: messages that were not sent or not handled.
     """
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Partition:
-    """A partition of one link, set by tests: which way loses frames."""
+    """Directions in which a link loses frames; set by tests."""
 
     outgoing: bool = False
     incoming: bool = False
@@ -60,9 +60,9 @@
         partition: Partition,
         delay_seconds: float = 0,
     ) -> None:
-        """Take over a greeted stream; :meth:`run` reads it.
+        """Initialize from a greeted stream; :meth:`run` reads it.
 
-        :param delay_seconds: for tests, holds back what is sent, in seconds.
+        :param delay_seconds: delay of each sent frame, for tests, in seconds.
         """
         self.peer = peer
         self._reader = streams[0]
@@ -80,7 +80,7 @@
         return not (self._writer.is_closing() or self._reader.at_eof())
 
     async def run(self) -> None:
-        """Read frames until the stream ends; every open call fails then."""
+        """Read frames until the stream ends; fail pending calls then."""
         eventlog.emit(logevents.CONNECTED, peer=self.peer)
         try:
             await self._read_all()
@@ -108,10 +108,10 @@
         """Send a message and wait for its answer.
 
         :param timeout: in seconds.
-        :raises errors.BusyError: when too much waits to be sent.
+        :raises errors.BusyError: when the send buffer is full.
         :raises errors.PeerTimeoutError: when no answer came in time.
-        :raises errors.PeerError: when the connection broke; the peer may
-            have acted.
+        :raises errors.PeerError: when the connection was lost; the peer may
+            have handled the message.
         """
         call_id = next(self._call_ids)
         envelope = envelopes.seal(envelopes.Kind.call, call_id, message)
@@ -130,7 +130,7 @@
         return self._unseal(answer)
 
     def send(self, message: peers.Message) -> None:
-        """Send a message, or drop it when too much waits to be sent."""
+        """Send a message, or drop it when the send buffer is full."""
         envelope = envelopes.seal(envelopes.Kind.message, 0, message)
         try:
             self._write(envelope)
@@ -138,11 +138,11 @@
             self._traffic.dropped += 1
 
     def abort(self) -> None:
-        """Break the connection off; :meth:`run` ends soon."""
+        """Abort the connection; :meth:`run` ends soon."""
         self._writer.transport.abort()
 
     def stop_handlers(self) -> None:
-        """Cancel what still works on messages of this connection."""
+        """Cancel the running handlers of this connection."""
         self._workers.stop()
 
     async def _read_all(self) -> None:
@@ -166,7 +166,7 @@
                 raise errors.FrameError(text)
 
     def _resolve_call(self, envelope: ttypes.Envelope) -> None:
-        # An answer that came after its call's timeout finds no one.
+        # An answer that arrives after its call's timeout is ignored.
         fut = self._pending.get(envelope.call_id)
         if fut is not None and not fut.done():
             fut.set_result(envelope)
@@ -182,7 +182,7 @@
         try:
             self._write(envelope)
         except errors.PeerError:
-            # The caller's timeout tells it.
+            # The caller notices by its timeout.
             self._traffic.dropped += 1
 
     def _write(self, envelope: ttypes.Envelope) -> None:
--- a/libs/wire/geraniumweir/wire/envelopes.py
+++ b/libs/wire/geraniumweir/wire/envelopes.py
@@ -1,4 +1,4 @@
-"""Messages in and out of the envelopes that go over a connection."""
+"""Encoding of messages into the envelopes sent over a connection."""
 
 import enum
 
@@ -7,7 +7,7 @@
 
 
 class Kind(enum.IntEnum):
-    """What an envelope is for."""
+    """Kind of an envelope."""
 
     call = 1
     answer = 2
@@ -20,9 +20,9 @@
     call_id: int,
     message: peers.Message | None,
 ) -> ttypes.Envelope:
-    """Put a message, or None as an answer, into an envelope.
+    """Return an envelope with a message, or with an empty answer.
 
-    :raises errors.FrameError: when it is no message, or wrongly filled.
+    :raises errors.FrameError: when it is no message or a field is invalid.
     """
     if message is None:
         return ttypes.Envelope(kind, call_id, catalogue.NO_MESSAGE, b'')
@@ -31,7 +31,7 @@
 
 
 def failure(call_id: int, text: str) -> ttypes.Envelope:
-    """Answer a call that failed."""
+    """Return the answer to a call that failed."""
     return ttypes.Envelope(
         Kind.failure,
         call_id,
@@ -41,10 +41,10 @@
 
 
 def unseal(envelope: ttypes.Envelope) -> peers.Message | None:
-    """Take the message out.
+    """Return the message of an envelope.
 
-    :raises errors.FrameError: when this build can't read it.
-    :raises errors.RemoteError: when it tells of a failure.
+    :raises errors.FrameError: when this build can't decode it.
+    :raises errors.RemoteError: when it reports a failure.
     """
     if envelope.kind == Kind.failure:
         text = (envelope.body or b'').decode(errors='replace')
--- a/libs/wire/geraniumweir/wire/errors.py
+++ b/libs/wire/geraniumweir/wire/errors.py
@@ -4,7 +4,7 @@
 
 
 class PeerError(errors.GeraniumweirError):
-    """A peer gave no answer; whether it acted is unknown."""
+    """No answer from a peer; it may have handled the message."""
 
     code = 'GW-4101'
 
@@ -28,12 +28,12 @@
 
 
 class FrameError(PeerError):
-    """Bytes on a connection that are no message of this protocol."""
+    """Bytes that are not a valid message of this protocol."""
 
     code = 'GW-4105'
 
 
 class BusyError(UnreachableError):
-    """Too much waits to be sent to the peer; this was not sent."""
+    """The send buffer to the peer is full; the message was not sent."""
 
     code = 'GW-4106'
--- a/libs/wire/geraniumweir/wire/framing.py
+++ b/libs/wire/geraniumweir/wire/framing.py
@@ -1,9 +1,9 @@
 """Frames of bounded length on a stream, and thrift structs in them.
 
-A frame is its length, four bytes with the highest first, and that many bytes
+A frame is its length, four bytes big-endian, and that many bytes
 of one struct in thrift's compact protocol. The length is checked before
 anything is read, and container lengths while decoding, so that no peer can
-make this host set aside memory for bytes that it never sends.
+make this host allocate memory for bytes that it never sends.
 
 References
 ==========
@@ -23,8 +23,8 @@
 _MAX_CONTAINER_LENGTH = 1024 * 1024
 _LENGTH_BYTES = 4
 
-# One for all: the accelerated codec keeps nothing between structs, and making
-# a protocol costs several times what it takes to encode a small one.
+# Shared: the accelerated codec has no state between structs, and creating a
+# protocol costs several times as much as encoding a small struct.
 _protocol = TCompactProtocol.TCompactProtocolAccelerated(
     TTransport.TMemoryBuffer(),
     string_length_limit=MAX_FRAME_BYTES,
@@ -36,7 +36,7 @@
 
 
 def encode(message: typing.Any) -> bytes:
-    """Turn a generated struct into bytes.
+    """Return the encoded bytes of a generated struct.
 
     :raises errors.FrameError: when a field has a value of a wrong type.
     """
@@ -50,9 +50,9 @@
 
 
 def decode(message_type: type[_Struct], body: bytes) -> _Struct:
-    """Turn bytes into a generated struct.
+    """Return the generated struct decoded from bytes.
 
-    :raises errors.FrameError: when they are none.
+    :raises errors.FrameError: when they can't be decoded.
 
     >>> from geraniumweir.wire.gen.peering import ttypes
     >>> sent = ttypes.Hello(host_id='entry-1', protocol=1, listen='')
@@ -64,14 +64,14 @@
     try:
         message.read(_protocol)
     except Exception as exc:
-        # The decoder fails with many types, by what the garbage looks like.
+        # The decoder raises various types, depending on the invalid bytes.
         name = message_type.__name__
         raise errors.FrameError(f'no {name}: {exc!r}') from exc
     return message
 
 
 def pack(body: bytes) -> bytes:
-    """Put the length before a body.
+    """Return a frame: a body preceded by its length.
 
     :raises errors.FrameError: when it is too long for a frame.
 
@@ -90,7 +90,7 @@
     """Read one frame's body.
 
     :param max_bytes: longest body to accept, in bytes.
-    :raises errors.FrameError: when the frame says that it is longer.
+    :raises errors.FrameError: when the announced length exceeds it.
     :raises asyncio.IncompleteReadError: when the stream ends.
     """
     head = await reader.readexactly(_LENGTH_BYTES)
--- a/libs/wire/geraniumweir/wire/greeting.py
+++ b/libs/wire/geraniumweir/wire/greeting.py
@@ -1,7 +1,8 @@
-"""The first words on a connection: who is there and which protocol it speaks.
+"""Greeting of a connection: host id and protocol version.
 
-The side that dialled speaks first. Nothing else is read before the greeting,
-which is short, so that a stranger can't make this host work or wait.
+The side that connected sends first. Nothing else is read before the greeting,
+whose length and time are limited, so that an unknown client can't make this
+host work or wait.
 """
 
 import asyncio
@@ -29,7 +30,7 @@
 
 
 async def receive_hello(reader: asyncio.StreamReader) -> ttypes.Hello:
-    """Read the other side's greeting.
+    """Return the other side's greeting.
 
     :raises errors.UnreachableError: when none came in time.
     :raises errors.FrameError: when it is no greeting of this protocol.
@@ -46,10 +47,10 @@
 
 
 def enable_keepalive(writer: asyncio.StreamWriter) -> None:
-    """Let the kernel end a connection whose other side has gone silent.
+    """Make the kernel close a connection whose peer is unreachable.
 
-    Without it, bytes to a host that was cut off are repeated for a quarter
-    of an hour, and ever more rarely.
+    Without it, bytes to a partitioned host are retransmitted for a quarter
+    of an hour, at growing intervals.
     """
     sock = writer.get_extra_info('socket')
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/libs/wire/geraniumweir/wire/handling.py
+++ b/libs/wire/geraniumweir/wire/handling.py
@@ -1,4 +1,4 @@
-"""Handlers of messages, and the bounded number that work for one peer."""
+"""Message handlers, limited in number for each connection."""
 
 import asyncio
 import typing
@@ -11,14 +11,14 @@
 
 
 class Router:
-    """Which handler answers which message type."""
+    """Handlers by message type."""
 
     def __init__(self) -> None:
-        """Start without handlers."""
+        """Initialize without handlers."""
         self._handlers: dict[type, peers.Handler] = {}
 
     def handle(self, message_type: type, handler: peers.Handler) -> None:
-        """Let a handler answer all messages of a type."""
+        """Register the handler of a message type."""
         self._handlers[message_type] = handler
 
     async def dispatch(
@@ -26,7 +26,7 @@
         sender: ids.HostId,
         message: peers.Message,
     ) -> peers.Message | None:
-        """Give a message to its handler.
+        """Return the answer of a message's handler.
 
         :raises errors.RemoteError: when it has none.
         """
@@ -38,10 +38,10 @@
 
 
 class Workers:
-    """The messages of one connection that are being handled.
+    """Running handlers of one connection's messages.
 
-    Each is handled in a task of its own, so that a slow handler doesn't hold
-    up the reading of the connection. Over the bound, calls fail at once and
+    Each is handled in a task of its own, so that a slow handler doesn't
+    block reading from the connection. Over the limit, calls fail at once and
     messages are dropped.
 
     :ivar rejected: how many were not handled.
@@ -53,7 +53,7 @@
         router: Router,
         reply: typing.Callable[[ttypes.Envelope], None],
     ) -> None:
-        """Start idle.
+        """Initialize without running handlers.
 
         :param reply: sends an answer, or drops it.
         """
@@ -64,13 +64,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def accept(self, envelope: ttypes.Envelope) -> None:
-        """Start handling a call or a message.
+        """Start the handler of a call or a message.
 
-        :raises errors.FrameError: when this build can't read it.
+        :raises errors.FrameError: when this build can't decode it.
         """
         message = envelopes.unseal(envelope)
         if len(self._tasks) >= MAX_HANDLERS:
-            # Those that only need a turn of the loop get it.
+            # Lets handlers that need only one iteration of the loop finish.
             await asyncio.sleep(0)
         if len(self._tasks) >= MAX_HANDLERS:
             self._reject(envelope)
@@ -80,7 +80,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def stop(self) -> None:
-        """Cancel what is being handled."""
+        """Cancel the running handlers."""
         for task in self._tasks:
             task.cancel()
 
--- a/libs/wire/geraniumweir/wire/link.py
+++ b/libs/wire/geraniumweir/wire/link.py
@@ -1,10 +1,10 @@
-"""The way to one peer: its address, its connections and the task that dials.
+"""Link to one peer: address, connections and the dialling task.
 
 Two hosts that dial each other at the same time end up with two connections;
-both live, and the newest usable one carries what is sent. A connection is
+both stay open, and the newest usable one carries what is sent. A connection is
 made when something is to be sent, and a failed attempt is followed by a
-pause that doubles up to a bound and is spread by chance, so that the peers
-of a host that comes back don't all dial at once.
+pause that doubles up to a bound and is randomized, so that the peers
+of a host that restarts don't all dial at once.
 
 References
 ==========
@@ -31,7 +31,7 @@
 
 
 class Link:
-    """What one host knows of one peer.
+    """Address, connections and queued messages of one peer.
 
     :ivar address: where the peer listens, once it is known.
     :ivar partition: the partition that tests set.
@@ -43,7 +43,7 @@
         dial: Dial,
         random_source: random.Random,
     ) -> None:
-        """Start without an address; nothing is dialled yet."""
+        """Initialize without an address or connection."""
         self.host_id = host_id
         self.address: ids.Address | None = None
         self.traffic = connection.Traffic()
@@ -62,17 +62,17 @@
         self._task: asyncio.Task[None] | None = None
 
     def newest(self) -> connection.Connection | None:
-        """Give the newest usable connection, if there is one."""
+        """Return the newest usable connection, if there is one."""
         for conn in reversed(self._connections):
             if conn.usable:
                 return conn
         return None
 
     async def connected(self) -> connection.Connection:
-        """Wait for a connection, making one where there is none.
+        """Return a connection, dialling when there is none.
 
-        :raises errors.UnreachableError: when the attempt fails, or the last
-            one failed a moment ago.
+        :raises errors.UnreachableError: when the attempt fails, or during
+            the back-off after a failed one.
         """
         conn = self.newest()
         if conn is not None:
@@ -86,7 +86,7 @@
         return await fut
 
     def send(self, message: peers.Message) -> None:
-        """Send without an answer; kept for a moment while dialling."""
+        """Send without an answer; queue the message while dialling."""
         conn = self.newest()
         if conn is None:
             self._queue_message(message)
@@ -94,7 +94,7 @@
             conn.send(message)
 
     def add(self, conn: connection.Connection) -> None:
-        """Use a connection, whoever dialled it, before all older ones."""
+        """Add a connection; it is preferred to all older ones."""
         self._connections.append(conn)
         for message in self._queued_messages:
             conn.send(message)
@@ -105,11 +105,11 @@
         self._waiters.clear()
 
     def remove(self, conn: connection.Connection) -> None:
-        """Forget a connection that ended."""
+        """Remove a connection that ended."""
         self._connections.remove(conn)
 
     async def close(self) -> None:
-        """Break off all connections and stop dialling."""
+        """Abort all connections and stop dialling."""
         for conn in self._connections:
             conn.abort()
             conn.stop_handlers()
@@ -163,7 +163,7 @@
             self._fail_waiting(exc)
             return True
         if self.newest() is None:
-            # Another host answers at the address that was known.
+            # Another host answers at the peer's last known address.
             text = f'{self.host_id} is not at {self.address}'
             self._fail_waiting(errors.UnreachableError(text))
             return True
--- a/libs/wire/geraniumweir/wire/logevents.py
+++ b/libs/wire/geraniumweir/wire/logevents.py
@@ -5,7 +5,7 @@
 LISTENING = logevents.Event(
     401,
     logevents.Level.info,
-    'peers are served at {address}',
+    'listening for peers at {address}',
 )
 CONNECTED = logevents.Event(
     402,
@@ -15,27 +15,27 @@
 DISCONNECTED = logevents.Event(
     403,
     logevents.Level.info,
-    'connection to peer {peer} is gone: {reason}',
+    'connection to peer {peer} lost: {reason}',
 )
 BAD_FRAME = logevents.Event(
     404,
     logevents.Level.warning,
-    'connection to peer {peer} closed for a bad frame: {reason}',
+    'connection to peer {peer} closed after an invalid frame: {reason}',
 )
 DIAL_FAILED = logevents.Event(
     405,
     logevents.Level.info,
-    'no connection to peer {peer}: {reason}',
+    'cannot connect to peer {peer}: {reason}',
 )
 GREETING_FAILED = logevents.Event(
     406,
     logevents.Level.warning,
-    'a connection from {address} was refused: {reason}',
+    'rejected connection from {address}: {reason}',
 )
 HANDLER_FAILED = logevents.Event(
     407,
     logevents.Level.error,
-    'the handler of {message} from peer {peer} failed: {reason}',
+    'handler of {message} from peer {peer} failed: {reason}',
 )
 HANDLERS_BUSY = logevents.Event(
     408,
--- a/libs/wire/geraniumweir/wire/memory.py
+++ b/libs/wire/geraniumweir/wire/memory.py
@@ -1,9 +1,9 @@
-"""An in-memory network with the face of the peer layer, for tests.
+"""In-memory implementation of the peer layer, for tests.
 
-Links have a delay and can lose, repeat or reorder messages or be cut, each
-direction for itself. Thrift structs are encoded and decoded on the way, so
-that a field of a wrong type shows here too. Everything is decided by a seeded
-generator, so that a failing run can be repeated.
+Links have a delay and can lose, duplicate or reorder messages or be
+partitioned, each direction separately. Thrift structs are encoded and decoded
+on the way, so that a field of a wrong type is found here too. All random
+choices come from a seeded generator, so that a failing run can be repeated.
 """
 
 import asyncio
@@ -23,17 +23,17 @@
     """Hosts and the links between them.
 
     :ivar delay: one way, in seconds.
-    :ivar jitter: at most so many seconds more, drawn for each message, so
+    :ivar jitter: maximum extra delay in seconds, drawn per message, so
         that one may overtake another.
-    :ivar loss: share of messages that vanish, from 0 to 1.
-    :ivar repeats: share of messages that arrive a second time, from 0 to 1.
+    :ivar loss: fraction of lost messages, from 0 to 1.
+    :ivar repeats: fraction of messages that arrive twice, from 0 to 1.
     :ivar sent: messages by sender and type name, for counting.
     """
 
     def __init__(
         self, seed: int = 0, delay: float = _DEFAULT_DELAY_SECONDS
     ) -> None:
-        """Start without hosts.
+        """Initialize without hosts.
 
         :param seed: of every random choice.
         :param delay: one way, in seconds.
@@ -49,13 +49,13 @@
         self._partitions: set[tuple[ids.HostId, ids.HostId]] = set()
 
     def join(self, host_id: ids.HostId, address: ids.Address) -> 'MemoryPeers':
-        """Add a host, or put a fresh one in the place of a dead one."""
+        """Add a host, or replace a dead one."""
         self._hosts[host_id] = MemoryPeers(self, host_id)
         self._addresses[address] = host_id
         return self._hosts[host_id]
 
     def leave(self, host_id: ids.HostId) -> None:
-        """Take a host off; messages to it vanish."""
+        """Remove a host; messages to it are lost."""
         self._hosts.pop(host_id, None)
 
     def cut(self, sender: ids.HostId, receiver: ids.HostId) -> None:
@@ -63,15 +63,15 @@
         self._partitions.add((sender, receiver))
 
     def is_partitioned(self, sender: ids.HostId, receiver: ids.HostId) -> bool:
-        """Tell whether messages in one direction are lost."""
+        """Return whether messages in one direction are lost."""
         return (sender, receiver) in self._partitions
 
     def heal(self) -> None:
-        """Undo all cuts."""
+        """Remove all partitions."""
         self._partitions.clear()
 
     def host_at(self, address: ids.Address) -> ids.HostId | None:
-        """Tell which host listens at an address."""
+        """Return the host that listens at an address."""
         return self._addresses.get(address)
 
     def passes_link(
@@ -80,10 +80,10 @@
         receiver: ids.HostId,
         message: peers.Message,
     ) -> bool:
-        """Count a message and decide whether it gets through."""
+        """Count a message and return whether it is delivered."""
         key = (sender.host_id, type(message).__name__)
         self.sent[key] = self.sent.get(key, 0) + 1
-        # A host that was replaced is dead; nothing comes from it any more.
+        # A host that was replaced is dead; it sends nothing any more.
         if self._hosts.get(sender.host_id) is not sender:
             return False
         if (sender.host_id, receiver) in self._partitions:
@@ -91,17 +91,17 @@
         return self._random.random() >= self.loss
 
     def draw_duplicate(self) -> bool:
-        """Decide whether a message arrives a second time."""
+        """Return whether a message arrives a second time."""
         return self.repeats > 0 and self._random.random() < self.repeats
 
     def draw_delay_seconds(self) -> float:
-        """Draw how long a message takes, in seconds."""
+        """Return the random delay of a message, in seconds."""
         if self.jitter:
             return self.delay + self._random.random() * self.jitter
         return self.delay
 
     def host(self, host_id: ids.HostId) -> typing.Optional['MemoryPeers']:
-        """Give a live host."""
+        """Return a live host."""
         return self._hosts.get(host_id)
 
 
@@ -109,23 +109,23 @@
     """The peer layer of one host in a :class:`MemoryNetwork`."""
 
     def __init__(self, network: MemoryNetwork, host_id: ids.HostId) -> None:
-        """Start without handlers."""
+        """Initialize without handlers."""
         self.host_id = host_id
         self._network = network
         self._handlers: dict[type, peers.Handler] = {}
         self._tasks: set[asyncio.Task[typing.Any]] = set()
 
     def handle(self, message_type: type, handler: peers.Handler) -> None:
-        """Let a handler answer all messages of a type."""
+        """Register the handler of a message type."""
         self._handlers[message_type] = handler
 
     def learn(self, host_id: ids.HostId, address: ids.Address) -> None:
-        """Remember where a host listens; here the network knows."""
+        """Ignore the address; the network has it already."""
 
     async def introduce(self, address: ids.Address) -> ids.HostId:
-        """Tell who listens at an address.
+        """Return the host that listens at an address.
 
-        :raises errors.UnreachableError: when nobody does.
+        :raises errors.UnreachableError: when none does.
         """
         await asyncio.sleep(2 * self._network.delay)
         found = self._network.host_at(address)
@@ -188,7 +188,7 @@
     async def _deliver_duplicate(
         self, to: ids.HostId, message: peers.Message
     ) -> None:
-        """Let a copy arrive later; its answer goes nowhere."""
+        """Deliver a duplicate later and discard its answer."""
         await asyncio.sleep(2 * self._network.draw_delay_seconds())
         receiver = self._network.host(to)
         if receiver is not None:
@@ -216,7 +216,7 @@
     async def _deliver_one_way(
         self, to: ids.HostId, message: peers.Message
     ) -> None:
-        """Deliver a message that nobody waits for."""
+        """Deliver a message that needs no answer."""
         receiver = await self._transmit(to, message)
         if receiver is not None:
             with contextlib.suppress(errors.RemoteError):
@@ -240,7 +240,7 @@
         to: ids.HostId,
         message: peers.Message,
     ) -> typing.Optional['MemoryPeers']:
-        """Give the host that a message reaches, or None when it is lost."""
+        """Return the host that a message reaches, or None when it is lost."""
         passes_link = self._network.passes_link(self, to, message)
         if passes_link and self._network.draw_duplicate():
             self.start(self._deliver_duplicate(to, message))
@@ -249,7 +249,7 @@
 
 
 def _round_trip(message: peers.Message) -> peers.Message:
-    """Copy a message the way it would come out of a connection."""
+    """Return a copy as a real connection would deliver it."""
     if hasattr(message, 'thrift_spec'):
         return framing.decode(type(message), framing.encode(message))
     return copy.deepcopy(message)
--- a/libs/wire/geraniumweir/wire/peers.py
+++ b/libs/wire/geraniumweir/wire/peers.py
@@ -1,8 +1,8 @@
-"""What the rest of the product sees of the peer layer.
+"""Interface of the peer layer.
 
-A part registers a handler for a message type and sends messages to hosts by
-id; how connections are made, kept and lost is this library's matter. The TCP
-implementation and the in-memory one for tests have this same face.
+A component registers a handler for a message type and sends messages to hosts
+by id; this library manages the connections. The TCP implementation and the
+in-memory one for tests implement this interface.
 """
 
 import typing
@@ -22,7 +22,7 @@
     host_id: ids.HostId
 
     def handle(self, message_type: type, handler: Handler) -> None:
-        """Let a handler answer all messages of a type.
+        """Register the handler of a message type.
 
         :param message_type: a generated thrift struct.
         :param handler: gets the sender and the message, gives the answer to
@@ -30,12 +30,12 @@
         """
 
     def learn(self, host_id: ids.HostId, address: ids.Address) -> None:
-        """Remember where a host listens."""
+        """Record the address at which a host listens."""
 
     async def introduce(self, address: ids.Address) -> ids.HostId:
-        """Connect to a seed and learn who it is.
+        """Connect to a seed and return its host id.
 
-        :raises errors.UnreachableError: when nobody answers there.
+        :raises errors.UnreachableError: when no host answers there.
         """
 
     async def call(
--- a/libs/wire/geraniumweir/wire/tcp.py
+++ b/libs/wire/geraniumweir/wire/tcp.py
@@ -1,8 +1,8 @@
 """The peer layer over TCP.
 
 One task reads each connection, and one for each peer dials it when something
-is to be sent. A stranger, or a peer that sends garbage, loses its connection
-and no more.
+is to be sent. Invalid bytes from a peer or an unknown client close only their
+own connection.
 
 See Also
 ========
@@ -28,10 +28,10 @@
 
 _Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
-# An opening packet that was lost is sent again by the kernel only after a
-# second. Another attempt is made after this, in seconds, twenty times the way
-# between failure domains and back, and then after twice as long each time. It
-# shortens a start of all hosts, where many dial before others listen.
+# The kernel retransmits a lost SYN packet only after a second. Another attempt
+# is made after this, in seconds, twenty round trips between failure domains,
+# and then after twice as long each time. It shortens a start of all hosts,
+# where many dial before others listen.
 _FIRST_ATTEMPT_SECONDS = 0.1
 _ATTEMPT_GROWTH = 2
 
@@ -49,11 +49,11 @@
         random_source: random.Random | None = None,
         delay: float = 0,
     ) -> None:
-        """Start without peers; :meth:`start` listens.
+        """Initialize without peers; :meth:`start` listens.
 
         :param address: where to listen; port 0 takes a free one.
-        :param random_source: spreads the pauses between attempts to connect.
-        :param delay: for tests, holds back what is sent, in seconds.
+        :param random_source: randomizes the pauses between attempts to connect.
+        :param delay: delay of each sent frame, for tests, in seconds.
         """
         self.host_id = host_id
         self.address = address
@@ -67,7 +67,7 @@
     async def start(self) -> None:
         """Listen for peers.
 
-        :raises OSError: when the address can't be listened at.
+        :raises OSError: when the address can't be bound.
         """
         self._server = await asyncio.start_server(
             self._accept,
@@ -79,7 +79,7 @@
         eventlog.emit(logevents.LISTENING, address=self.address)
 
     async def close(self) -> None:
-        """Stop listening, break off all connections, cancel handlers."""
+        """Stop listening, abort all connections, cancel handlers."""
         if self._server is not None:
             self._server.close()
         for peer_link in self._links.values():
@@ -89,18 +89,18 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def handle(self, message_type: type, handler: peers.Handler) -> None:
-        """Let a handler answer all messages of a type."""
+        """Register the handler of a message type."""
         self._router.handle(message_type, handler)
 
     def learn(self, host_id: ids.HostId, address: ids.Address) -> None:
-        """Remember where a host listens."""
+        """Record the address at which a host listens."""
         if host_id != self.host_id:
             self._link(host_id).address = address
 
     async def introduce(self, address: ids.Address) -> ids.HostId:
-        """Connect to a seed and learn who it is.
+        """Connect to a seed and return its host id.
 
-        :raises errors.UnreachableError: when nobody answers there.
+        :raises errors.UnreachableError: when no host answers there.
         """
         if address == self.address:
             return self.host_id
@@ -119,11 +119,11 @@
     ) -> peers.Message:
         """Send a message and wait for its answer.
 
-        :param timeout: in seconds, the making of a connection included.
+        :param timeout: in seconds, including the time to connect.
         :raises errors.UnreachableError: when it can't have been sent.
         :raises errors.PeerTimeoutError: when no answer came in time.
         :raises errors.RemoteError: when the peer's handler failed.
-        :raises errors.PeerError: when the connection broke meanwhile.
+        :raises errors.PeerError: when the connection was lost meanwhile.
         """
         loop = asyncio.get_running_loop()
         deadline_at = loop.time() + timeout
@@ -156,12 +156,12 @@
         peer_link.partition.incoming = incoming
 
     def heal(self) -> None:
-        """Undo all cuts."""
+        """Remove all partitions."""
         for host_id in self._links:
             self.cut(host_id, outgoing=False, incoming=False)
 
     def traffic(self, host_id: ids.HostId) -> connection.Traffic:
-        """Give the counters of a peer."""
+        """Return the traffic counters of a peer."""
         return self._link(host_id).traffic
 
     def _link(self, host_id: ids.HostId) -> link.Link:
@@ -246,14 +246,14 @@
     try:
         return ids.parse_address(hello.listen or '')
     except ValueError:
-        # A peer that doesn't listen can't be dialled; it still talks.
+        # A peer that doesn't listen can't be dialled but can send.
         return None
 
 
 async def _connect(address: ids.Address) -> _Streams:
-    """Connect, trying anew sooner than the kernel would.
+    """Connect, retrying sooner than the kernel would.
 
-    :raises errors.UnreachableError: when nobody answers there.
+    :raises errors.UnreachableError: when no host answers there.
     """
     loop = asyncio.get_running_loop()
     deadline_at = loop.time() + greeting.TIMEOUT_SECONDS
