--- a/libs/wire/geraniumweir/wire/tests/test_dialling.py
+++ b/libs/wire/geraniumweir/wire/tests/test_dialling.py
@@ -1,4 +1,4 @@
-"""How soon a peer is reached whose first packet from here is lost."""
+"""Tests of connecting when the first SYN packets are lost."""
 
 import asyncio
 import typing
@@ -11,10 +11,10 @@
 _LOST_CONNECTS = 2
 
 
-def test_lost_opening_packet_is_not_waited_for(
+def test_lost_syn_is_retried_before_the_kernel_would(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The kernel would send it again after a second only."""
+    """The kernel would retransmit it only after a second."""
     attempts = 0
     real_open_connection = asyncio.open_connection
 
--- a/libs/wire/geraniumweir/wire/tests/test_memory.py
+++ b/libs/wire/geraniumweir/wire/tests/test_memory.py
@@ -41,8 +41,8 @@
     assert seconds == pytest.approx(0.001)
 
 
-def test_one_way_cut_times_out() -> None:
-    """A cut link can't be told from a slow answer."""
+def test_one_way_partition_times_out() -> None:
+    """A partition looks like a slow answer to the caller."""
 
     async def scenario() -> None:
         network, one = _pair()
@@ -66,7 +66,7 @@
 
 
 def test_repeats_and_a_replaced_host() -> None:
-    """A message may arrive twice, and an answer dies with its host."""
+    """A message may arrive twice; a replaced host's answer is lost."""
 
     async def scenario() -> list[int]:
         network, one = _pair()
--- a/libs/wire/geraniumweir/wire/tests/test_tcp.py
+++ b/libs/wire/geraniumweir/wire/tests/test_tcp.py
@@ -71,7 +71,7 @@
     peers: tcp.TcpPeers,
     host_id: str = 'stranger',
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Connect and greet by hand, to misbehave afterwards."""
+    """Connect and greet as a client whose bytes the test controls."""
     address = peers.address
     reader, writer = await asyncio.open_connection(address.host, address.port)
     greeting.send_hello(writer, host_id, '')
@@ -105,7 +105,7 @@
 
 
 def test_nobody_listens() -> None:
-    """A refused connection is told at once, and again while resting."""
+    """A refused connection fails at once, also during back-off."""
 
     async def scenario() -> None:
         async with _host(_ONE) as one:
@@ -122,7 +122,7 @@
 
 
 def test_sent_while_dialling_arrives() -> None:
-    """Messages wait for the connection that they make."""
+    """Messages are queued until the connection is open."""
 
     async def scenario() -> None:
         received: asyncio.Queue[int] = asyncio.Queue()
@@ -168,7 +168,7 @@
 
 
 def test_garbage_instead_of_a_greeting() -> None:
-    """A stranger that doesn't greet is dropped."""
+    """A client that doesn't greet is disconnected."""
 
     async def scenario() -> None:
         async with _host(_ONE) as one:
@@ -214,7 +214,7 @@
 
 
 def test_peer_dies_in_mid_call() -> None:
-    """An open call ends with an error that says it may have run."""
+    """A pending call fails with an error that leaves open if it ran."""
 
     async def scenario() -> None:
         async with _host(_ONE) as one:
@@ -254,8 +254,8 @@
         await asyncio.sleep(0)
 
 
-def test_one_way_cut() -> None:
-    """What is lost on the way back can't be told from a slow answer."""
+def test_one_way_partition() -> None:
+    """A lost answer looks like a slow one to the caller."""
 
     async def scenario() -> None:
         async with _pair() as (one, two):
@@ -295,7 +295,7 @@
 
 
 def test_failing_and_missing_handlers() -> None:
-    """The caller learns that the handler failed; the connection stays."""
+    """The caller gets the handler's failure; the connection stays."""
 
     async def scenario() -> None:
         async def failing_handler(_sender: ids.HostId, _ping: _Ping) -> None:
@@ -335,7 +335,7 @@
 
 
 def test_peer_that_does_not_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What waits for it is bounded: calls fail, messages are dropped."""
+    """The send buffer is bounded: calls fail, messages are dropped."""
     monkeypatch.setattr(
         connection, 'MAX_BUFFERED_BYTES', 2 * framing.MAX_FRAME_BYTES
     )
@@ -355,7 +355,7 @@
 
 
 def test_two_hosts_dial_each_other() -> None:
-    """Both connections may live, and calls go through both ways."""
+    """Both connections may stay open; calls work in both directions."""
 
     async def scenario() -> None:
         async with _pair() as (one, two):
@@ -367,7 +367,7 @@
     asyncio.run(scenario())
 
 
-def test_delayed_messages_come_late_whole_and_in_order() -> None:
+def test_delayed_messages_arrive_late_complete_and_in_order() -> None:
     """Each way takes at least the delay that the test set."""
 
     async def scenario() -> None:
