--- a/libs/wire/geraniumweir/wire/connection.py
+++ b/libs/wire/geraniumweir/wire/connection.py
@@ -1,8 +1,8 @@
-"""One TCP connection to a greeted peer: its reading task, calls and answers.
+"""One TCP connection to a greeted peer: reading, calls and answers.
 
 The connection's task reads frames until the stream ends. Writing needs no
-task: bytes go to the transport's buffer while that is short, and a message
-that finds it long is not sent.
+task: bytes go to the transport's buffer, and a message that would make the
+buffer exceed its limit is not sent.
 """
 
 import asyncio
@@ -20,12 +20,12 @@
 )
 from geraniumweir.wire.gen.peering import ttypes
 
-MAX_BUFFERED = 8 * 1024 * 1024
+MAX_BUFFERED_BYTES = 8 * 1024 * 1024
 
 
 @dataclasses.dataclass(slots=True)
 class Traffic:
-    """What went to and came from one peer, over all its connections.
+    """Counters of one peer's traffic over all its connections.
 
     :ivar dropped: messages that were not sent or not handled.
     """
@@ -38,8 +38,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Cut:
-    """A partition of one link, set by tests: which way loses frames."""
+class Partition:
+    """Directions in which a link loses frames; set by tests."""
 
     outgoing: bool = False
     incoming: bool = False
@@ -57,20 +57,20 @@
         streams: tuple[asyncio.StreamReader, asyncio.StreamWriter],
         router: handling.Router,
         traffic: Traffic,
-        cut: Cut,
-        delay: float = 0,
+        partition: Partition,
+        delay_seconds: float = 0,
     ) -> None:
-        """Take over a greeted stream; :meth:`run` reads it.
+        """Initialize from a greeted stream; :meth:`run` reads it.
 
-        :param delay: for tests, holds back what is sent, in seconds.
+        :param delay_seconds: delay of each sent frame, for tests, in seconds.
         """
         self.peer = peer
         self._reader = streams[0]
         self._writer = streams[1]
         self._traffic = traffic
-        self._cut = cut
-        self._delay = delay
-        self._numbers = itertools.count(1)
+        self._partition = partition
+        self._delay_seconds = delay_seconds
+        self._call_ids = itertools.count(1)
         self._pending: dict[int, asyncio.Future[ttypes.Envelope]] = {}
         self._workers = handling.Workers(peer, router, self._reply)
 
@@ -80,7 +80,7 @@
         return not (self._writer.is_closing() or self._reader.at_eof())
 
     async def run(self) -> None:
-        """Read frames until the stream ends; every open call fails then."""
+        """Read frames until the stream ends; fail pending calls then."""
         eventlog.emit(logevents.CONNECTED, peer=self.peer)
         try:
             await self._read_all()
@@ -108,12 +108,12 @@
         """Send a message and wait for its answer.
 
         :param timeout: in seconds.
-        :raises errors.BusyError: when too much waits to be sent.
+        :raises errors.BusyError: when the send buffer is full.
         :raises errors.PeerTimeoutError: when no answer came in time.
-        :raises errors.PeerError: when the connection broke; the peer may
-            have acted.
+        :raises errors.PeerError: when the connection was lost; the peer may
+            have handled the message.
         """
-        call_id = next(self._numbers)
+        call_id = next(self._call_ids)
         envelope = envelopes.seal(envelopes.Kind.call, call_id, message)
         loop = asyncio.get_running_loop()
         fut: asyncio.Future[ttypes.Envelope] = loop.create_future()
@@ -130,7 +130,7 @@
         return self._unseal(answer)
 
     def send(self, message: peers.Message) -> None:
-        """Send a message, or drop it when too much waits to be sent."""
+        """Send a message, or drop it when the send buffer is full."""
         envelope = envelopes.seal(envelopes.Kind.message, 0, message)
         try:
             self._write(envelope)
@@ -138,35 +138,35 @@
             self._traffic.dropped += 1
 
     def abort(self) -> None:
-        """Break the connection off; :meth:`run` ends soon."""
+        """Abort the connection; :meth:`run` ends soon."""
         self._writer.transport.abort()
 
     def stop_handlers(self) -> None:
-        """Cancel what still works on messages of this connection."""
+        """Cancel the running handlers of this connection."""
         self._workers.stop()
 
     async def _read_all(self) -> None:
         while True:
             frame = await framing.read_frame(self._reader)
-            if self._cut.incoming:
+            if self._partition.incoming:
                 continue
             self._traffic.messages_in += 1
             self._traffic.bytes_in += len(frame)
             envelope = framing.decode(ttypes.Envelope, frame)
-            await self._take(envelope)
+            await self._handle_envelope(envelope)
 
-    async def _take(self, envelope: ttypes.Envelope) -> None:
+    async def _handle_envelope(self, envelope: ttypes.Envelope) -> None:
         match envelope.kind:
             case envelopes.Kind.answer | envelopes.Kind.failure:
-                self._settle(envelope)
+                self._resolve_call(envelope)
             case envelopes.Kind.call | envelopes.Kind.message:
-                await self._workers.take(envelope)
+                await self._workers.accept(envelope)
             case _:
                 text = f'a message of the kind {envelope.kind}'
                 raise errors.FrameError(text)
 
-    def _settle(self, envelope: ttypes.Envelope) -> None:
-        # An answer that came after its call's timeout finds no one.
+    def _resolve_call(self, envelope: ttypes.Envelope) -> None:
+        # An answer that arrives after its call's timeout is ignored.
         fut = self._pending.get(envelope.call_id)
         if fut is not None and not fut.done():
             fut.set_result(envelope)
@@ -182,7 +182,7 @@
         try:
             self._write(envelope)
         except errors.PeerError:
-            # The caller's timeout tells it.
+            # The caller notices by its timeout.
             self._traffic.dropped += 1
 
     def _write(self, envelope: ttypes.Envelope) -> None:
@@ -190,15 +190,15 @@
             raise errors.UnreachableError(f'{self.peer} is disconnected')
         frame = framing.pack(framing.encode(envelope))
         buffered = self._writer.transport.get_write_buffer_size()
-        if buffered + len(frame) > MAX_BUFFERED:
+        if buffered + len(frame) > MAX_BUFFERED_BYTES:
             raise errors.BusyError(f'{buffered} bytes wait for {self.peer}')
         self._traffic.messages_out += 1
         self._traffic.bytes_out += len(frame)
-        if self._cut.outgoing:
+        if self._partition.outgoing:
             return
-        if self._delay:
+        if self._delay_seconds:
             loop = asyncio.get_running_loop()
-            loop.call_later(self._delay, self._write_late, frame)
+            loop.call_later(self._delay_seconds, self._write_late, frame)
         else:
             self._writer.write(frame)
 
--- a/libs/wire/geraniumweir/wire/handling.py
+++ b/libs/wire/geraniumweir/wire/handling.py
@@ -1,4 +1,4 @@
-"""Handlers of messages, and the bounded number that work for one peer."""
+"""Message handlers, limited in number for each connection."""
 
 import asyncio
 import typing
@@ -11,14 +11,14 @@
 
 
 class Router:
-    """Which handler answers which message type."""
+    """Handlers by message type."""
 
     def __init__(self) -> None:
-        """Start without handlers."""
+        """Initialize without handlers."""
         self._handlers: dict[type, peers.Handler] = {}
 
     def handle(self, message_type: type, handler: peers.Handler) -> None:
-        """Let a handler answer all messages of a type."""
+        """Register the handler of a message type."""
         self._handlers[message_type] = handler
 
     async def dispatch(
@@ -26,7 +26,7 @@
         sender: ids.HostId,
         message: peers.Message,
     ) -> peers.Message | None:
-        """Give a message to its handler.
+        """Return the answer of a message's handler.
 
         :raises errors.RemoteError: when it has none.
         """
@@ -38,13 +38,13 @@
 
 
 class Workers:
-    """The messages of one connection that are being handled.
+    """Running handlers of one connection's messages.
 
-    Each is handled in a task of its own, so that a slow handler doesn't hold
-    up the reading of the connection. Over the bound, calls fail at once and
+    Each is handled in a task of its own, so that a slow handler doesn't
+    block reading from the connection. Over the limit, calls fail at once and
     messages are dropped.
 
-    :ivar refused: how many were not handled.
+    :ivar rejected: how many were not handled.
     """
 
     def __init__(
@@ -53,51 +53,53 @@
         router: Router,
         reply: typing.Callable[[ttypes.Envelope], None],
     ) -> None:
-        """Start idle.
+        """Initialize without running handlers.
 
         :param reply: sends an answer, or drops it.
         """
-        self.refused = 0
+        self.rejected = 0
         self._peer = peer
         self._router = router
         self._reply = reply
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def take(self, envelope: ttypes.Envelope) -> None:
-        """Start handling a call or a message.
+    async def accept(self, envelope: ttypes.Envelope) -> None:
+        """Start the handler of a call or a message.
 
-        :raises errors.FrameError: when this build can't read it.
+        :raises errors.FrameError: when this build can't decode it.
         """
         message = envelopes.unseal(envelope)
         if len(self._tasks) >= MAX_HANDLERS:
-            # Those that only need a turn of the loop get it.
+            # Lets handlers that need only one iteration of the loop finish.
             await asyncio.sleep(0)
         if len(self._tasks) >= MAX_HANDLERS:
-            self._refuse(envelope)
+            self._reject(envelope)
             return
-        task = asyncio.create_task(self._work(envelope, message))
+        task = asyncio.create_task(self._run(envelope, message))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def stop(self) -> None:
-        """Cancel what is being handled."""
+        """Cancel the running handlers."""
         for task in self._tasks:
             task.cancel()
 
-    def _refuse(self, envelope: ttypes.Envelope) -> None:
-        self.refused += 1
+    def _reject(self, envelope: ttypes.Envelope) -> None:
+        self.rejected += 1
         eventlog.emit(logevents.HANDLERS_BUSY, peer=self._peer)
         if envelope.kind == envelopes.Kind.call:
-            busy = envelopes.failure(envelope.call_id, 'too many open calls')
-            self._reply(busy)
+            rejection = envelopes.failure(
+                envelope.call_id, 'too many open calls'
+            )
+            self._reply(rejection)
 
-    async def _work(
+    async def _run(
         self,
         envelope: ttypes.Envelope,
         message: peers.Message,
     ) -> None:
         try:
-            answer = await self._answer(envelope.call_id, message)
+            answer = await self._dispatch(envelope.call_id, message)
         except Exception as exc:
             eventlog.emit(
                 logevents.HANDLER_FAILED,
@@ -109,7 +111,7 @@
         if envelope.kind == envelopes.Kind.call:
             self._reply(answer)
 
-    async def _answer(
+    async def _dispatch(
         self,
         call_id: int,
         message: peers.Message,
--- a/libs/wire/geraniumweir/wire/memory.py
+++ b/libs/wire/geraniumweir/wire/memory.py
@@ -1,9 +1,9 @@
-"""An in-memory network with the face of the peer layer, for tests.
+"""In-memory implementation of the peer layer, for tests.
 
-Links have a delay and can lose, repeat or reorder messages or be cut, each
-direction for itself. Thrift structs are encoded and decoded on the way, so
-that a field of a wrong type shows here too. Everything is decided by a seeded
-generator, so that a failing run can be repeated.
+Links have a delay and can lose, duplicate or reorder messages or be
+partitioned, each direction separately. Thrift structs are encoded and decoded
+on the way, so that a field of a wrong type is found here too. All random
+choices come from a seeded generator, so that a failing run can be repeated.
 """
 
 import asyncio
@@ -15,23 +15,25 @@
 from geraniumweir.common import ids
 from geraniumweir.wire import errors, framing, peers
 
-_DEFAULT_DELAY = 0.0005
-_Done = typing.TypeVar('_Done')
+_DEFAULT_DELAY_SECONDS = 0.0005
+_Result = typing.TypeVar('_Result')
 
 
 class MemoryNetwork:
     """Hosts and the links between them.
 
     :ivar delay: one way, in seconds.
-    :ivar jitter: at most so many seconds more, drawn for each message, so
+    :ivar jitter: maximum extra delay in seconds, drawn per message, so
         that one may overtake another.
-    :ivar loss: share of messages that vanish, from 0 to 1.
-    :ivar repeats: share of messages that arrive a second time, from 0 to 1.
+    :ivar loss: fraction of lost messages, from 0 to 1.
+    :ivar repeats: fraction of messages that arrive twice, from 0 to 1.
     :ivar sent: messages by sender and type name, for counting.
     """
 
-    def __init__(self, seed: int = 0, delay: float = _DEFAULT_DELAY) -> None:
-        """Start without hosts.
+    def __init__(
+        self, seed: int = 0, delay: float = _DEFAULT_DELAY_SECONDS
+    ) -> None:
+        """Initialize without hosts.
 
         :param seed: of every random choice.
         :param delay: one way, in seconds.
@@ -44,62 +46,62 @@
         self._random = random.Random(seed)  # noqa: S311
         self._hosts: dict[ids.HostId, MemoryPeers] = {}
         self._addresses: dict[ids.Address, ids.HostId] = {}
-        self._cuts: set[tuple[ids.HostId, ids.HostId]] = set()
+        self._partitions: set[tuple[ids.HostId, ids.HostId]] = set()
 
     def join(self, host_id: ids.HostId, address: ids.Address) -> 'MemoryPeers':
-        """Add a host, or put a fresh one in the place of a dead one."""
+        """Add a host, or replace a dead one."""
         self._hosts[host_id] = MemoryPeers(self, host_id)
         self._addresses[address] = host_id
         return self._hosts[host_id]
 
     def leave(self, host_id: ids.HostId) -> None:
-        """Take a host off; messages to it vanish."""
+        """Remove a host; messages to it are lost."""
         self._hosts.pop(host_id, None)
 
     def cut(self, sender: ids.HostId, receiver: ids.HostId) -> None:
         """Lose all messages in one direction."""
-        self._cuts.add((sender, receiver))
+        self._partitions.add((sender, receiver))
 
-    def is_cut(self, sender: ids.HostId, receiver: ids.HostId) -> bool:
-        """Tell whether messages in one direction are lost."""
-        return (sender, receiver) in self._cuts
+    def is_partitioned(self, sender: ids.HostId, receiver: ids.HostId) -> bool:
+        """Return whether messages in one direction are lost."""
+        return (sender, receiver) in self._partitions
 
     def heal(self) -> None:
-        """Undo all cuts."""
-        self._cuts.clear()
+        """Remove all partitions."""
+        self._partitions.clear()
 
     def host_at(self, address: ids.Address) -> ids.HostId | None:
-        """Tell which host listens at an address."""
+        """Return the host that listens at an address."""
         return self._addresses.get(address)
 
-    def passes(
+    def passes_link(
         self,
         sender: 'MemoryPeers',
         receiver: ids.HostId,
         message: peers.Message,
     ) -> bool:
-        """Count a message and decide whether it gets through."""
+        """Count a message and return whether it is delivered."""
         key = (sender.host_id, type(message).__name__)
         self.sent[key] = self.sent.get(key, 0) + 1
-        # A host that was replaced is dead; nothing comes from it any more.
+        # A host that was replaced is dead; it sends nothing any more.
         if self._hosts.get(sender.host_id) is not sender:
             return False
-        if (sender.host_id, receiver) in self._cuts:
+        if (sender.host_id, receiver) in self._partitions:
             return False
         return self._random.random() >= self.loss
 
-    def repeated(self) -> bool:
-        """Decide whether a message arrives a second time."""
+    def draw_duplicate(self) -> bool:
+        """Return whether a message arrives a second time."""
         return self.repeats > 0 and self._random.random() < self.repeats
 
-    def travel_time(self) -> float:
-        """Draw how long a message takes, in seconds."""
+    def draw_delay_seconds(self) -> float:
+        """Return the random delay of a message, in seconds."""
         if self.jitter:
             return self.delay + self._random.random() * self.jitter
         return self.delay
 
     def host(self, host_id: ids.HostId) -> typing.Optional['MemoryPeers']:
-        """Give a live host."""
+        """Return a live host."""
         return self._hosts.get(host_id)
 
 
@@ -107,23 +109,23 @@
     """The peer layer of one host in a :class:`MemoryNetwork`."""
 
     def __init__(self, network: MemoryNetwork, host_id: ids.HostId) -> None:
-        """Start without handlers."""
+        """Initialize without handlers."""
         self.host_id = host_id
         self._network = network
         self._handlers: dict[type, peers.Handler] = {}
         self._tasks: set[asyncio.Task[typing.Any]] = set()
 
     def handle(self, message_type: type, handler: peers.Handler) -> None:
-        """Let a handler answer all messages of a type."""
+        """Register the handler of a message type."""
         self._handlers[message_type] = handler
 
     def learn(self, host_id: ids.HostId, address: ids.Address) -> None:
-        """Remember where a host listens; here the network knows."""
+        """Ignore the address; the network has it already."""
 
     async def introduce(self, address: ids.Address) -> ids.HostId:
-        """Tell who listens at an address.
+        """Return the host that listens at an address.
 
-        :raises errors.UnreachableError: when nobody does.
+        :raises errors.UnreachableError: when none does.
         """
         await asyncio.sleep(2 * self._network.delay)
         found = self._network.host_at(address)
@@ -154,7 +156,7 @@
 
     def send(self, to: ids.HostId, message: peers.Message) -> None:
         """Send a message without an answer; it may be lost."""
-        self.start(self._post(to, message))
+        self.start(self._deliver_one_way(to, message))
 
     async def receive(
         self,
@@ -169,23 +171,25 @@
         if handler is None:
             raise errors.RemoteError(f'no handler of {type(message).__name__}')
         try:
-            return await handler(sender, _carried(message))
+            return await handler(sender, _round_trip(message))
         except Exception as exc:
             raise errors.RemoteError(repr(exc)) from exc
 
     def start(
         self,
-        work: typing.Coroutine[typing.Any, typing.Any, _Done],
-    ) -> asyncio.Task[_Done]:
+        work: typing.Coroutine[typing.Any, typing.Any, _Result],
+    ) -> asyncio.Task[_Result]:
         """Run a task of this host."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    async def _repeat(self, to: ids.HostId, message: peers.Message) -> None:
-        """Let a copy arrive later; its answer goes nowhere."""
-        await asyncio.sleep(2 * self._network.travel_time())
+    async def _deliver_duplicate(
+        self, to: ids.HostId, message: peers.Message
+    ) -> None:
+        """Deliver a duplicate later and discard its answer."""
+        await asyncio.sleep(2 * self._network.draw_delay_seconds())
         receiver = self._network.host(to)
         if receiver is not None:
             with contextlib.suppress(errors.RemoteError):
@@ -200,18 +204,20 @@
         # is lost with it.
         receiver = self._network.host(to)
         answer = await self._deliver(to, message)
-        if receiver is None or not self._network.passes(
+        if receiver is None or not self._network.passes_link(
             receiver,
             self.host_id,
             answer,
         ):
             await asyncio.Event().wait()
-        await asyncio.sleep(self._network.travel_time())
-        return _carried(answer)
-
-    async def _post(self, to: ids.HostId, message: peers.Message) -> None:
-        """Deliver a message that nobody waits for."""
-        receiver = await self._travel(to, message)
+        await asyncio.sleep(self._network.draw_delay_seconds())
+        return _round_trip(answer)
+
+    async def _deliver_one_way(
+        self, to: ids.HostId, message: peers.Message
+    ) -> None:
+        """Deliver a message that needs no answer."""
+        receiver = await self._transmit(to, message)
         if receiver is not None:
             with contextlib.suppress(errors.RemoteError):
                 await receiver.receive(self.host_id, message)
@@ -221,7 +227,7 @@
         to: ids.HostId,
         message: peers.Message,
     ) -> peers.Message | None:
-        receiver = await self._travel(to, message)
+        receiver = await self._transmit(to, message)
         if receiver is None:
             # The sender can't tell a loss from a slow answer.
             return await asyncio.Event().wait()
@@ -229,21 +235,21 @@
         handled = receiver.start(receiver.receive(self.host_id, message))
         return await asyncio.shield(handled)
 
-    async def _travel(
+    async def _transmit(
         self,
         to: ids.HostId,
         message: peers.Message,
     ) -> typing.Optional['MemoryPeers']:
-        """Give the host that a message reaches, or None when it is lost."""
-        passes = self._network.passes(self, to, message)
-        if passes and self._network.repeated():
-            self.start(self._repeat(to, message))
-        await asyncio.sleep(self._network.travel_time())
-        return self._network.host(to) if passes else None
+        """Return the host that a message reaches, or None when it is lost."""
+        passes_link = self._network.passes_link(self, to, message)
+        if passes_link and self._network.draw_duplicate():
+            self.start(self._deliver_duplicate(to, message))
+        await asyncio.sleep(self._network.draw_delay_seconds())
+        return self._network.host(to) if passes_link else None
 
 
-def _carried(message: peers.Message) -> peers.Message:
-    """Copy a message the way it would come out of a connection."""
+def _round_trip(message: peers.Message) -> peers.Message:
+    """Return a copy as a real connection would deliver it."""
     if hasattr(message, 'thrift_spec'):
         return framing.decode(type(message), framing.encode(message))
     return copy.deepcopy(message)
--- a/libs/wire/geraniumweir/wire/tests/test_memory.py
+++ b/libs/wire/geraniumweir/wire/tests/test_memory.py
@@ -41,8 +41,8 @@
     assert seconds == pytest.approx(0.001)
 
 
-def test_one_way_cut_times_out() -> None:
-    """A cut link can't be told from a slow answer."""
+def test_one_way_partition_times_out() -> None:
+    """A partition looks like a slow answer to the caller."""
 
     async def scenario() -> None:
         network, one = _pair()
@@ -66,25 +66,25 @@
 
 
 def test_repeats_and_a_replaced_host() -> None:
-    """A message may arrive twice, and an answer dies with its host."""
+    """A message may arrive twice; a replaced host's answer is lost."""
 
     async def scenario() -> list[int]:
         network, one = _pair()
         network.repeats = 1
-        seen: list[int] = []
+        received: list[int] = []
 
-        async def note(_sender: ids.HostId, ping: _Ping) -> _Ping:
-            seen.append(ping.number)
+        async def record_ping(_sender: ids.HostId, ping: _Ping) -> _Ping:
+            received.append(ping.number)
             await asyncio.sleep(0.1)
             return ping
 
         address = ids.Address('127.0.0.1', 2)
-        network.join(_TWO, address).handle(_Ping, note)
+        network.join(_TWO, address).handle(_Ping, record_ping)
         waiting = asyncio.create_task(one.call(_TWO, _Ping(1), 1))
         await asyncio.sleep(0.05)
         network.join(_TWO, address)
         with pytest.raises(errors.PeerTimeoutError):
             await waiting
-        return seen
+        return received
 
     assert virtual.run(scenario()) == [1, 1]
