--- a/libs/fakes/geraniumweir/fakes/following_bed.py
+++ b/libs/fakes/geraniumweir/fakes/following_bed.py
@@ -27,7 +27,7 @@
         super().__init__(seed)
         self.sent_bytes: dict[ids.HostId, int] = {}
 
-    def passes(
+    def passes_link(
         self,
         sender: memory.MemoryPeers,
         receiver: ids.HostId,
@@ -37,7 +37,7 @@
         size = len(framing.encode(message))
         before = self.sent_bytes.get(sender.host_id, 0)
         self.sent_bytes[sender.host_id] = before + size
-        return super().passes(sender, receiver, message)
+        return super().passes_link(sender, receiver, message)
 
 
 class MemoryShelf:
@@ -260,7 +260,8 @@
 
     def _reaches(self, one: ids.HostId, other: ids.HostId) -> bool:
         return one == other or not (
-            self.network.is_cut(one, other) or self.network.is_cut(other, one)
+            self.network.is_partitioned(one, other)
+            or self.network.is_partitioned(other, one)
         )
 
     def _note(self, host: Host, version: int) -> None:
--- a/libs/fakes/geraniumweir/fakes/slopes/counting.py
+++ b/libs/fakes/geraniumweir/fakes/slopes/counting.py
@@ -20,7 +20,7 @@
         self.packets: collections.Counter[ids.HostId] = collections.Counter()
         self.octets: collections.Counter[ids.HostId] = collections.Counter()
 
-    def passes(
+    def passes_link(
         self,
         sender: memory.MemoryPeers,
         receiver: ids.HostId,
@@ -34,7 +34,7 @@
         self.octets[sender.host_id] += (
             framed + countingpeers.PACKET_HEADER_BYTES
         )
-        return super().passes(sender, receiver, message)
+        return super().passes_link(sender, receiver, message)
 
     def reset(self) -> None:
         """Begin to count anew."""
