--- a/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/granting.py
@@ -7,13 +7,13 @@
 from geraniumweir.common import eventlog, ids
 from geraniumweir.scheduling import logevents, requests
 from geraniumweir.scheduling.ontime import (
+    canary_requests,
     classes,
     fleet,
     ordering,
     placing,
     records,
     state,
-    trying,
 )
 
 # While requests wait, a cycle runs at least this often, for what changes with
@@ -181,7 +181,7 @@
     turns: typing.Iterable[ordering.Turn],
 ) -> None:
     """Grant slots to requests in the order of the plan."""
-    cycle.canaries = trying.open_canaries(leader, cycle.estimates)
+    cycle.canaries = canary_requests.open_canaries(leader, cycle.estimates)
     for turn in turns:
         if _try_canary(leader, cycle, turn):
             continue
@@ -250,7 +250,7 @@
     offers = cycle.without_paused(
         cycle.canaries, turn.waiting.slot_request.owner
     )
-    placement = trying.choose(offers, turn.waiting, cycle.estimates)
+    placement = canary_requests.choose(offers, turn.waiting, cycle.estimates)
     if placement is None:
         return False
     _grant_and_count(leader, cycle, turn, placement)
--- a/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/leader.py
@@ -27,7 +27,7 @@
     classes,
     fleet,
     granting,
-    lessons,
+    observations,
     records,
     state,
 )
@@ -120,7 +120,7 @@
         """Record the first token of a granted request."""
         running = self._state.running.get(progress.request_id)
         if running is not None and progress.first_token is not None:
-            lessons.record_first_token(
+            observations.record_first_token(
                 self._state, running, progress.first_token
             )
 
@@ -129,13 +129,13 @@
         running = self._state.running.pop(release.request_id, None)
         if running is None:
             return
-        lessons.record_end(self._state, running, release)
+        observations.record_end(self._state, running, release)
         server = fleet.server_of(self._state, running)
         if server is not None:
             server.remove_running(
                 release.request_id,
                 self._state.now(),
-                answered=release.outcome in lessons.ANSWERED,
+                answered=release.outcome in observations.ANSWERED,
             )
         granting.trigger_cycle(self._state)
 
@@ -227,7 +227,7 @@
             self._state.sequence,
             now,
             waited_seconds,
-            lessons.expected_tokens(self._state, slot_request),
+            observations.expected_tokens(self._state, slot_request),
             asyncio.get_running_loop().create_future(),
         )
         self._state.waiting[slot_request.request_id] = waiting
@@ -245,7 +245,7 @@
             granted_at=self._state.now() - open_grant.age,
             read_tokens=open_grant.slot_request.prompt_tokens,
             predicted=open_grant.age,
-            tokens=lessons.expected_tokens(
+            tokens=observations.expected_tokens(
                 self._state, open_grant.slot_request
             ),
             first_token=open_grant.first_token,
--- a/libs/scheduling/geraniumweir/scheduling/ontime/lessons.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/observations.py
@@ -4,12 +4,12 @@
 
 from geraniumweir.scheduling import requests
 from geraniumweir.scheduling.ontime import (
+    canary_requests,
+    cooldowns,
     fleet,
     paths,
     records,
-    rests,
     state,
-    trying,
 )
 
 # Outputs are about half as long as the maximum that callers set.
@@ -52,7 +52,7 @@
     server = fleet.server_of(leader, running)
     if server is None:
         return
-    trying.first_token_arrived(leader, server, running)
+    canary_requests.first_token_arrived(leader, server, running)
     server.prefilling.pop(running.slot_request.request_id, None)
     server.last_first_token_at = leader.now()
     server.last_success_at = server.last_first_token_at
@@ -69,7 +69,7 @@
     server = fleet.server_of(leader, running)
     if server is None:
         return
-    trying.answer_ended(leader, server, running, release)
+    canary_requests.answer_ended(leader, server, running, release)
     now = leader.now()
     match release.outcome:
         case requests.Outcome.done:
@@ -84,9 +84,13 @@
             server.condition.record_answer(well=False)
         case requests.Outcome.not_sent:
             _record_path(leader, running, server, delayed=True)
-            rests.record_fault(server, rests.Cause.unreachable, now, running)
+            cooldowns.record_fault(
+                server, cooldowns.Cause.unreachable, now, running
+            )
         case requests.Outcome.turned_away:
-            rests.record_fault(server, rests.Cause.turned_away, now, running)
+            cooldowns.record_fault(
+                server, cooldowns.Cause.turned_away, now, running
+            )
         case requests.Outcome.wrong_server:
             fleet.server_replaced(leader, server)
         case requests.Outcome.failed | requests.Outcome.crashed:
@@ -107,7 +111,7 @@
 ) -> None:
     now = leader.now()
     _record_path(leader, running, server, delayed=True)
-    rests.record_fault(server, rests.Cause.broke_off, now, running)
+    cooldowns.record_fault(server, cooldowns.Cause.broke_off, now, running)
     server.incomplete_answers.append((now, running.slot_request.fingerprint))
     leader.suspects.record_incomplete(
         running.slot_request.fingerprint,
--- a/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
+++ b/libs/scheduling/geraniumweir/scheduling/ontime/placing.py
@@ -11,7 +11,7 @@
 import typing
 
 from geraniumweir.scheduling import requests
-from geraniumweir.scheduling.ontime import paths, records, rests, speeds
+from geraniumweir.scheduling.ontime import cooldowns, paths, records, speeds
 
 # Free fraction that a server without free slots would count with. It bounds how
 # much the cost rises as free slots get scarce.
@@ -173,7 +173,7 @@
         stuck = server.stuck(estimates.now)
         if server.hangs(stuck):
             # After the cooldown one request probes whether it still hangs.
-            rests.record_fault(server, rests.Cause.hung, estimates.now)
+            cooldowns.record_fault(server, cooldowns.Cause.hung, estimates.now)
         free_slots = server.free_slots(estimates.now, len(stuck))
         if free_slots > 0:
             offers.append(make_offer(server, free_slots, estimates))
